--- a/plantainyard/clients/__init__.py
+++ b/plantainyard/clients/__init__.py
@@ -43,12 +43,12 @@
     read_state,
     send_commands,
 )
-from plantainyard.transport import HttpAnswer, HttpPeer, build_peer, build_pool
+from plantainyard.transport import HttpPeer, HttpResponse, build_peer, build_pool
 
 __all__ = [
     "Commands",
     "FinishedTask",
-    "HttpAnswer",
+    "HttpResponse",
     "HttpPeer",
     "Instance",
     "InstanceKind",
--- a/plantainyard/clients/runner.py
+++ b/plantainyard/clients/runner.py
@@ -9,8 +9,8 @@
 from plantainyard.errors import CallError, ErrorKind
 from plantainyard.transport import (
     DEFAULT_TIMEOUT_S,
-    HttpAnswer,
     HttpPeer,
+    HttpResponse,
     build_peer,
     read_retry_after,
     send_request,
@@ -61,7 +61,7 @@
     ----------
     outcome : str
         One of the names in `RunnerOutcome`.
-    answer : HttpAnswer or None
+    answer : HttpResponse or None
         The runner's answer; present whenever a whole one for this request came.
     error : CallError or None
         Why there is no answer; None with an answer.
@@ -70,7 +70,7 @@
     """
 
     outcome: str
-    answer: HttpAnswer | None = None
+    answer: HttpResponse | None = None
     error: CallError | None = None
     retry_after_s: float = 0.0
 
@@ -130,7 +130,7 @@
         body,
         sent,
         timeout_s,
-        echoed={REQUEST_ID_HEADER: request_id},
+        expected_headers={REQUEST_ID_HEADER: request_id},
     )
     if isinstance(result, Err):
         error = result.err_value
@@ -140,7 +140,7 @@
     return _judge_answer(result.ok_value)
 
 
-def _judge_answer(answer: HttpAnswer) -> RunnerAnswer:
+def _judge_answer(answer: HttpResponse) -> RunnerAnswer:
     flag = answer.headers.get(NOT_RUN_HEADER, "").lower()
     if answer.status == UNAVAILABLE and flag == "true":
         return RunnerAnswer(
--- a/plantainyard/clients/worker.py
+++ b/plantainyard/clients/worker.py
@@ -17,7 +17,7 @@
     DEFAULT_TIMEOUT_S,
     GONE,
     HttpPeer,
-    JsonAnswer,
+    JsonResponse,
     build_peer,
     call_json,
 )
@@ -311,7 +311,7 @@
 
 
 def _parse_checked(
-    client: WorkerClient, step: str, answer: JsonAnswer
+    client: WorkerClient, step: str, answer: JsonResponse
 ) -> Result[WorkerState, CallError]:
     try:
         return Ok(parse_state(answer.body))
--- a/plantainyard/commands/caller.py
+++ b/plantainyard/commands/caller.py
@@ -11,7 +11,7 @@
 from plantainyard.commands.exits import EXIT_OF_CODE, ExitCode
 from plantainyard.commands.world import World
 from plantainyard.errors import CallError, ErrorKind, describe_error
-from plantainyard.transport import HttpAnswer
+from plantainyard.transport import HttpResponse
 
 __all__ = ["Failure", "call"]
 
@@ -164,7 +164,7 @@
 
 
 def _judge_answer(
-    method: str, address: str, answer: HttpAnswer
+    method: str, address: str, answer: HttpResponse
 ) -> Result[Any, Failure]:
     if answer.status == STATUS_OK:
         try:
@@ -179,7 +179,7 @@
     return Err(Failure(EXIT_OF_CODE[error.code], error))
 
 
-def _judge_strange(method: str, address: str, answer: HttpAnswer) -> Failure:
+def _judge_strange(method: str, address: str, answer: HttpResponse) -> Failure:
     """Judge an answer that is none of the schema's, say of something in between."""
     detail = f"status {answer.status} with a body that is not of the schema"
     if METHODS[method].changes:
--- a/plantainyard/commands/tests/world.py
+++ b/plantainyard/commands/tests/world.py
@@ -15,7 +15,7 @@
 from plantainyard.api.errors import STATUS_OF_CODE
 from plantainyard.commands import World
 from plantainyard.errors import CallError, ErrorKind
-from plantainyard.transport import HttpAnswer
+from plantainyard.transport import HttpResponse
 
 __all__ = [
     "ANSWERED",
@@ -70,15 +70,15 @@
             return Err(CallError(ErrorKind.UNREACHABLE, path, address))
         if fate in (BUSY, REJECTED):
             return Ok(
-                HttpAnswer(STATUS_OF_CODE[fate], {}, encode_error(ApiError(fate)))
+                HttpResponse(STATUS_OF_CODE[fate], {}, encode_error(ApiError(fate)))
             )
         method = path.rpartition("/")[2]
         answer = serve_call(handlers, method, headers["Content-Type"], body)
         if fate == LOST:
             return Err(CallError(ErrorKind.LOST, path, address))
         if fate == STRANGE:
-            return Ok(HttpAnswer(502, {}, b"<html>"))
-        return Ok(HttpAnswer(answer.status, {}, answer.body))
+            return Ok(HttpResponse(502, {}, b"<html>"))
+        return Ok(HttpResponse(answer.status, {}, answer.body))
 
     clock = iter(range(10_000))
     ids = (f"request-{n}" for n in range(100))
--- a/plantainyard/commands/world.py
+++ b/plantainyard/commands/world.py
@@ -11,12 +11,12 @@
 
 from plantainyard.clock import read_clock
 from plantainyard.errors import CallError
-from plantainyard.transport import HttpAnswer, build_peer, build_pool, send_request
+from plantainyard.transport import HttpResponse, build_peer, build_pool, send_request
 
 __all__ = ["Send", "World", "create_world"]
 
 Send = Callable[
-    [str, str, bytes, Mapping[str, str], float], Result[HttpAnswer, CallError]
+    [str, str, bytes, Mapping[str, str], float], Result[HttpResponse, CallError]
 ]
 
 
@@ -58,7 +58,7 @@
         body: bytes,
         headers: Mapping[str, str],
         timeout_s: float,
-    ) -> Result[HttpAnswer, CallError]:
+    ) -> Result[HttpResponse, CallError]:
         peer = build_peer(address, pool, timeout_s)
         return send_request(peer, path, "POST", path, body, headers)
 
--- a/plantainyard/connections.py
+++ b/plantainyard/connections.py
@@ -13,13 +13,13 @@
 from result import Result
 
 from plantainyard.errors import CallError
-from plantainyard.transport import HttpAnswer
+from plantainyard.transport import HttpResponse
 
-__all__ = ["Answered", "Call", "Connection", "build_request"]
+__all__ = ["ResultCallback", "Call", "Connection", "build_request"]
 
 MOST_PORT = 65_535
 
-Answered = Callable[[Result[HttpAnswer, CallError]], None]
+ResultCallback = Callable[[Result[HttpResponse, CallError]], None]
 """Told what came of a call, on the multiplexer's thread; it must not wait."""
 
 
@@ -37,7 +37,7 @@
     timeout_s : float
         Longest time until there is a connection, and then until the whole answer has
         come.
-    answered : Answered
+    on_result : ResultCallback
         Called once.
     """
 
@@ -46,7 +46,7 @@
     address: str
     data: bytes
     timeout_s: float
-    answered: Answered
+    on_result: ResultCallback
 
 
 def build_request(
--- a/plantainyard/daemon.py
+++ b/plantainyard/daemon.py
@@ -17,7 +17,7 @@
 from absl import flags
 from result import Err
 
-from plantainyard.logs import keep_logs
+from plantainyard.logs import configure_logging
 from plantainyard.operators import find_faults
 from plantainyard.process import drain_process, run_process
 from plantainyard.settings import Settings, describe_setting_error, load_settings
@@ -120,7 +120,7 @@
     if _CHECK.value:
         print(f"{_SETTINGS.value}: the settings are sound")
         return EXIT_OK
-    with keep_logs(loaded.ok_value):
+    with configure_logging(loaded.ok_value):
         return run(loaded.ok_value)
 
 
--- a/plantainyard/entry/tests/test_units.py
+++ b/plantainyard/entry/tests/test_units.py
@@ -39,7 +39,7 @@
 )
 from plantainyard.entry.topics import INTAKE, LAYOUT, RUNNERS, UNITS_KEY
 from plantainyard.platform.store import Record
-from plantainyard.transport import JsonAnswer
+from plantainyard.transport import JsonResponse
 from standins.platform import RunnerState, StoreState, serve_platform
 
 
@@ -242,7 +242,7 @@
     # Nothing is handed to it any more, and no line says why.
     instance = start_bare_instance("127.0.0.1:1")
     instance.layout.owners[1] = Owner(3, "127.0.0.1:9")
-    answer = Ok(JsonAnswer(200, body))
+    answer = Ok(JsonResponse(200, body))
     monkeypatch.setattr(peers, "call_json", lambda *_: answer)
     assert peers.ask_load(instance, 1) is None
     text = generate_latest(instance.meters.registry).decode()
--- a/plantainyard/entry/unit.py
+++ b/plantainyard/entry/unit.py
@@ -313,7 +313,7 @@
         if error.kind == ErrorKind.CONFLICT:
             self.world.depose()
         self.world.log.write("runner_silent", runner=life, why=error.detail)
-        other_life = error.kind == ErrorKind.OTHER_LIFE
+        other_life = error.kind == ErrorKind.OTHER_INCARNATION
         return HoldFailed(life, sent_at, error.detail, other_life)
 
     def _order(self, action: SendOrder) -> None:
--- a/plantainyard/logs.py
+++ b/plantainyard/logs.py
@@ -12,7 +12,7 @@
 from plantainyard.errors import CallError, describe_error
 from plantainyard.settings import Secret, Settings
 
-__all__ = ["get_logger", "keep_logs", "log_call_error", "log_step"]
+__all__ = ["get_logger", "configure_logging", "log_call_error", "log_step"]
 
 ROOT = "plantainyard"
 FORMAT = "%(asctime)s %(levelname)s %(name)s %(message)s"
@@ -21,7 +21,9 @@
 
 
 @contextlib.contextmanager
-def keep_logs(settings: Settings, stream: TextIO | None = None) -> Iterator[None]:
+def configure_logging(
+    settings: Settings, stream: TextIO | None = None
+) -> Iterator[None]:
     """Send the package's logs to `stream` as JSON for the length of the context.
 
     Parameters
--- a/plantainyard/multiplexer.py
+++ b/plantainyard/multiplexer.py
@@ -23,7 +23,7 @@
 from plantainyard.clock import read_clock
 from plantainyard.connections import Call, Connection
 from plantainyard.errors import CallError, ErrorKind
-from plantainyard.transport import DEFAULT_BODY_LIMIT, HttpAnswer
+from plantainyard.transport import DEFAULT_BODY_LIMIT, HttpResponse
 
 _logger = logging.getLogger(__name__)
 
@@ -31,15 +31,15 @@
 
 RECEIVE_BYTES = 64 * 1024
 
-IDLE_PER_ADDRESS = 6
+MAX_IDLE_PER_ADDRESS = 6
 """Connections kept to each peer: one waits for ends, the others carry orders; a new
 connection costs more than one that is kept."""
 
-IDLE_S = 60.0
+IDLE_TIMEOUT_S = 60.0
 """Time after which a connection that carried no call is closed: a runner that is lost
 without a word leaves its connections open for good."""
 
-SWEEP_EVERY_S = 10.0
+SWEEP_INTERVAL_S = 10.0
 """Time between looks for such connections."""
 
 
@@ -58,7 +58,7 @@
     for the peer's silence.
     """
 
-    def __init__(self, idle: int = IDLE_PER_ADDRESS) -> None:
+    def __init__(self, idle: int = MAX_IDLE_PER_ADDRESS) -> None:
         self._most_idle = idle
         self._new: deque[Call] = deque()
         self._idle: dict[str, list[Connection]] = defaultdict(list)
@@ -75,7 +75,7 @@
         self._selector.register(self._woken, selectors.EVENT_READ)
 
     def send(self, call: Call) -> None:
-        """Send a request; `call.answered` is told what came of it."""
+        """Send a request; `call.on_result` is told what came of it."""
         self._new.append(call)
         if self._closing:
             self._refuse_new()
@@ -88,9 +88,11 @@
 
     def call(
         self, step: str, peer: str, address: str, data: bytes, timeout_s: float
-    ) -> Result[HttpAnswer, CallError]:
+    ) -> Result[HttpResponse, CallError]:
         """Send a request and wait for what comes of it; see `Call`."""
-        answers: queue.SimpleQueue[Result[HttpAnswer, CallError]] = queue.SimpleQueue()
+        answers: queue.SimpleQueue[Result[HttpResponse, CallError]] = (
+            queue.SimpleQueue()
+        )
         self.send(Call(step, peer, address, data, timeout_s, answers.put))
         return answers.get()
 
@@ -131,9 +133,9 @@
             while self._new:
                 self._begin(self._new.popleft())
             self._expire(asked_at)
-            if asked_at - self._swept_at > SWEEP_EVERY_S:
+            if asked_at - self._swept_at > SWEEP_INTERVAL_S:
                 self._swept_at = asked_at
-                self._sweep(asked_at - IDLE_S)
+                self._sweep(asked_at - IDLE_TIMEOUT_S)
 
     def _wait(self) -> list[tuple[selectors.SelectorKey, int]]:
         # Set before the look at what is new: whoever adds a call after it wakes this.
@@ -250,7 +252,7 @@
 
     def _finish(self, connection: Connection, call: Call) -> None:
         status = connection.parser.get_status_code()
-        answer = HttpAnswer(status, {}, b"".join(connection.chunks))
+        answer = HttpResponse(status, {}, b"".join(connection.chunks))
         connection.call = None
         idle = self._idle[connection.address]
         if connection.lasting and len(idle) < self._most_idle:
@@ -301,9 +303,9 @@
     return CallError(kind, call.step, call.peer, detail)
 
 
-def _tell(call: Call, answer: Result[HttpAnswer, CallError]) -> None:
+def _tell(call: Call, answer: Result[HttpResponse, CallError]) -> None:
     """Tell what came of a call; a fault of the teller's must not end the others."""
     try:
-        call.answered(answer)
+        call.on_result(answer)
     except Exception:
         _logger.exception("a function that took an answer to %s failed", call.step)
--- a/plantainyard/platform/bodies.py
+++ b/plantainyard/platform/bodies.py
@@ -3,7 +3,7 @@
 import json
 from typing import Any
 
-from plantainyard.transport import HttpAnswer
+from plantainyard.transport import HttpResponse
 
 __all__ = ["encode_body", "read_object"]
 
@@ -19,7 +19,7 @@
     return json.dumps(data, separators=(",", ":")).encode()
 
 
-def read_object(answer: HttpAnswer) -> dict[str, Any]:
+def read_object(answer: HttpResponse) -> dict[str, Any]:
     """Return the object in an answer's body, empty where there is none.
 
     Notes
--- a/plantainyard/platform/runners.py
+++ b/plantainyard/platform/runners.py
@@ -8,11 +8,11 @@
 
 from plantainyard.batch.tasks import TaskKey
 from plantainyard.clock import read_clock
-from plantainyard.connections import Answered, Call, build_request
+from plantainyard.connections import Call, ResultCallback, build_request
 from plantainyard.errors import CallError, ErrorKind
 from plantainyard.multiplexer import Multiplexer
 from plantainyard.platform.bodies import encode_body, read_object
-from plantainyard.transport import HttpAnswer, Observer, ignore_call, name_result
+from plantainyard.transport import HttpResponse, Observer, classify_result, ignore_call
 
 __all__ = [
     "Held",
@@ -105,7 +105,7 @@
 
 _ERROR_KINDS = {
     OrderOutcome.FENCED: ErrorKind.CONFLICT,
-    OrderOutcome.OTHER_LIFE: ErrorKind.OTHER_LIFE,
+    OrderOutcome.OTHER_LIFE: ErrorKind.OTHER_INCARNATION,
     OrderOutcome.UNKNOWN: ErrorKind.LOST,
 }
 
@@ -282,7 +282,7 @@
         if wait_s:
             body["waitMs"] = round(wait_s * 1000)
 
-        def take(answer: Result[HttpAnswer, CallError]) -> None:
+        def take(answer: Result[HttpResponse, CallError]) -> None:
             answered(answer.and_then(lambda found: decode_held(found, order)))
 
         self._call("hold", order, body, timeout_s + wait_s, take)
@@ -299,7 +299,7 @@
         timeout_s: float,
         answered: OrderAnswer,
     ) -> None:
-        def take(answer: Result[HttpAnswer, CallError]) -> None:
+        def take(answer: Result[HttpResponse, CallError]) -> None:
             if isinstance(answer, Err):
                 detail = answer.err_value.detail
                 answered(OrderResult(OrderOutcome.UNKNOWN, None, detail))
@@ -314,13 +314,13 @@
         order: Order,
         body: dict[str, Any],
         timeout_s: float,
-        answered: Answered,
+        answered: ResultCallback,
     ) -> None:
         step = f"runner.{name}"
         began = read_clock()
 
-        def take(answer: Result[HttpAnswer, CallError]) -> None:
-            self.observe(step, name_result(answer), read_clock() - began)
+        def take(answer: Result[HttpResponse, CallError]) -> None:
+            self.observe(step, classify_result(answer), read_clock() - began)
             answered(answer)
 
         headers = {
@@ -339,7 +339,7 @@
     return RunnerCalls(Multiplexer(), observe)
 
 
-def decode_result(answer: HttpAnswer) -> OrderResult:
+def decode_result(answer: HttpResponse) -> OrderResult:
     data = read_object(answer)
     clock = data.get("clockMs")
     clock_ms = clock if isinstance(clock, int) else None
@@ -356,7 +356,7 @@
     return OrderResult(OrderOutcome.UNKNOWN, clock_ms, detail)
 
 
-def decode_held(answer: HttpAnswer, order: Order) -> Result[Held, CallError]:
+def decode_held(answer: HttpResponse, order: Order) -> Result[Held, CallError]:
     """Return a runner's report, or why there is none.
 
     Notes
--- a/plantainyard/platform/store.py
+++ b/plantainyard/platform/store.py
@@ -13,7 +13,7 @@
 from plantainyard.errors import CallError, ErrorKind
 from plantainyard.multiplexer import Multiplexer
 from plantainyard.platform.bodies import encode_body, read_object
-from plantainyard.transport import HttpAnswer, Observer, ignore_call, name_result
+from plantainyard.transport import HttpResponse, Observer, classify_result, ignore_call
 
 __all__ = [
     "Append",
@@ -256,7 +256,7 @@
         query: dict[str, Any],
         body: bytes | None,
         timeout_s: float,
-    ) -> Result[HttpAnswer, CallError]:
+    ) -> Result[HttpResponse, CallError]:
         path = f"/v1/{name}"
         if query:
             path += "?" + urlencode(query, quote_via=quote)
@@ -265,7 +265,7 @@
         data = build_request(method, path, self.address, headers, body)
         began = read_clock()
         answer = self.multiplexer.call(step, "store", self.address, data, timeout_s)
-        self.observe(step, name_result(answer), read_clock() - began)
+        self.observe(step, classify_result(answer), read_clock() - began)
         return answer
 
     def close(self) -> None:
@@ -298,7 +298,7 @@
         return None
 
 
-def _decode_appended(answer: HttpAnswer) -> Result[Appended, CallError]:
+def _decode_appended(answer: HttpResponse) -> Result[Appended, CallError]:
     if answer.status == 200:
         return Ok(Appended(True, False, int(read_object(answer).get("end", 0))))
     if answer.status == 409 and read_object(answer).get("reason") in ("fenced", "seq"):
@@ -308,7 +308,7 @@
     return Err(_judge(answer, "store.append"))
 
 
-def _decode_slice(answer: HttpAnswer, offset: int) -> Result[Slice, CallError]:
+def _decode_slice(answer: HttpResponse, offset: int) -> Result[Slice, CallError]:
     if answer.status == GONE:
         return Ok(Slice([], offset, 0, dropped=True))
     if answer.status != 200 or len(answer.body) < HEADER.size:
@@ -334,7 +334,7 @@
     return raw
 
 
-def _decode_page(answer: HttpAnswer) -> Result[Page, CallError]:
+def _decode_page(answer: HttpResponse) -> Result[Page, CallError]:
     if answer.status != 200:
         return Err(_judge(answer, "store.newest"))
     data = read_object(answer)
@@ -352,7 +352,7 @@
     return base64.b64decode(item.get("value") or "")
 
 
-def _decode_membership(answer: HttpAnswer) -> Result[Membership, CallError]:
+def _decode_membership(answer: HttpResponse) -> Result[Membership, CallError]:
     if answer.status != 200:
         return Err(_judge(answer, "store.join"))
     data = read_object(answer)
@@ -364,7 +364,7 @@
         return Err(CallError(ErrorKind.MALFORMED, "store.join", "store", detail))
 
 
-def _decode_holdings(answer: HttpAnswer) -> Result[list[Holding], CallError]:
+def _decode_holdings(answer: HttpResponse) -> Result[list[Holding], CallError]:
     if answer.status != 200:
         return Err(_judge(answer, "store.owners"))
     try:
@@ -379,11 +379,11 @@
         return Err(CallError(ErrorKind.MALFORMED, "store.owners", "store", detail))
 
 
-def _expect_ok(answer: HttpAnswer) -> Result[None, CallError]:
+def _expect_ok(answer: HttpResponse) -> Result[None, CallError]:
     return Ok(None) if answer.status == 200 else Err(_judge(answer, "store.leave"))
 
 
-def _judge(answer: HttpAnswer, step: str) -> CallError:
+def _judge(answer: HttpResponse, step: str) -> CallError:
     refused = 400 <= answer.status < 500 or answer.status == 503
     kind = ErrorKind.REFUSED if refused else ErrorKind.LOST
     text = answer.body[:200].decode(errors="replace")
--- a/plantainyard/platform/tests/test_decoding.py
+++ b/plantainyard/platform/tests/test_decoding.py
@@ -14,7 +14,7 @@
 from plantainyard.platform.settings import parse_instance_settings
 from plantainyard.platform.store import Record, _pack_record, _unpack_record
 from plantainyard.platform.submissions import decode_body
-from plantainyard.transport import HttpAnswer
+from plantainyard.transport import HttpResponse
 
 SETTINGS = """\
 node = "edge-1"
@@ -166,7 +166,7 @@
     [
         (409, "fence", ErrorKind.CONFLICT),
         (409, "late", ErrorKind.REFUSED),
-        (421, "", ErrorKind.OTHER_LIFE),
+        (421, "", ErrorKind.OTHER_INCARNATION),
         (503, "", ErrorKind.REFUSED),
         (500, "", ErrorKind.LOST),
     ],
@@ -178,5 +178,5 @@
     # token that it holds. Taken for a successor's, the owner of the unit gives it up.
     order = Order("r0", 1, "a:1", parse_task("a.0.0.0"), 0, 7)
     body = json.dumps({"reason": reason, "fence": 7, "clockMs": 5}).encode()
-    error = decode_held(HttpAnswer(status, {}, body), order).unwrap_err()
+    error = decode_held(HttpResponse(status, {}, body), order).unwrap_err()
     assert error.kind == kind
--- a/plantainyard/presence.py
+++ b/plantainyard/presence.py
@@ -46,7 +46,13 @@
 )
 from plantainyard.settings import Settings
 
-__all__ = ["OwnState", "ask_credits", "gather_own", "make_heartbeat", "tell_gateway"]
+__all__ = [
+    "LocalState",
+    "request_credits",
+    "refresh_local_state",
+    "build_heartbeat",
+    "update_gateway",
+]
 
 _QUERY_S = 5.0
 _ASK_TIMEOUT_S = 2.0
@@ -56,7 +62,7 @@
 _logger = logging.getLogger(__name__)
 
 
-class OwnState:
+class LocalState:
     """What this process last knew of itself, for its heartbeats.
 
     It is gathered by a thread of its own: a heartbeat that waited for a busy actor
@@ -78,7 +84,7 @@
         self.untils: dict[str, float] = {}
 
 
-def make_heartbeat(own: OwnState, sequence: int) -> Heartbeat:
+def build_heartbeat(own: LocalState, sequence: int) -> Heartbeat:
     """Return this process's word about itself."""
     instance, config = own.settings.instance, own.config
     return Heartbeat(
@@ -99,7 +105,7 @@
     )
 
 
-def gather_own(own: OwnState, node: Node) -> None:
+def refresh_local_state(own: LocalState, node: Node) -> None:
     """Ask the actors for what the next heartbeats say."""
     own.epochs = ask_actor(node.domain, Query(count_epochs))
     own.untils = ask_actor(node.domain, Query(find_untils))
@@ -110,7 +116,7 @@
     own.draining = ask_actor(node.domain, Query(lambda actor, _: actor.node.stopping))
 
 
-def tell_gateway(own: OwnState, node: Node) -> None:
+def update_gateway(own: LocalState, node: Node) -> None:
     """Tell the gateway and the streams who lives, owns and relays."""
     views: tuple[PeerView, ...] = ask_actor(node.peers, Query(read_peers))
     live = [view for view in views if view.is_live and view.heartbeat is not None]
@@ -154,7 +160,7 @@
     return Peer(view.instance, view.domain, view.region, view.address, room)
 
 
-def _watch_racks(own: OwnState, node: Node, owners: dict[str, Owner]) -> None:
+def _watch_racks(own: LocalState, node: Node, owners: dict[str, Owner]) -> None:
     """Begin the histories of request ids anew when the set of racks changes.
 
     Notes
@@ -173,7 +179,7 @@
 
 
 def _find_owners(
-    own: OwnState, live: list[PeerView], instances: tuple[Instance, ...]
+    own: LocalState, live: list[PeerView], instances: tuple[Instance, ...]
 ) -> dict[str, Owner]:
     """Return the owner of each rack that is listed, with an empty name for none.
 
@@ -204,7 +210,7 @@
     return {rack: owner for rack, (_, owner) in found.items()}
 
 
-def ask_credits(own: OwnState, action: AskCredits) -> None:
+def request_credits(own: LocalState, action: AskCredits) -> None:
     """Ask a rack's owner for credits and hand its answer to the gateway."""
     node = own.node
     if node is None:
--- a/plantainyard/process.py
+++ b/plantainyard/process.py
@@ -59,11 +59,11 @@
     tell_status,
 )
 from plantainyard.presence import (
-    OwnState,
-    ask_credits,
-    gather_own,
-    make_heartbeat,
-    tell_gateway,
+    LocalState,
+    build_heartbeat,
+    refresh_local_state,
+    request_credits,
+    update_gateway,
 )
 from plantainyard.protocol import (
     RECORDS_PATH,
@@ -130,7 +130,7 @@
     Process
         Once both servers listen; it is ready only when `find_waits` is empty.
     """
-    own = OwnState(settings, f"{settings.instance.id}.{uuid.uuid4().hex[:8]}")
+    own = LocalState(settings, f"{settings.instance.id}.{uuid.uuid4().hex[:8]}")
     with contextlib.ExitStack() as stack:
         meter = create_meter(settings.metrics)
         pool = build_pool(_POOLS, _CALL_THREADS)
@@ -144,7 +144,7 @@
             run_gateway(
                 settings,
                 own.name,
-                lambda ask: threads.peers.submit(ask_credits, own, ask),
+                lambda ask: threads.peers.submit(request_credits, own, ask),
             )
         )
         node = _start_actors(stack, own, meter, pool, threads, gateway)
@@ -186,7 +186,7 @@
 
 def _start_actors(
     stack: contextlib.ExitStack,
-    own: OwnState,
+    own: LocalState,
     meter: Meter,
     pool: urllib3.PoolManager,
     threads: _Threads,
@@ -239,7 +239,7 @@
         rng,
         pool,
         threads.peers,
-        lambda sequence: make_heartbeat(own, sequence),
+        lambda sequence: build_heartbeat(own, sequence),
         publish,
     )
     return Node(
@@ -305,12 +305,12 @@
 
 
 @contextlib.contextmanager
-def _serve_control(own: OwnState, node: Node) -> Iterator[str]:
+def _serve_control(own: LocalState, node: Node) -> Iterator[str]:
     settings = node.settings
 
     def hear(heartbeat: Heartbeat) -> Heartbeat:
         node.peers.tell(HeartbeatHeard(heartbeat))
-        return make_heartbeat(own, 0)
+        return build_heartbeat(own, 0)
 
     def lend(ask: CreditAsk) -> Message:
         return cast(Message, ask_actor(node.lender, ask))
@@ -352,7 +352,7 @@
     return RecordsAsk(message.stream, message.next)
 
 
-def _run_ticks(stack: contextlib.ExitStack, own: OwnState, node: Node) -> None:
+def _run_ticks(stack: contextlib.ExitStack, own: LocalState, node: Node) -> None:
     intervals = node.settings.intervals
 
     def tick() -> None:
@@ -360,8 +360,8 @@
             ref.tell(Tick())
 
     def gather() -> None:
-        gather_own(own, node)
-        tell_gateway(own, node)
+        refresh_local_state(own, node)
+        update_gateway(own, node)
 
     stack.enter_context(run_every("ticks", intervals.tick_s, tick))
     stack.enter_context(run_every("own", intervals.heartbeat_s / 2, gather))
--- a/plantainyard/serving.py
+++ b/plantainyard/serving.py
@@ -11,9 +11,9 @@
 
 from plantainyard.clock import read_clock
 
-__all__ = ["LOOP_NAME", "serve_app"]
+__all__ = ["LOOP_THREAD_NAME", "serve_app"]
 
-LOOP_NAME = "http-loop"
+LOOP_THREAD_NAME = "http-loop"
 """Name of the thread that reads and writes for a server."""
 
 IDLE_TIMEOUT_S = 30
@@ -91,7 +91,7 @@
     stopping = threading.Event()
     arguments = (server, sockets, stopping, flush_s)
     thread = threading.Thread(
-        target=_run_loop, args=arguments, daemon=True, name=LOOP_NAME
+        target=_run_loop, args=arguments, daemon=True, name=LOOP_THREAD_NAME
     )
     thread.start()
     try:
--- a/plantainyard/tests/test_docs.py
+++ b/plantainyard/tests/test_docs.py
@@ -20,7 +20,7 @@
 from plantainyard.configuration import KEYS
 from plantainyard.metrics import METRICS
 from plantainyard.settings import RULES, Settings
-from plantainyard.transport import HttpAnswer
+from plantainyard.transport import HttpResponse
 
 ROOT = Path(__file__).parents[2]
 PAGES = sorted([*ROOT.glob("*.md"), *ROOT.glob("docs/**/*.md")])
@@ -109,7 +109,7 @@
         response = METHODS[method].response()
         if method == "DescribeJob":
             response.job.state = 3  # type: ignore[attr-defined]
-        return Ok(HttpAnswer(200, {}, response.SerializeToString()))
+        return Ok(HttpResponse(200, {}, response.SerializeToString()))
 
     world = World(
         {"PLANTAINYARD_ADDRESSES": "127.0.0.1:1", "PLANTAINYARD_TOKEN": "t" * 16},
--- a/plantainyard/tests/test_logs.py
+++ b/plantainyard/tests/test_logs.py
@@ -10,7 +10,7 @@
 from plantainyard.api import operators_pb2 as schema
 from plantainyard.api import record_process, record_status
 from plantainyard.errors import CallError, ErrorKind
-from plantainyard.logs import get_logger, keep_logs, log_call_error, log_step
+from plantainyard.logs import configure_logging, get_logger, log_call_error, log_step
 from plantainyard.metrics import (
     add_count,
     add_timing,
@@ -32,7 +32,7 @@
     token would stand in it.
     """
     stream = io.StringIO()
-    with keep_logs(parse_settings(MINIMAL, "x.toml").unwrap(), stream):
+    with configure_logging(parse_settings(MINIMAL, "x.toml").unwrap(), stream):
         logger = get_logger("test")
         log_step(logger, logging.INFO, "Bearer 0123456789abcdef", "log.read", rack="r1")
         log_call_error(logger, CallError(ErrorKind.LOST, "log.append", "p1"), "id-1")
@@ -57,7 +57,7 @@
     heard: list[logging.LogRecord] = []
     handler = logging.Handler()
     handler.emit = heard.append  # type: ignore[assignment]
-    with keep_logs(parse_settings(MINIMAL, "x.toml").unwrap(), io.StringIO()):
+    with configure_logging(parse_settings(MINIMAL, "x.toml").unwrap(), io.StringIO()):
         pass
     logging.getLogger().addHandler(handler)
     try:
--- a/plantainyard/tests/test_multiplexer.py
+++ b/plantainyard/tests/test_multiplexer.py
@@ -14,7 +14,7 @@
 from plantainyard.connections import Call, Connection, build_request
 from plantainyard.errors import CallError, ErrorKind
 from plantainyard.multiplexer import Multiplexer
-from plantainyard.transport import HttpAnswer
+from plantainyard.transport import HttpResponse
 
 PATIENCE_S = 10.0
 CALLS = 40
@@ -63,7 +63,7 @@
     def __init__(self, multiplexer: Multiplexer, address: str) -> None:
         self.multiplexer = multiplexer
         self.address = address
-        self.answers: queue.Queue[Result[HttpAnswer, CallError]] = queue.Queue()
+        self.answers: queue.Queue[Result[HttpResponse, CallError]] = queue.Queue()
         self.take: Callable[[Any], Any] = self.answers.put
 
     def send(self, timeout_s: float = PATIENCE_S) -> None:
@@ -72,7 +72,7 @@
             Call("hold", "r0", self.address, data, timeout_s, self.take)
         )
 
-    def call(self, timeout_s: float = PATIENCE_S) -> Result[HttpAnswer, CallError]:
+    def call(self, timeout_s: float = PATIENCE_S) -> Result[HttpResponse, CallError]:
         self.send(timeout_s)
         return self.answers.get(timeout=2 * PATIENCE_S)
 
@@ -275,8 +275,8 @@
 
 def test_connections_that_carry_nothing_are_closed(monkeypatch):
     # Guards against descriptors that run out as runners are lost without a word.
-    monkeypatch.setattr("plantainyard.multiplexer.IDLE_S", 0.05)
-    monkeypatch.setattr("plantainyard.multiplexer.SWEEP_EVERY_S", 0.0)
+    monkeypatch.setattr("plantainyard.multiplexer.IDLE_TIMEOUT_S", 0.05)
+    monkeypatch.setattr("plantainyard.multiplexer.SWEEP_INTERVAL_S", 0.0)
     ended = threading.Event()
 
     def handle(connection: socket.socket) -> None:
--- a/plantainyard/tests/test_serving.py
+++ b/plantainyard/tests/test_serving.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 from plantainyard import serving
-from plantainyard.serving import LOOP_NAME, serve_app
+from plantainyard.serving import LOOP_THREAD_NAME, serve_app
 
 BODY = b"x" * 8_000_000
 
@@ -45,7 +45,11 @@
     # against a stop that waits for the end of such a sleep.
     monkeypatch.setattr(serving, "LOOP_S", 3600.0)
     with serve_app(lambda *_: [], "127.0.0.1:0", 1, 10, 100):
-        loops = [thread for thread in threading.enumerate() if thread.name == LOOP_NAME]
+        loops = [
+            thread
+            for thread in threading.enumerate()
+            if thread.name == LOOP_THREAD_NAME
+        ]
         assert loops
         time.sleep(0.2)
         before = [count_wake_ups(thread) for thread in loops]
--- a/plantainyard/transport.py
+++ b/plantainyard/transport.py
@@ -28,16 +28,16 @@
 """Told of each call: its step, its result, and how long it took in seconds."""
 
 __all__ = [
-    "HttpAnswer",
+    "HttpResponse",
     "HttpPeer",
     "Observer",
-    "JsonAnswer",
+    "JsonResponse",
     "build_peer",
     "build_pool",
     "call_json",
-    "parse_answer",
+    "parse_response",
     "ignore_call",
-    "name_result",
+    "classify_result",
     "read_retry_after",
     "send_request",
 ]
@@ -79,7 +79,7 @@
     body_limit: int = DEFAULT_BODY_LIMIT
 
 
-class HttpAnswer(NamedTuple):
+class HttpResponse(NamedTuple):
     """A whole answer of whatever status."""
 
     status: int
@@ -87,7 +87,7 @@
     body: bytes
 
 
-class JsonAnswer(NamedTuple):
+class JsonResponse(NamedTuple):
     """An answer whose body was a JSON object."""
 
     status: int
@@ -122,7 +122,7 @@
     """Observe nothing."""
 
 
-def name_result(answer: Result[HttpAnswer, CallError]) -> str:
+def classify_result(answer: Result[HttpResponse, CallError]) -> str:
     """Return the hundred of an answer's status, or the kind of its error."""
     if isinstance(answer, Err):
         return answer.err_value.kind
@@ -137,8 +137,8 @@
     body: bytes | None = None,
     headers: Mapping[str, str] | None = None,
     timeout_s: float | None = None,
-    echoed: Mapping[str, str] | None = None,
-) -> Result[HttpAnswer, CallError]:
+    expected_headers: Mapping[str, str] | None = None,
+) -> Result[HttpResponse, CallError]:
     """Send one request once and return its whole answer.
 
     Parameters
@@ -155,12 +155,12 @@
         The request's headers.
     timeout_s : float, optional
         Longest wait for the whole answer; the peer's own by default.
-    echoed : mapping, optional
+    expected_headers : mapping, optional
         Headers that the answer must repeat.
 
     Returns
     -------
-    Result[HttpAnswer, CallError]
+    Result[HttpResponse, CallError]
         ``UNREACHABLE`` where no connection was made, ``MALFORMED`` where the answer
         is too long or not for this request, ``LOST`` for any other failure.
     """
@@ -185,7 +185,7 @@
         return Err(CallError(ErrorKind.UNREACHABLE, step, peer.address, str(error)))
     except (HTTPError, OSError) as error:
         return Err(CallError(ErrorKind.LOST, step, peer.address, _describe(error)))
-    return _read_answer(peer, step, response, deadline, echoed or {})
+    return _read_answer(peer, step, response, deadline, expected_headers or {})
 
 
 @lru_cache(maxsize=PARSED_ADDRESSES)
@@ -209,7 +209,7 @@
     headers: Mapping[str, str] | None = None,
     timeout_s: float | None = None,
     accepted: frozenset[int] = frozenset(),
-) -> Result[JsonAnswer, CallError]:
+) -> Result[JsonResponse, CallError]:
     """Send a JSON object and return the JSON object of the answer.
 
     Parameters
@@ -223,8 +223,8 @@
 
     Returns
     -------
-    Result[JsonAnswer, CallError]
-        See `parse_answer` for the errors by status.
+    Result[JsonResponse, CallError]
+        See `parse_response` for the errors by status.
     """
     sent = {**(headers or {})}
     data = None
@@ -234,20 +234,20 @@
     answer = send_request(peer, step, method, path, data, sent, timeout_s)
     if isinstance(answer, Err):
         return answer
-    return parse_answer(peer, step, answer.ok_value, accepted)
+    return parse_response(peer, step, answer.ok_value, accepted)
 
 
-def parse_answer(
+def parse_response(
     peer: HttpPeer,
     step: str,
-    answer: HttpAnswer,
+    answer: HttpResponse,
     accepted: frozenset[int] = frozenset(),
-) -> Result[JsonAnswer, CallError]:
+) -> Result[JsonResponse, CallError]:
     """Return the JSON object of `answer`, or the error that its status stands for.
 
     Returns
     -------
-    Result[JsonAnswer, CallError]
+    Result[JsonResponse, CallError]
         409 and 410 are ``CONFLICT``; 429, 503 and other 4xx are ``REFUSED``; any
         other status is ``LOST``, since the peer may have acted before it failed; a
         body that is no JSON object is ``MALFORMED``.
@@ -260,10 +260,10 @@
         return Err(CallError(ErrorKind.MALFORMED, step, peer.address, str(error)))
     if not isinstance(body, dict):
         return Err(CallError(ErrorKind.MALFORMED, step, peer.address, "no JSON object"))
-    return Ok(JsonAnswer(answer.status, body))
+    return Ok(JsonResponse(answer.status, body))
 
 
-def _judge_status(peer: HttpPeer, step: str, answer: HttpAnswer) -> CallError:
+def _judge_status(peer: HttpPeer, step: str, answer: HttpResponse) -> CallError:
     status = answer.status
     if status in (CONFLICT, GONE):
         kind = ErrorKind.CONFLICT
@@ -276,7 +276,7 @@
     return CallError(kind, step, peer.address, detail, read_retry_after(answer))
 
 
-def read_retry_after(answer: HttpAnswer) -> float:
+def read_retry_after(answer: HttpResponse) -> float:
     """Return the seconds that the answer's ``Retry-After`` names, else zero."""
     try:
         return max(0.0, float(answer.headers.get("Retry-After", "0")))
@@ -289,12 +289,12 @@
     step: str,
     response: BaseHTTPResponse,
     deadline: float,
-    echoed: Mapping[str, str],
-) -> Result[HttpAnswer, CallError]:
+    expected_headers: Mapping[str, str],
+) -> Result[HttpResponse, CallError]:
     # An answer that is late, cut short, too long or meant for another request leaves
     # its connection out of step: the next request on it would read the rest of this
     # answer. Such a connection is closed here, before it can return to the pool.
-    strange = [k for k, v in echoed.items() if response.headers.get(k) != v]
+    strange = [k for k, v in expected_headers.items() if response.headers.get(k) != v]
     if strange:
         response.close()
         detail = f"answer to another request ({', '.join(strange)})"
@@ -309,7 +309,7 @@
         detail = f"answer is longer than {peer.body_limit} bytes"
         return Err(CallError(ErrorKind.MALFORMED, step, peer.address, detail))
     response.release_conn()
-    return Ok(HttpAnswer(response.status, response.headers, body))
+    return Ok(HttpResponse(response.status, response.headers, body))
 
 
 def _read_body(response: BaseHTTPResponse, deadline: float, limit: int) -> bytes:
--- a/standins/platform/samples.py
+++ b/standins/platform/samples.py
@@ -21,7 +21,7 @@
     format_task,
 )
 from plantainyard.platform.settings import InstanceSettings
-from plantainyard.transport import HttpAnswer
+from plantainyard.transport import HttpResponse
 from standins.platform.runner import RunnerState
 
 __all__ = [
@@ -155,6 +155,6 @@
 
 def _call(
     runner: RunnerState, name: str, body: dict[str, Any], now: float
-) -> HttpAnswer:
+) -> HttpResponse:
     status, answer = runner.call(name, body, now)
-    return HttpAnswer(status, {}, json.dumps(answer).encode())
+    return HttpResponse(status, {}, json.dumps(answer).encode())
