--- a/bench/dispatch/play.py
+++ b/bench/dispatch/play.py
@@ -276,13 +276,13 @@
 
 def _is_away(worker: Worker, born_ms: int) -> bool:
     condition = worker.condition
-    return condition.cut or condition.gone or worker.life != born_ms
+    return condition.cut or condition.gone or worker.incarnation != born_ms
 
 
 def _fail_hold(
     day: Day, action: SendHold, sent_at: float, generation: int, after_s: float
 ) -> None:
-    event = HoldFailed(action.entry.life, sent_at, "timeout")
+    event = HoldFailed(action.entry.incarnation, sent_at, "timeout")
     day.later(after_s, lambda: _tell(day, event, generation))
 
 
@@ -308,7 +308,7 @@
         _fail_hold(day, action, sent_at, generation, TIMEOUT_S)
         return
     held = workers.report(day.site, worker, day.now)
-    event = HoldAnswered(action.entry.life, held, sent_at)
+    event = HoldAnswered(action.entry.incarnation, held, sent_at)
     day.later(worker.delay_s, lambda: _tell(day, event, generation))
 
 
@@ -365,7 +365,7 @@
     clock_ms = round((day.now + after_s) * 1000) if known else None
     result = OrderResult(outcome, clock_ms)
     event = OrderAnswered(
-        action.kind, action.task, action.run, action.entry.life, result, day.now
+        action.kind, action.task, action.run, action.entry.incarnation, result, day.now
     )
     day.later(after_s, lambda: _tell(day, event, generation))
 
@@ -412,7 +412,9 @@
     for name in struck:
         old = day.workers[name]
         if old.condition.gone:
-            new = Worker(name, old.life + 1, old.cpu, old.memory, old.rack, old.delay_s)
+            new = Worker(
+                name, old.incarnation + 1, old.cpu, old.memory, old.rack, old.delay_s
+            )
             day.workers[name] = new
             _tell(day, EntryChanged(name, new.entry))
         old.condition = Condition()
--- a/bench/dispatch/site.py
+++ b/bench/dispatch/site.py
@@ -53,7 +53,7 @@
     """One life of a runner."""
 
     name: str
-    life: int
+    incarnation: int
     cpu: int
     memory: int
     rack: str
@@ -71,7 +71,7 @@
         """Return what the runner writes about itself."""
         return RunnerEntry(
             runner=self.name,
-            born_ms=self.life,
+            born_ms=self.incarnation,
             service=SERVICE,
             address="",
             domain="",
--- a/bench/dispatch/workers.py
+++ b/bench/dispatch/workers.py
@@ -293,7 +293,7 @@
         )
         for run in worker.runs.values()
     ]
-    return Held(round(at * 1000), worker.life, rows, list(worker.ends))
+    return Held(round(at * 1000), worker.incarnation, rows, list(worker.ends))
 
 
 def _find_percent(run: Run, at: float) -> int:
--- a/plantainyard/api/errors.py
+++ b/plantainyard/api/errors.py
@@ -48,7 +48,7 @@
     ErrorKind.UNREACHABLE: ErrorCode.REFUSED,
     ErrorKind.REFUSED: ErrorCode.REFUSED,
     ErrorKind.CONFLICT: ErrorCode.CONFLICT,
-    ErrorKind.OTHER_LIFE: ErrorCode.REFUSED,
+    ErrorKind.OTHER_INCARNATION: ErrorCode.REFUSED,
     ErrorKind.MALFORMED: ErrorCode.UNKNOWN,
     ErrorKind.LOST: ErrorCode.UNKNOWN,
 }
--- a/plantainyard/dispatch/bases.py
+++ b/plantainyard/dispatch/bases.py
@@ -41,7 +41,9 @@
 """Bounds of margins: tails of fifty targets and of an eighth of one."""
 
 
-def estimate_base(harms: Harms, task: TaskKey, life: str, now: float) -> Base | None:
+def estimate_base(
+    harms: Harms, task: TaskKey, incarnation: str, now: float
+) -> Base | None:
     """Return a task's base as its job's other tasks show it, or None.
 
     Parameters
@@ -50,7 +52,7 @@
         With the job's readings.
     task : TaskKey
         The task.
-    life : str
+    incarnation : str
         Its runner. Of what was read there only what was read without backfilling work
         counts: the rest rests on the weights that are to be learnt.
     now : float
@@ -60,7 +62,7 @@
     -----
     The median by weight, so that one task on a slow runner doesn't count.
     """
-    bases = sorted(_list_bases(harms, task, life, now))
+    bases = sorted(_list_bases(harms, task, incarnation, now))
     if not bases:
         return None
     total = sum(1 / base.variance for base in bases)
@@ -72,19 +74,21 @@
     return None
 
 
-def _list_bases(harms: Harms, task: TaskKey, life: str, now: float) -> Iterator[Base]:
+def _list_bases(
+    harms: Harms, task: TaskKey, incarnation: str, now: float
+) -> Iterator[Base]:
     for reading in harms.readings.get(task.job_id, {}).values():
         age_s = now - reading.at
-        if age_s > BASE_S or (reading.life == life and not reading.clean):
+        if age_s > BASE_S or (reading.incarnation == incarnation and not reading.clean):
             continue
-        if harms.slow_until.get(reading.life, 0.0) > now:
+        if harms.slow_until.get(reading.incarnation, 0.0) > now:
             continue
         drift = DRIFT * age_s * reading.base.value
         yield Base(reading.base.value, reading.base.variance + drift**2)
 
 
 def note_speed(
-    harms: Harms, life: str, margin: float, others: Base, now: float
+    harms: Harms, incarnation: str, margin: float, others: Base, now: float
 ) -> bool:
     """Take note of a runner that is slow by itself, and return whether it is.
 
@@ -95,7 +99,7 @@
     """
     slow = others.value > SLOW_RATIO * margin
     if slow:
-        harms.slow_until[life] = now + SLOW_S
+        harms.slow_until[incarnation] = now + SLOW_S
     return slow
 
 
--- a/plantainyard/dispatch/dispatcher.py
+++ b/plantainyard/dispatch/dispatcher.py
@@ -185,9 +185,9 @@
     """Return the life of the runner that may have more room after `event`."""
     match event:
         case HoldAnswered() | OrderAnswered():
-            return {event.life}
+            return {event.incarnation}
         case EntryChanged(entry=entry) if entry is not None:
-            return {entry.life}
+            return {entry.incarnation}
     return set()
 
 
@@ -271,10 +271,14 @@
         for job_id, submission in state.handing.items()
         if not submission.piece
     ]
-    seen = {life: r.seen for life, r in state.runners.items() if r.seen > r.stored_seen}
+    seen = {
+        incarnation: r.seen
+        for incarnation, r in state.runners.items()
+        if r.seen > r.stored_seen
+    }
     if not records:
-        for life, number in seen.items():
-            state.runners[life].stored_seen = number
+        for incarnation, number in seen.items():
+            state.runners[incarnation].stored_seen = number
         return
     records += _encode_begun(state)
     records += take_settled(state)
@@ -318,9 +322,9 @@
 
 def _take_commit(state: Dispatcher, now: float) -> None:
     state.commit_out = False
-    for life, number in state.committing_seen.items():
-        if life in state.runners:
-            runner = state.runners[life]
+    for incarnation, number in state.committing_seen.items():
+        if incarnation in state.runners:
+            runner = state.runners[incarnation]
             # Less was seen than is stored where a new life has answered meanwhile.
             runner.stored_seen = max(runner.stored_seen, min(number, runner.seen))
     for job_id in state.committing_ends:
@@ -343,7 +347,9 @@
 def _encode_step(item: StepRun) -> bytes:
     done = frozenset(t.key.number for t in item.tasks if t.phase == Phase.DONE)
     tasks = {
-        t.key.number: TaskProgress(t.run, t.life, t.failures, t.checkpoint, t.unit)
+        t.key.number: TaskProgress(
+            t.run, t.incarnation, t.failures, t.checkpoint, t.unit
+        )
         for t in item.tasks
         if t.phase != Phase.DONE and (t.run or t.unit is not None)
     }
--- a/plantainyard/dispatch/events.py
+++ b/plantainyard/dispatch/events.py
@@ -73,7 +73,7 @@
     kind: str
     task: TaskKey
     run: int
-    life: str
+    incarnation: str
     result: OrderResult
     sent_at: float
 
@@ -81,7 +81,7 @@
 class HoldAnswered(NamedTuple):
     """A runner has reported."""
 
-    life: str
+    incarnation: str
     held: Held
     sent_at: float
 
@@ -91,14 +91,14 @@
 
     Attributes
     ----------
-    other_life : bool
+    other_incarnation : bool
         The address answered for another life of the runner.
     """
 
-    life: str
+    incarnation: str
     sent_at: float
     detail: str
-    other_life: bool = False
+    other_incarnation: bool = False
 
 
 class Renewed(NamedTuple):
--- a/plantainyard/dispatch/harms.py
+++ b/plantainyard/dispatch/harms.py
@@ -45,7 +45,7 @@
     """What one report told of one task's base; `at` is the dispatcher's clock."""
 
     base: Base
-    life: str
+    incarnation: str
     at: float
     clean: bool
 
--- a/plantainyard/dispatch/interference.py
+++ b/plantainyard/dispatch/interference.py
@@ -85,8 +85,8 @@
     The cost is, for each serving task, a pass over its job's tasks and the square of
     the number of backfilling images.
     """
-    at, before = harms.last.get(sample.life, (now, Sample(sample.life)))
-    harms.last[sample.life] = (now, sample)
+    at, before = harms.last.get(sample.incarnation, (now, Sample(sample.incarnation)))
+    harms.last[sample.incarnation] = (now, sample)
     steady = is_steady(before, sample)
     idle = steady and _is_idle(sample)
     tails = {tail.task: tail.value for tail in before.tails}
@@ -95,7 +95,7 @@
         sharp = sharpen_tail(tail.value, tails.get(tail.task, tail.value), now - at)
         margin = min(MARGIN_CEILING, max(MARGIN_FLOOR, 1 / max(sharp, 1e-6)))
         own = _learn_margin(harms, tail, margin, sample, steady, now)
-        reading = Reading(own, sample.life, now, idle)
+        reading = Reading(own, sample.incarnation, now, idle)
         readings = harms.readings.setdefault(tail.task.job_id, {})
         readings[tail.task, False] = reading
         if idle:
@@ -112,12 +112,12 @@
     estimate = harms.estimates.setdefault(tail.image, Estimate())
     loads = sample.loads
     add_images(estimate, loads)
-    others = estimate_base(harms, tail.task, sample.life, now)
-    slow = harms.slow_until.get(sample.life, 0.0) > now
+    others = estimate_base(harms, tail.task, sample.incarnation, now)
+    slow = harms.slow_until.get(sample.incarnation, 0.0) > now
     if others is not None:
         idle = _is_idle(sample)
         if steady and idle:
-            slow |= note_speed(harms, sample.life, margin, others, now)
+            slow |= note_speed(harms, sample.incarnation, margin, others, now)
         elif not slow and not idle:
             _learn_weights(harms, tail, margin, sample, others, steady)
     own = _undo_pressure(estimate, loads, margin, steady)
--- a/plantainyard/dispatch/model.py
+++ b/plantainyard/dispatch/model.py
@@ -62,7 +62,7 @@
         One of `Phase`.
     run : int
         Highest run number assigned so far.
-    life : str
+    incarnation : str
         Life of the runner where that run is or may be; empty while none is out.
     settled_at : float or None
         When it was known that the run is at the runner, or will be refused there; None
@@ -100,7 +100,7 @@
     step: "StepRun"
     phase: str = Phase.WAITING
     run: int = 0
-    life: str = ""
+    incarnation: str = ""
     settled_at: float | None = None
     listed: bool = False
     next_order_at: float = 0.0
@@ -201,7 +201,7 @@
 
     Attributes
     ----------
-    life : str
+    incarnation : str
         Its name.
     entry : RunnerEntry or None
         None for a life that only a predecessor's records name.
@@ -258,7 +258,7 @@
         asked for since `loads` and `rooms` were measured.
     """
 
-    life: str
+    incarnation: str
     entry: RunnerEntry | None
     listed: bool = True
     tasks: dict[TaskKey, Task] = field(default_factory=dict)
--- a/plantainyard/dispatch/orders.py
+++ b/plantainyard/dispatch/orders.py
@@ -30,7 +30,7 @@
 
 def send_start(state: Dispatcher, task: Task, now: float) -> None:
     """Order an assigned run to start; its record is in the store."""
-    runner = state.runners.get(task.life)
+    runner = state.runners.get(task.incarnation)
     if runner is None or runner.entry is None or not runner.answering:
         release_task(state, task)
         return
@@ -47,7 +47,7 @@
 def send_stop(state: Dispatcher, task: Task, now: float) -> None:
     """Order a run to stop; its end will be listed."""
     task.phase = Phase.STOPPING
-    runner = state.runners.get(task.life)
+    runner = state.runners.get(task.incarnation)
     if runner is None or runner.entry is None:
         return
     _send(state, OrderKind.STOP, task, runner, now)
@@ -136,11 +136,11 @@
 
 def release_task(state: Dispatcher, task: Task) -> None:
     """Let a task wait again: its run is certainly nowhere."""
-    runner = state.runners.get(task.life)
+    runner = state.runners.get(task.incarnation)
     if runner is not None:
         release_room(runner, task)
     task.phase = Phase.WAITING
-    task.life = ""
+    task.incarnation = ""
     task.settled_at = None
     task.order_out = False
     task.percent = -1
--- a/plantainyard/dispatch/planning.py
+++ b/plantainyard/dispatch/planning.py
@@ -76,7 +76,7 @@
     """
     ready = [s for job in state.jobs.values() for s in _find_ready(job)]
     runners = list(state.runners.values())
-    changed = [runner for runner in runners if runner.life in state.changed]
+    changed = [runner for runner in runners if runner.incarnation in state.changed]
     search_all = state.search_all
     state.changed = set()
     state.search_all = False
@@ -319,8 +319,8 @@
     """Return the runners of the rack that the step has begun on, if it must be one."""
     if not step.spec.same_rack:
         return runners
-    out = {task.life for task in step.tasks if task.life}
-    racks = {_rack_of(runner) for runner in runners if runner.life in out}
+    out = {task.incarnation for task in step.tasks if task.incarnation}
+    racks = {_rack_of(runner) for runner in runners if runner.incarnation in out}
     if len(racks) != 1:
         return runners
     return [runner for runner in runners if _rack_of(runner) in racks]
@@ -335,7 +335,7 @@
 ) -> None:
     task.phase = Phase.STORING
     task.run = run
-    task.life = runner.life
+    task.incarnation = runner.incarnation
     task.waiting_since = 0.0
     task.step.waits_for = ""
     task.step.searched = False
--- a/plantainyard/dispatch/ranking.py
+++ b/plantainyard/dispatch/ranking.py
@@ -143,7 +143,7 @@
     runner; `refresh_places` then looks at that one only.
     """
     found = ((runner, _find_place(task, runner, harms, now)) for runner in runners)
-    return Ranked({runner.life: place for runner, place in found if place})
+    return Ranked({runner.incarnation: place for runner, place in found if place})
 
 
 def refresh_places(
@@ -153,9 +153,9 @@
     for runner in assigned[ranked.seen :]:
         place = _find_place(task, runner, harms, now)
         if place is None:
-            ranked.places.pop(runner.life, None)
+            ranked.places.pop(runner.incarnation, None)
         else:
-            ranked.places[runner.life] = place
+            ranked.places[runner.incarnation] = place
     ranked.seen = len(assigned)
 
 
--- a/plantainyard/dispatch/reports.py
+++ b/plantainyard/dispatch/reports.py
@@ -41,27 +41,29 @@
     state: Dispatcher, runner_id: str, entry: RunnerEntry | None, now: float
 ) -> None:
     """Take in a runner's entry, or that it has none any more."""
-    old = state.runners.get(state.lives.get(runner_id, ""))
+    old = state.runners.get(state.incarnations.get(runner_id, ""))
     if entry is None:
         if old is not None:
             old.listed = False
         return
-    runner = state.runners.get(entry.life)
+    runner = state.runners.get(entry.incarnation)
     if runner is None:
-        runner = Runner(entry.life, entry)
-        state.runners[entry.life] = runner
+        runner = Runner(entry.incarnation, entry)
+        state.runners[entry.incarnation] = runner
     runner.entry = entry
     runner.listed = True
     if entry.draining and not runner.leaves_at:
         stays_ms = DRAIN_MS if entry.leaves_in_ms is None else entry.leaves_in_ms
         runner.leaves_at = now + stays_ms / 1000
-    state.lives[runner_id] = entry.life
-    for life in [k for k in state.runners if k.startswith(f"{runner_id}@")]:
-        if life != entry.life:
-            _bury_life(state, state.runners[life], runner, now)
+    state.incarnations[runner_id] = entry.incarnation
+    for incarnation in [k for k in state.runners if k.startswith(f"{runner_id}@")]:
+        if incarnation != entry.incarnation:
+            _end_old_incarnation(state, state.runners[incarnation], runner, now)
 
 
-def _bury_life(state: Dispatcher, old: Runner, new: Runner, now: float) -> None:
+def _end_old_incarnation(
+    state: Dispatcher, old: Runner, new: Runner, now: float
+) -> None:
     """End a life of a runner that has started again.
 
     Notes
@@ -81,22 +83,22 @@
             continue
         release_room(old, task)
         task.settled_at = None
-        task.life = new.life
+        task.incarnation = new.incarnation
         take_room(new, task)
         orders.send_stop(state, task, now)
     new.lease_bound = max(new.lease_bound, old.lease_bound)
-    del state.runners[old.life]
+    del state.runners[old.incarnation]
 
 
 def take_report(state: Dispatcher, event: HoldAnswered, now: float) -> None:
     """Take in what runs and has ended at a runner."""
-    runner = state.runners.get(event.life)
+    runner = state.runners.get(event.incarnation)
     if runner is None or runner.entry is None:
         return
     runner.hold_out = False
     held = event.held
     if held.born_ms is not None and held.born_ms != runner.entry.born_ms:
-        _take_other_life(state, runner, now)
+        _await_new_entry(state, runner, now)
         return
     note_clock(runner, held.clock_ms, now)
     runner.answering = True
@@ -161,7 +163,7 @@
             runs.free_task(state, task)
 
 
-def _take_other_life(state: Dispatcher, runner: Runner, now: float) -> None:
+def _await_new_entry(state: Dispatcher, runner: Runner, now: float) -> None:
     """Wait for the entry of a new life that has answered in the place of the old one.
 
     Notes
@@ -184,12 +186,12 @@
     answered, a quarter of all runners would count as silent at any time. The report
     is asked for again at once, without a wait, and decides.
     """
-    runner = state.runners.get(event.life)
+    runner = state.runners.get(event.incarnation)
     if runner is None:
         return
     runner.hold_out = False
     runner.misses += 1
-    if runner.misses < SILENT_AFTER and not event.other_life:
+    if runner.misses < SILENT_AFTER and not event.other_incarnation:
         return
     runner.answering = False
     runner.hold_at = now + state.limits.hold_retry_s
@@ -208,7 +210,7 @@
             runner.bad = state.limits.quarantine_after / 2
         dead = runner.entry is None or not runner.listed
         if dead and not runner.tasks and not runner.hold_out:
-            del state.runners[runner.life]
+            del state.runners[runner.incarnation]
 
 
 def ask_runners(state: Dispatcher, now: float) -> None:
--- a/plantainyard/dispatch/restoring.py
+++ b/plantainyard/dispatch/restoring.py
@@ -124,16 +124,16 @@
         state.actions.append(make_forward(piece, unit, False))
 
 
-def _restore_run(state: Dispatcher, task: Task, life: str, now: float) -> None:
+def _restore_run(state: Dispatcher, task: Task, incarnation: str, now: float) -> None:
     task.phase = Phase.ORDERED
-    task.life = life
+    task.incarnation = incarnation
     task.settled_at = now
-    runner = state.runners.get(life)
+    runner = state.runners.get(incarnation)
     if runner is None:
-        runner = Runner(life, None)
+        runner = Runner(incarnation, None)
         limits = state.limits
         granted = limits.longest_lease_s * (1 + limits.clock_drift)
         runner.lease_bound = now + granted + limits.lease_slack_s
-        state.runners[life] = runner
-        state.lives[life.partition("@")[0]] = life
+        state.runners[incarnation] = runner
+        state.incarnations[incarnation.partition("@")[0]] = incarnation
     take_room(runner, task)
--- a/plantainyard/dispatch/runs.py
+++ b/plantainyard/dispatch/runs.py
@@ -29,13 +29,13 @@
 
 def take_answer(state: Dispatcher, event: OrderAnswered, now: float) -> None:
     """Take in what became of an order."""
-    runner = state.runners.get(event.life)
+    runner = state.runners.get(event.incarnation)
     if runner is None:
         return
     if event.result.clock_ms is not None:
         note_clock(runner, event.result.clock_ms, now)
     task = runner.tasks.get(event.task)
-    if task is None or task.run != event.run or task.life != event.life:
+    if task is None or task.run != event.run or task.incarnation != event.incarnation:
         return
     if event.kind == OrderKind.PACE:
         _take_pace_answer(task, event)
@@ -127,7 +127,7 @@
     lasting = task.step.spec.long_running
     if how == "done" and not lasting and not job.cancelled and not job.ended:
         runner.bad = 0.0
-        task.life = ""
+        task.incarnation = ""
         jobs.finish_task(state, task)
         return
     if how != "done":
--- a/plantainyard/dispatch/samples.py
+++ b/plantainyard/dispatch/samples.py
@@ -55,7 +55,7 @@
 
     Attributes
     ----------
-    life : str
+    incarnation : str
         The runner's life.
     tails : list of Tail
         Serving tasks at work.
@@ -64,14 +64,14 @@
         phase counts as the part that harms.
     """
 
-    life: str
+    incarnation: str
     tails: list[Tail] = field(default_factory=list)
     loads: dict[str, float] = field(default_factory=dict)
 
 
 def read_sample(runner: Runner, running: Iterable[HeldRun]) -> Sample:
     """Return what a report says about harm at the runner."""
-    sample = Sample(runner.life)
+    sample = Sample(runner.incarnation)
     assert runner.entry is not None
     cpu = max(1, runner.entry.capacity.cpu)
     for row in running:
--- a/plantainyard/dispatch/state.py
+++ b/plantainyard/dispatch/state.py
@@ -53,7 +53,7 @@
         passed over.
     runners : dict
         Lives of runners by name.
-    lives : dict
+    incarnations : dict
         Newest life by the runner's id.
     dirty : dict
         Steps whose stored progress is out of date, by their identity.
@@ -122,7 +122,7 @@
     jobs: dict[str, Job] = field(default_factory=dict)
     ended: dict[str, float] = field(default_factory=dict)
     runners: dict[str, Runner] = field(default_factory=dict)
-    lives: dict[str, str] = field(default_factory=dict)
+    incarnations: dict[str, str] = field(default_factory=dict)
     dirty: dict[int, StepRun] = field(default_factory=dict)
     begun: dict[int, StepRun] = field(default_factory=dict)
     ending: dict[str, str] = field(default_factory=dict)
--- a/plantainyard/dispatch/tests/test_fleet.py
+++ b/plantainyard/dispatch/tests/test_fleet.py
@@ -196,8 +196,8 @@
 
     def list_waiting(self) -> list[str]:
         """Return the submitted jobs that no runner has ever begun."""
-        lives = itertools.chain.from_iterable(self.fleet_runners)
-        started = {start[1] for runner in lives for start in runner.started}
+        incarnations = itertools.chain.from_iterable(self.fleet_runners)
+        started = {start[1] for runner in incarnations for start in runner.started}
         return [job for job in self.submitted if f"{job}.0.0.0" not in started]
 
     def count(self, queue: str) -> int:
--- a/plantainyard/dispatch/tests/test_interference.py
+++ b/plantainyard/dispatch/tests/test_interference.py
@@ -34,8 +34,8 @@
     return 0.2 * stretch / max(0.01, 1 - load * stretch)
 
 
-def make_sample(life: str, task: TaskKey, tail: float, **loads: float) -> Sample:
-    return Sample(life, [Tail(task, "web", tail)], loads)
+def make_sample(incarnation: str, task: TaskKey, tail: float, **loads: float) -> Sample:
+    return Sample(incarnation, [Tail(task, "web", tail)], loads)
 
 
 def teach(harms: Harms, reports: int, seed: int) -> None:
--- a/plantainyard/dispatch/tests/test_pacing.py
+++ b/plantainyard/dispatch/tests/test_pacing.py
@@ -26,9 +26,9 @@
 _reported: dict[str, tuple[float, float]] = {}
 
 
-def make_runner(life: str) -> Runner:
+def make_runner(incarnation: str) -> Runner:
     entry = RunnerEntry(
-        runner=life.partition("@")[0],
+        runner=incarnation.partition("@")[0],
         born_ms=1,
         service="tollgate",
         address="",
@@ -38,7 +38,7 @@
         capacity=Resources(CPU, 250_000, 0),
         labels=(),
     )
-    return Runner(life, entry, known=True, answering=True)
+    return Runner(incarnation, entry, known=True, answering=True)
 
 
 def put(runner: Runner, spec: Step, job_id: str = "") -> Task:
@@ -59,12 +59,12 @@
     return Step(1, Resources(7_000, 1, 0), image=image, backfill=True)
 
 
-def smooth(life: str, tail_ms: float, now: float) -> float:
+def smooth(incarnation: str, tail_ms: float, now: float) -> float:
     """Return the tail as runners report it: smoothed over less than half a second."""
-    at, before = _reported.get(life, (now, tail_ms))
+    at, before = _reported.get(incarnation, (now, tail_ms))
     kept = math.exp(-max(0.0, now - at) / SMOOTHING_S) if now >= at else 0.0
-    _reported[life] = (now, kept * before + (1 - kept) * tail_ms)
-    return _reported[life][1]
+    _reported[incarnation] = (now, kept * before + (1 - kept) * tail_ms)
+    return _reported[incarnation][1]
 
 
 def report(runner: Runner, now: float) -> list[HeldRun]:
@@ -78,7 +78,7 @@
         TRUE[runner.tasks[key].step.spec.image] * load / CPU
         for key, load in loads.items()
     )
-    tail_ms = smooth(runner.life, 50.0 * find_tail(swing(now), stretch), now)
+    tail_ms = smooth(runner.incarnation, 50.0 * find_tail(swing(now), stretch), now)
     return [
         HeldRun(key, 1, "", 100, loads.get(key, round(tail_ms))) for key in runner.tasks
     ]
--- a/plantainyard/dispatch/tests/test_takeovers.py
+++ b/plantainyard/dispatch/tests/test_takeovers.py
@@ -126,7 +126,7 @@
     assert world.ended("a") == "completed"
 
 
-def test_a_start_on_its_way_to_an_old_life_is_stopped_at_the_new_one():
+def test_a_start_on_its_way_to_an_old_incarnation_is_stopped_at_the_new_one():
     # A runner crashes and is back under its id while a start is on its way: the new
     # life carries it out. The task must not start elsewhere until that is ruled out.
     world = World(runners=2)
@@ -213,7 +213,7 @@
     assert len(world.at_work("a")) == 1
 
 
-def test_a_start_that_a_new_life_has_taken_is_stopped_there():
+def test_a_start_that_a_new_incarnation_has_taken_is_stopped_there():
     # A runner has just started again under its id, which nobody has read yet. A start
     # that was meant for its old life is answered by the new one. Then the new entry is
     # read, the old life's tasks count as gone, and the task was started elsewhere too.
@@ -306,7 +306,7 @@
     assert world.ended("a") == "completed"
 
 
-def test_a_new_life_must_answer_the_stop_before_its_report_counts():
+def test_a_new_incarnation_must_answer_the_stop_before_its_report_counts():
     # Guards against two runs of one task: the second copy of its start was answered by
     # the old life, the first is still on its way, and so is the stop at the new life.
     # A report of the new life shows no run, and the first copy would be carried out.
@@ -330,7 +330,7 @@
     assert world.ended("a") == "completed"
 
 
-def test_ends_at_a_new_life_that_nobody_has_read_of_are_not_forgotten():
+def test_ends_at_a_new_incarnation_that_nobody_has_read_of_are_not_forgotten():
     # Guards against a task that is done twice: its start came to a new life whose entry
     # isn't read yet, it was done there, and reports meant for the old life told the
     # runner to forget as many ends as the old life had listed.
--- a/plantainyard/dispatch/tests/world.py
+++ b/plantainyard/dispatch/tests/world.py
@@ -191,9 +191,9 @@
             if self.lose_answers > 0:
                 self.lose_answers -= 1
                 result = lost
-        life = action.entry.life
+        incarnation = action.entry.incarnation
         answer = OrderAnswered(
-            action.kind, action.task, action.run, life, result, self.now
+            action.kind, action.task, action.run, incarnation, result, self.now
         )
         if self.slow:
             self.answers.append(answer)
@@ -251,13 +251,13 @@
         return self.now < sent_at + action.wait_s
 
     def hold(self, action: SendHold, sent_at: float) -> HoldAnswered | HoldFailed:
-        life, name = action.entry.life, action.entry.runner
+        incarnation, name = action.entry.incarnation, action.entry.runner
         if name in self.cut:
-            return HoldFailed(life, sent_at, "no answer")
+            return HoldFailed(incarnation, sent_at, "no answer")
         found = hold_runner(self.runners[name], action, self.fence, self.now)
         if isinstance(found, Err):
-            return HoldFailed(life, sent_at, found.err_value.detail)
-        return HoldAnswered(life, found.ok_value, sent_at)
+            return HoldFailed(incarnation, sent_at, found.err_value.detail)
+        return HoldAnswered(incarnation, found.ok_value, sent_at)
 
     def starts(self, job_id: str) -> list[tuple[float, str, int]]:
         """Return every run of a job that began anywhere, in order."""
--- a/plantainyard/entry/directory.py
+++ b/plantainyard/entry/directory.py
@@ -48,7 +48,7 @@
         self.entries[runner] = entry
         self.log.write(
             "runner_changed",
-            runner=entry.life,
+            runner=entry.incarnation,
             draining=entry.draining,
             address=entry.address,
         )
--- a/plantainyard/entry/inspection.py
+++ b/plantainyard/entry/inspection.py
@@ -80,7 +80,7 @@
         "task": task.key[1:],
         "phase": task.phase,
         "run": task.run,
-        "runner": task.life,
+        "runner": task.incarnation,
         "waits_s": round(waits_s, 3),
         "failures": task.failures,
         "percent": task.percent,
--- a/plantainyard/entry/unit.py
+++ b/plantainyard/entry/unit.py
@@ -167,7 +167,7 @@
             job=message.task.job_id,
             task=message.task[1:],
             run=message.run,
-            runner=message.life,
+            runner=message.incarnation,
             waited_s=round(now - job.taken_at, 3),
         )
 
@@ -177,7 +177,7 @@
         note_begun(self.world.replica, action.job_id)
 
     def _log_ends(self, message: HoldAnswered) -> None:
-        runner = self.dispatcher.runners.get(message.life)
+        runner = self.dispatcher.runners.get(message.incarnation)
         if runner is None:
             return
         for end in message.held.ended:
@@ -187,7 +187,7 @@
                     job=end.task.job_id,
                     task=end.task[1:],
                     run=end.run,
-                    runner=message.life,
+                    runner=message.incarnation,
                     how=end.how,
                 )
 
@@ -298,23 +298,23 @@
         order = _address(entry, self.world.epoch, lease=action.lease_until_ms)
 
         def take(answer: Result[Held, CallError]) -> None:
-            self._tell(self._judge_report(entry.life, answer, sent_at))
+            self._tell(self._judge_report(entry.incarnation, answer, sent_at))
 
         self.world.runners.hold(
             order, action.last_seen, action.wait_s, HOLD_TIMEOUT_S, take
         )
 
     def _judge_report(
-        self, life: str, answer: Result[Held, CallError], sent_at: float
+        self, incarnation: str, answer: Result[Held, CallError], sent_at: float
     ) -> HoldAnswered | HoldFailed:
         if isinstance(answer, Ok):
-            return HoldAnswered(life, answer.ok_value, sent_at)
+            return HoldAnswered(incarnation, answer.ok_value, sent_at)
         error = answer.err_value
         if error.kind == ErrorKind.CONFLICT:
             self.world.depose()
-        self.world.log.write("runner_silent", runner=life, why=error.detail)
-        other_life = error.kind == ErrorKind.OTHER_LIFE
-        return HoldFailed(life, sent_at, error.detail, other_life)
+        self.world.log.write("runner_silent", runner=incarnation, why=error.detail)
+        other_incarnation = error.kind == ErrorKind.OTHER_INCARNATION
+        return HoldFailed(incarnation, sent_at, error.detail, other_incarnation)
 
     def _order(self, action: SendOrder) -> None:
         sent_at = read_clock()
@@ -354,13 +354,15 @@
                 job=action.task.job_id,
                 task=action.task[1:],
                 run=action.run,
-                runner=action.entry.life,
+                runner=action.entry.incarnation,
                 outcome=result.outcome,
                 why=result.detail,
             )
-        life = action.entry.life
+        incarnation = action.entry.incarnation
         self._tell(
-            OrderAnswered(action.kind, action.task, action.run, life, result, sent_at)
+            OrderAnswered(
+                action.kind, action.task, action.run, incarnation, result, sent_at
+            )
         )
 
     def _tell(self, event: Any) -> None:
--- a/plantainyard/errors.py
+++ b/plantainyard/errors.py
@@ -21,7 +21,7 @@
         when to come back.
     ``CONFLICT``
         The peer holds a newer version, epoch or fencing token than the one sent.
-    ``OTHER_LIFE``
+    ``OTHER_INCARNATION``
         The process that was meant is gone; another one answered at its address.
     ``MALFORMED``
         The peer answered, but the answer can't be read or is not for this call.
@@ -32,7 +32,7 @@
     UNREACHABLE = "unreachable"
     REFUSED = "refused"
     CONFLICT = "conflict"
-    OTHER_LIFE = "other life"
+    OTHER_INCARNATION = "other life"
     MALFORMED = "malformed"
     LOST = "lost"
 
--- a/plantainyard/platform/entries.py
+++ b/plantainyard/platform/entries.py
@@ -46,7 +46,7 @@
     machine: str = ""
 
     @property
-    def life(self) -> str:
+    def incarnation(self) -> str:
         """Return the name of this life of the runner."""
         return f"{self.runner}@{self.born_ms}"
 
--- a/plantainyard/platform/runners.py
+++ b/plantainyard/platform/runners.py
@@ -80,7 +80,7 @@
         The runner refuses what doesn't fit.
     ``REFUSED``
         It did nothing, for another reason.
-    ``OTHER_LIFE``
+    ``OTHER_INCARNATION``
         The life that was meant is over.
     ``UNKNOWN``
         No answer: it may be carried out at once, seconds later, or never.
@@ -92,7 +92,7 @@
     LATE = "late"
     NO_ROOM = "no room"
     REFUSED = "refused"
-    OTHER_LIFE = "other life"
+    OTHER_INCARNATION = "other life"
     UNKNOWN = "unknown"
 
 
@@ -105,11 +105,11 @@
 
 _ERROR_KINDS = {
     OrderOutcome.FENCED: ErrorKind.CONFLICT,
-    OrderOutcome.OTHER_LIFE: ErrorKind.OTHER_LIFE,
+    OrderOutcome.OTHER_INCARNATION: ErrorKind.OTHER_INCARNATION,
     OrderOutcome.UNKNOWN: ErrorKind.LOST,
 }
 
-OTHER_LIFE = 421
+OTHER_INCARNATION = 421
 
 KEPT_TASKS = 8192
 """Parsed names of tasks that are kept: each is in one report after the other for as
@@ -349,8 +349,8 @@
     if answer.status == 409:
         outcome = _OUTCOMES.get(data.get("reason", ""), OrderOutcome.REFUSED)
         return OrderResult(outcome, clock_ms, detail)
-    if answer.status == OTHER_LIFE:
-        return OrderResult(OrderOutcome.OTHER_LIFE, None, detail)
+    if answer.status == OTHER_INCARNATION:
+        return OrderResult(OrderOutcome.OTHER_INCARNATION, None, detail)
     if 400 <= answer.status < 500 or answer.status == 503:
         return OrderResult(OrderOutcome.REFUSED, clock_ms, detail)
     return OrderResult(OrderOutcome.UNKNOWN, clock_ms, detail)
@@ -361,8 +361,8 @@
 
     Notes
     -----
-    ``CONFLICT`` means that the runner has seen a higher fencing token, ``OTHER_LIFE``
-    that the life that was meant is over.
+    ``CONFLICT`` means that the runner has seen a higher fencing token,
+    ``OTHER_INCARNATION`` that the incarnation that was meant is over.
     """
     step, peer = "runner.hold", order.runner
     if answer.status != 200:
--- a/plantainyard/platform/tests/test_decoding.py
+++ b/plantainyard/platform/tests/test_decoding.py
@@ -82,7 +82,7 @@
 def test_an_entry_is_decoded():
     entry = decode_entry("i-1", json.dumps(ENTRY).encode())
     assert entry is not None
-    assert entry.life == "i-1@1700000000000"
+    assert entry.incarnation == "i-1@1700000000000"
     assert entry.rack == "r1-3"
     assert entry.capacity == Resources(16000, 32768, 0)
     assert not entry.draining
@@ -166,7 +166,7 @@
     [
         (409, "fence", ErrorKind.CONFLICT),
         (409, "late", ErrorKind.REFUSED),
-        (421, "", ErrorKind.OTHER_LIFE),
+        (421, "", ErrorKind.OTHER_INCARNATION),
         (503, "", ErrorKind.REFUSED),
         (500, "", ErrorKind.LOST),
     ],
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -50,7 +50,7 @@
     if kind == FaultKind.CUT_RUNNER:
         name = site.runners[target].runner
         return lambda: site.cut(name, True), lambda: site.cut(name, False)
-    if kind == FaultKind.NEW_LIFE:
+    if kind == FaultKind.NEW_INCARNATION:
         return lambda: _restart_runner(site, target), _do_nothing
     return _make_store_fault(site, kind)
 
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -23,7 +23,7 @@
     ``STORE_DOWN``, ``LOSE_ANSWERS``, ``DROP_HISTORY``
         The store refuses everyone; does what it is asked and doesn't say so; forgets
         all but the newest record of each key.
-    ``NEW_LIFE``
+    ``NEW_INCARNATION``
         A runner starts again and knows nothing of before.
     """
 
@@ -35,7 +35,7 @@
     STORE_DOWN = "store down"
     LOSE_ANSWERS = "lose answers"
     DROP_HISTORY = "drop history"
-    NEW_LIFE = "new life"
+    NEW_INCARNATION = "new life"
 
     ALL = (
         KILL,
@@ -46,7 +46,7 @@
         STORE_DOWN,
         LOSE_ANSWERS,
         DROP_HISTORY,
-        NEW_LIFE,
+        NEW_INCARNATION,
     )
 
 
@@ -84,7 +84,7 @@
     at = source.uniform(*GAP_S)
     while at < seconds:
         kind = source.choice(FaultKind.ALL)
-        on_runner = kind in (FaultKind.CUT_RUNNER, FaultKind.NEW_LIFE)
+        on_runner = kind in (FaultKind.CUT_RUNNER, FaultKind.NEW_INCARNATION)
         target = source.randrange(runners if on_runner else instances)
         plan.append(Fault(at, kind, target, source.uniform(0.3, 4.0)))
         at += source.uniform(*GAP_S)
