--- a/plantainyard/api/checks.py
+++ b/plantainyard/api/checks.py
@@ -12,10 +12,10 @@
 from plantainyard.api import operators_pb2 as schema
 from plantainyard.api.convert import read_value
 from plantainyard.configuration import (
+    build_instance_draining_key,
+    build_worker_draining_key,
     check_change,
     find_key,
-    name_instance_draining,
-    name_worker_draining,
 )
 
 __all__ = ["CHECKS", "BadField", "check_request"]
@@ -24,8 +24,8 @@
 # Callers are told 128; instances put the home domain in front when they pass one on.
 REQUEST_ID = re.compile(r"[A-Za-z0-9._-]{8,200}")
 DRAINING_KEYS = {
-    "instance": name_instance_draining,
-    "worker": name_worker_draining,
+    "instance": build_instance_draining_key,
+    "worker": build_worker_draining_key,
 }
 MAX_TITLE = 200
 MAX_TASKS = 1_000_000
--- a/plantainyard/commands/teams.py
+++ b/plantainyard/commands/teams.py
@@ -14,7 +14,7 @@
 from plantainyard.commands.configurations import change_configuration, define_change
 from plantainyard.commands.exits import ExitCode
 from plantainyard.commands.render import format_ages, format_size
-from plantainyard.configuration import name_quota
+from plantainyard.configuration import build_quota_key
 from plantainyard.work import Size
 
 __all__ = ["COMMANDS"]
@@ -65,7 +65,7 @@
         expected = ", ".join(f"--{name}" for name in Size._fields)
         raise UsageError(f"expected some of {expected}, or --unlimited")
     chosen = given or amounts
-    changes = {name_quota(team, name): value for name, value in chosen.items()}
+    changes = {build_quota_key(team, name): value for name, value in chosen.items()}
     return change_configuration(invocation, changes)
 
 
--- a/plantainyard/configuration.py
+++ b/plantainyard/configuration.py
@@ -17,9 +17,9 @@
     "check_change",
     "find_key",
     "flatten_changes",
-    "name_instance_draining",
-    "name_quota",
-    "name_worker_draining",
+    "build_instance_draining_key",
+    "build_quota_key",
+    "build_worker_draining_key",
 ]
 
 VARIABLE = "<name>"
@@ -180,7 +180,7 @@
         yield from _iter_changes(f"{prefix}.{name}" if prefix else name, inner)
 
 
-def name_quota(team: str, resource: str) -> str:
+def build_quota_key(team: str, resource: str) -> str:
     """Return the key of a team's quota of a resource.
 
     Parameters
@@ -195,11 +195,11 @@
     return f"teams.{team}.{resource}"
 
 
-def name_worker_draining(worker: str) -> str:
+def build_worker_draining_key(worker: str) -> str:
     """Return the key that drains a worker."""
     return f"workers.{worker}.draining"
 
 
-def name_instance_draining(instance: str) -> str:
+def build_instance_draining_key(instance: str) -> str:
     """Return the key that drains an entry instance."""
     return f"instances.{instance}.draining"
--- a/plantainyard/metrics.py
+++ b/plantainyard/metrics.py
@@ -10,7 +10,7 @@
 
 __all__ = [
     "METRICS",
-    "Kind",
+    "MetricKind",
     "Meter",
     "Metric",
     "add_count",
@@ -29,7 +29,7 @@
 PERCENTILES = (50.0, 99.0, 100.0)
 
 
-class Kind:
+class MetricKind:
     """Names of the kinds of metric, as statsd has them."""
 
     COUNTER = "counter"
@@ -46,15 +46,15 @@
 
 
 def _counter(unit: str, meaning: str) -> Metric:
-    return Metric(Kind.COUNTER, unit, meaning)
+    return Metric(MetricKind.COUNTER, unit, meaning)
 
 
 def _gauge(unit: str, meaning: str) -> Metric:
-    return Metric(Kind.GAUGE, unit, meaning)
+    return Metric(MetricKind.GAUGE, unit, meaning)
 
 
 def _timer(meaning: str) -> Metric:
-    return Metric(Kind.TIMER, "milliseconds", meaning)
+    return Metric(MetricKind.TIMER, "milliseconds", meaning)
 
 
 METRICS: dict[str, Metric] = {
@@ -122,7 +122,7 @@
 
 def add_count(meter: Meter, name: str, number: int = 1) -> None:
     """Add `number` to a counter of `METRICS`."""
-    _require(name, Kind.COUNTER)
+    _require(name, MetricKind.COUNTER)
     with meter.lock:
         meter.counts[name] = meter.counts.get(name, 0) + number
         meter.unsent_counts[name] = meter.unsent_counts.get(name, 0) + number
@@ -130,14 +130,14 @@
 
 def set_gauge(meter: Meter, name: str, value: float) -> None:
     """Set a gauge of `METRICS`."""
-    _require(name, Kind.GAUGE)
+    _require(name, MetricKind.GAUGE)
     with meter.lock:
         meter.gauges[name] = value
 
 
 def add_timing(meter: Meter, name: str, milliseconds: float) -> None:
     """Add one duration to a timer of `METRICS`."""
-    _require(name, Kind.TIMER)
+    _require(name, MetricKind.TIMER)
     microseconds = min(max(int(milliseconds * US_IN_MS), LOWEST_US), HIGHEST_US)
     with meter.lock:
         if name not in meter.histograms:
--- a/plantainyard/operators/configurations.py
+++ b/plantainyard/operators/configurations.py
@@ -9,7 +9,10 @@
 from plantainyard import state as log_state
 from plantainyard.api import ApiError, ErrorCode, read_changes, write_value
 from plantainyard.api import operators_pb2 as schema
-from plantainyard.configuration import name_instance_draining, name_worker_draining
+from plantainyard.configuration import (
+    build_instance_draining_key,
+    build_worker_draining_key,
+)
 from plantainyard.node import ConfigView, knows_newest
 
 from .node import (
@@ -172,9 +175,9 @@
 ) -> Result[schema.DrainResponse, ApiError]:
     """Empty an instance or a worker ahead of a planned stop, or take it back."""
     if request.WhichOneof("target") == "instance":
-        key = name_instance_draining(request.instance)
+        key = build_instance_draining_key(request.instance)
     else:
-        key = name_worker_draining(request.worker)
+        key = build_worker_draining_key(request.worker)
     base = read_config(node).version
     applied = _append(node, request.request_id, base, {key: not request.undo})
     return applied.map(lambda version: schema.DrainResponse(version=version))
--- a/plantainyard/platform/runners.py
+++ b/plantainyard/platform/runners.py
@@ -12,7 +12,12 @@
 from plantainyard.errors import CallError, ErrorKind
 from plantainyard.multiplexer import Multiplexer
 from plantainyard.platform.bodies import encode_body, read_object
-from plantainyard.transport import HttpResponse, Observer, classify_result, ignore_call
+from plantainyard.transport import (
+    CallObserver,
+    HttpResponse,
+    classify_result,
+    discard_observation,
+)
 
 __all__ = [
     "Held",
@@ -214,7 +219,7 @@
     ----------
     multiplexer : Multiplexer
         The connections.
-    observe : Observer
+    observe : CallObserver
         Told of each call.
 
     Notes
@@ -223,7 +228,7 @@
     """
 
     multiplexer: Multiplexer
-    observe: Observer = ignore_call
+    observe: CallObserver = discard_observation
 
     def start(self, order: Order, timeout_s: float, answered: OrderAnswer) -> None:
         """Order a run to start; a repeat of the same order does no harm."""
@@ -334,7 +339,7 @@
         self.multiplexer.send(call)
 
 
-def build_runner_calls(observe: Observer = ignore_call) -> RunnerCalls:
+def build_runner_calls(observe: CallObserver = discard_observation) -> RunnerCalls:
     """Return calls to runners with connections of their own."""
     return RunnerCalls(Multiplexer(), observe)
 
--- a/plantainyard/platform/store.py
+++ b/plantainyard/platform/store.py
@@ -13,7 +13,12 @@
 from plantainyard.errors import CallError, ErrorKind
 from plantainyard.multiplexer import Multiplexer
 from plantainyard.platform.bodies import encode_body, read_object
-from plantainyard.transport import HttpResponse, Observer, classify_result, ignore_call
+from plantainyard.transport import (
+    CallObserver,
+    HttpResponse,
+    classify_result,
+    discard_observation,
+)
 
 __all__ = [
     "Append",
@@ -160,13 +165,13 @@
         ``ip:port``.
     multiplexer : Multiplexer
         The connections.
-    observe : Observer
+    observe : CallObserver
         Told of each call.
     """
 
     address: str
     multiplexer: Multiplexer
-    observe: Observer = ignore_call
+    observe: CallObserver = discard_observation
 
     def append(self, append: Append, timeout_s: float) -> Result[Appended, CallError]:
         """Append records.
@@ -273,7 +278,9 @@
         self.multiplexer.close()
 
 
-def build_store_calls(address: str, observe: Observer = ignore_call) -> StoreCalls:
+def build_store_calls(
+    address: str, observe: CallObserver = discard_observation
+) -> StoreCalls:
     """Return the calls to the store at ``ip:port``, with connections of their own."""
     return StoreCalls(address, Multiplexer(CONNECTIONS), observe)
 
--- a/plantainyard/tests/test_configuration.py
+++ b/plantainyard/tests/test_configuration.py
@@ -7,12 +7,12 @@
 
 from plantainyard.configuration import (
     KEYS,
+    build_instance_draining_key,
+    build_quota_key,
+    build_worker_draining_key,
     check_change,
     find_key,
     flatten_changes,
-    name_instance_draining,
-    name_quota,
-    name_worker_draining,
 )
 from plantainyard.settings.tests.test_load import CONFIGURATION, EXAMPLES
 from plantainyard.work import Size
@@ -46,9 +46,9 @@
     assert all(check_change(key, value) is None for key, value in GOOD.items())
     assert all(check_change(key, None) is None for key in GOOD)
     assert flatten_changes(nest(GOOD)) == GOOD
-    assert {name_quota("billing", name) for name in Size._fields} < GOOD.keys()
-    assert name_worker_draining("w-1") in GOOD
-    assert name_instance_draining("a_1") in GOOD
+    assert {build_quota_key("billing", name) for name in Size._fields} < GOOD.keys()
+    assert build_worker_draining_key("w-1") in GOOD
+    assert build_instance_draining_key("a_1") in GOOD
 
 
 @pytest.mark.parametrize(
--- a/plantainyard/transport.py
+++ b/plantainyard/transport.py
@@ -24,19 +24,19 @@
 from plantainyard.clock import read_clock
 from plantainyard.errors import CallError, ErrorKind
 
-Observer = Callable[[str, str, float], None]
+CallObserver = Callable[[str, str, float], None]
 """Told of each call: its step, its result, and how long it took in seconds."""
 
 __all__ = [
     "HttpResponse",
     "HttpPeer",
-    "Observer",
+    "CallObserver",
     "JsonResponse",
     "build_peer",
     "build_pool",
     "call_json",
     "parse_response",
-    "ignore_call",
+    "discard_observation",
     "classify_result",
     "read_retry_after",
     "send_request",
@@ -118,7 +118,7 @@
     return HttpPeer(address.rstrip("/"), pool or build_pool(), timeout_s)
 
 
-def ignore_call(step: str, result: str, seconds: float) -> None:
+def discard_observation(step: str, result: str, seconds: float) -> None:
     """Observe nothing."""
 
 
