--- a/bench/dispatch/play.py
+++ b/bench/dispatch/play.py
@@ -28,21 +28,21 @@
 from plantainyard.batch.replica import Replica, apply_record
 from plantainyard.dispatch import (
     Action,
-    Cancelled,
+    CancelRequested,
     Commit,
     Committed,
     Dispatcher,
     EntryChanged,
     Event,
-    HoldAnswered,
-    HoldFailed,
+    JobSubmitted,
     Limits,
     OrderAnswered,
     OrderKind,
-    Renewed,
-    SendHold,
+    OwnershipRenewed,
+    ReportFailed,
+    ReportReceived,
+    RequestReport,
     SendOrder,
-    Submitted,
     Tick,
     choose_lease,
     restore_dispatcher,
@@ -114,7 +114,9 @@
     owner: Dispatcher | None = None
     generation: int = 0
     fates: dict[str, JobFate] = field(default_factory=dict)
-    waiting: dict[str, tuple[SendHold, float, float, int]] = field(default_factory=dict)
+    waiting: dict[str, tuple[RequestReport, float, float, int]] = field(
+        default_factory=dict
+    )
     starts: int = 0
     stops: int = 0
     paces: int = 0
@@ -198,7 +200,7 @@
     match action:
         case Commit():
             _send_commit(day, action, day.generation)
-        case SendHold():
+        case RequestReport():
             _send_hold(day, action)
         case SendOrder():
             _send_order(day, action)
@@ -207,7 +209,7 @@
 def _tick(day: Day) -> None:
     day.later(TICK_S, partial(_tick, day))
     if not day.active("store_down"):
-        _tell(day, Renewed(day.now))
+        _tell(day, OwnershipRenewed(day.now))
     _tell(day, Tick())
 
 
@@ -222,7 +224,7 @@
     key = make_submission_key(submission.job_id)
     apply_record(day.replica, key, encode_submission(submission))
     generation = day.generation
-    day.later(ACCEPT_S, lambda: _tell(day, Submitted(submission), generation))
+    day.later(ACCEPT_S, lambda: _tell(day, JobSubmitted(submission), generation))
     leaves_s = BEGIN_S + arrival.truth.leaves_at - day.now
     if math.isfinite(leaves_s):
         cancel = partial(_cancel, day, submission.job_id)
@@ -234,7 +236,7 @@
         day.later(0.5, partial(_cancel, day, job_id))
         return
     apply_record(day.replica, make_cancel_key(job_id), b"1")
-    _tell(day, Cancelled(job_id))
+    _tell(day, CancelRequested(job_id))
 
 
 def _send_commit(day: Day, action: Commit, generation: int) -> None:
@@ -264,7 +266,7 @@
     fate.ended = record.value.decode()
 
 
-def _send_hold(day: Day, action: SendHold) -> None:
+def _send_hold(day: Day, action: RequestReport) -> None:
     worker = day.workers[action.entry.runner]
     generation, sent_at = day.generation, day.now
     arrives = partial(_hold, day, action, sent_at, generation)
@@ -280,13 +282,13 @@
 
 
 def _fail_hold(
-    day: Day, action: SendHold, sent_at: float, generation: int, after_s: float
+    day: Day, action: RequestReport, sent_at: float, generation: int, after_s: float
 ) -> None:
-    event = HoldFailed(action.entry.incarnation, sent_at, "timeout")
+    event = ReportFailed(action.entry.incarnation, sent_at, "timeout")
     day.later(after_s, lambda: _tell(day, event, generation))
 
 
-def _hold(day: Day, action: SendHold, sent_at: float, generation: int) -> None:
+def _hold(day: Day, action: RequestReport, sent_at: float, generation: int) -> None:
     worker = day.workers[action.entry.runner]
     if generation < worker.fence or _is_away(worker, action.entry.born_ms):
         _fail_hold(day, action, sent_at, generation, TIMEOUT_S)
@@ -302,13 +304,13 @@
 
 
 def _answer_hold(
-    day: Day, worker: Worker, action: SendHold, sent_at: float, generation: int
+    day: Day, worker: Worker, action: RequestReport, sent_at: float, generation: int
 ) -> None:
     if _is_away(worker, action.entry.born_ms):
         _fail_hold(day, action, sent_at, generation, TIMEOUT_S)
         return
     held = workers.report(day.site, worker, day.now)
-    event = HoldAnswered(action.entry.incarnation, held, sent_at)
+    event = ReportReceived(action.entry.incarnation, held, sent_at)
     day.later(worker.delay_s, lambda: _tell(day, event, generation))
 
 
--- a/plantainyard/dispatch/dispatcher.py
+++ b/plantainyard/dispatch/dispatcher.py
@@ -14,20 +14,20 @@
 from plantainyard.dispatch.crowding import count_slots, measure_ending
 from plantainyard.dispatch.events import (
     Action,
-    Cancelled,
+    CancelRequested,
     Commit,
     Committed,
     EntryChanged,
     Event,
     Forwarded,
-    HarmsTold,
-    HoldAnswered,
-    HoldFailed,
+    InterferenceReceived,
+    JobSubmitted,
     JobSummary,
-    LoadsTold,
+    LoadsReceived,
     OrderAnswered,
-    Renewed,
-    Submitted,
+    OwnershipRenewed,
+    ReportFailed,
+    ReportReceived,
     Tick,
 )
 from plantainyard.dispatch.forwarding import (
@@ -84,7 +84,7 @@
 """Time between looks at work that would be better off elsewhere; none of it shows in
 less than 0.8 s."""
 
-_WITHOUT_ROOM = (HoldFailed, OrderAnswered, Renewed)
+_WITHOUT_ROOM = (ReportFailed, OrderAnswered, OwnershipRenewed)
 """Events after which nothing is free that wasn't before."""
 
 LOAD_EVERY_S = 0.3
@@ -176,7 +176,7 @@
     and a look through all jobs after each is most of an owner's work. What a
     report tells of harm waits for the next tick, a tenth of a second at most.
     """
-    if isinstance(event, HoldAnswered):
+    if isinstance(event, ReportReceived):
         return bool(state.dirty or state.ending)
     return not isinstance(event, _WITHOUT_ROOM)
 
@@ -184,7 +184,7 @@
 def _find_changed(event: Event) -> set[str]:
     """Return the life of the runner that may have more room after `event`."""
     match event:
-        case HoldAnswered() | OrderAnswered():
+        case ReportReceived() | OrderAnswered():
             return {event.incarnation}
         case EntryChanged(entry=entry) if entry is not None:
             return {entry.incarnation}
@@ -222,30 +222,30 @@
 
 def _take(state: Dispatcher, event: Event, now: float) -> None:
     match event:
-        case HoldAnswered():
+        case ReportReceived():
             reports.take_report(state, event, now)
-        case HoldFailed():
+        case ReportFailed():
             reports.take_silence(state, event, now)
         case OrderAnswered():
             runs.take_answer(state, event, now)
         case Committed():
             _take_commit(state, now)
-        case Renewed(sent_at):
+        case OwnershipRenewed(sent_at):
             state.renewed_at = max(state.renewed_at, sent_at)
-        case Submitted(submission):
+        case JobSubmitted(submission):
             add_job(state, submission, now)
             added = state.jobs.get(submission.record_id)
             plan_handovers(state, [added] if added else [], now)
-        case Cancelled(job_id) if job_id in state.moved:
+        case CancelRequested(job_id) if job_id in state.moved:
             forward_cancel(state, job_id)
-        case Cancelled(job_id):
+        case CancelRequested(job_id):
             cancel_job(state, job_id, now)
         case Forwarded(keys):
             note_forwarded(state, keys, now)
             end_cancelled(state)
-        case LoadsTold(loads):
+        case LoadsReceived(loads):
             state.loads = dict(loads)
-        case HarmsTold(harms):
+        case InterferenceReceived(harms):
             for told in harms:
                 merge_harms(state.harms, _restore_harms(told))
         case EntryChanged(runner, entry):
--- a/plantainyard/dispatch/events.py
+++ b/plantainyard/dispatch/events.py
@@ -12,26 +12,26 @@
 
 __all__ = [
     "Action",
-    "Begun",
-    "Cancelled",
+    "JobStarted",
+    "CancelRequested",
     "Commit",
-    "Delivered",
+    "HandoversConfirmed",
     "Committed",
     "EntryChanged",
     "Event",
     "Forward",
     "Forwarded",
-    "HarmsTold",
-    "HoldAnswered",
-    "HoldFailed",
+    "InterferenceReceived",
+    "ReportReceived",
+    "ReportFailed",
     "JobSummary",
-    "LoadsTold",
+    "LoadsReceived",
     "OrderAnswered",
     "OrderKind",
-    "Renewed",
-    "SendHold",
+    "OwnershipRenewed",
+    "RequestReport",
     "SendOrder",
-    "Submitted",
+    "JobSubmitted",
     "Tick",
 ]
 
@@ -44,13 +44,13 @@
     PACE = "pace"
 
 
-class Submitted(NamedTuple):
+class JobSubmitted(NamedTuple):
     """A job is in the store."""
 
     submission: Submission
 
 
-class Cancelled(NamedTuple):
+class CancelRequested(NamedTuple):
     """A request to cancel a job is in the store."""
 
     job_id: str
@@ -78,15 +78,15 @@
     sent_at: float
 
 
-class HoldAnswered(NamedTuple):
+class ReportReceived(NamedTuple):
     """A runner has reported."""
 
     incarnation: str
-    held: Held
+    report: Held
     sent_at: float
 
 
-class HoldFailed(NamedTuple):
+class ReportFailed(NamedTuple):
     """A runner's report didn't come.
 
     Attributes
@@ -101,7 +101,7 @@
     other_incarnation: bool = False
 
 
-class Renewed(NamedTuple):
+class OwnershipRenewed(NamedTuple):
     """The group has confirmed the ownership.
 
     Attributes
@@ -125,16 +125,16 @@
     keys: Sequence[str]
 
 
-class LoadsTold(NamedTuple):
+class LoadsReceived(NamedTuple):
     """The owners of other units have told how full those are."""
 
     loads: dict[int, Load]
 
 
-class HarmsTold(NamedTuple):
+class InterferenceReceived(NamedTuple):
     """The owners of other units have told what they have learnt of interference."""
 
-    harms: list[bytes]
+    records: list[bytes]
 
 
 class Tick(NamedTuple):
@@ -142,17 +142,17 @@
 
 
 Event = (
-    Submitted
-    | Cancelled
+    JobSubmitted
+    | CancelRequested
     | EntryChanged
     | Committed
     | OrderAnswered
-    | HoldAnswered
-    | HoldFailed
-    | Renewed
+    | ReportReceived
+    | ReportFailed
+    | OwnershipRenewed
     | Forwarded
-    | LoadsTold
-    | HarmsTold
+    | LoadsReceived
+    | InterferenceReceived
     | Tick
 )
 
@@ -164,21 +164,21 @@
     ----------
     job_id, state : str
         The job and its final state.
-    took_s, late_s : float
+    duration_s, lateness_s : float
         From its acceptance to its end, and by how much that is over its objective as
         far as estimates tell; negative where it is in time.
-    times : dict
+    task_time_s : dict
         Seconds of its tasks by `timing.TimePart`, since this owner took over.
-    lost : dict
+    lost_runs : dict
         Runs since then that ended otherwise than done, by how they ended.
     """
 
     job_id: str
     state: str
-    took_s: float
-    late_s: float
-    times: dict[str, float]
-    lost: dict[str, int]
+    duration_s: float
+    lateness_s: float
+    task_time_s: dict[str, float]
+    lost_runs: dict[str, int]
 
 
 class Commit(NamedTuple):
@@ -196,7 +196,7 @@
     summaries: Sequence[JobSummary] = ()
 
 
-class Begun(NamedTuple):
+class JobStarted(NamedTuple):
     """A task of a job is known to have started, for the first time.
 
     Attributes
@@ -211,7 +211,7 @@
     waited_s: float
 
 
-class Delivered(NamedTuple):
+class HandoversConfirmed(NamedTuple):
     """Jobs that were handed over are known in their new units."""
 
     job_ids: Sequence[str]
@@ -249,8 +249,8 @@
     percent: int = 100
 
 
-class SendHold(NamedTuple):
-    """Ask a runner for its report; say `HoldAnswered` or `HoldFailed`."""
+class RequestReport(NamedTuple):
+    """Ask a runner for its report; say `ReportReceived` or `ReportFailed`."""
 
     entry: RunnerEntry
     last_seen: int
@@ -258,4 +258,4 @@
     wait_s: float
 
 
-Action = Begun | Commit | Delivered | Forward | SendOrder | SendHold
+Action = JobStarted | Commit | HandoversConfirmed | Forward | SendOrder | RequestReport
--- a/plantainyard/dispatch/forwarding.py
+++ b/plantainyard/dispatch/forwarding.py
@@ -13,7 +13,7 @@
     parse_key,
 )
 from plantainyard.batch.values import Submission
-from plantainyard.dispatch.events import Delivered, Forward
+from plantainyard.dispatch.events import Forward, HandoversConfirmed
 from plantainyard.dispatch.model import Task
 from plantainyard.dispatch.state import Arrival, Dispatcher
 from plantainyard.platform.store import Record
@@ -111,7 +111,7 @@
     due = [job for job, at in state.delivered.items() if now - at >= READ_S]
     if due:
         state.settled += due
-        state.actions.append(Delivered(due))
+        state.actions.append(HandoversConfirmed(due))
     for job_id in due:
         del state.delivered[job_id]
 
--- a/plantainyard/dispatch/reports.py
+++ b/plantainyard/dispatch/reports.py
@@ -3,10 +3,10 @@
 from plantainyard.batch.tasks import TaskKey
 from plantainyard.dispatch import orders, runs
 from plantainyard.dispatch.events import (
-    HoldAnswered,
-    HoldFailed,
     OrderKind,
-    SendHold,
+    ReportFailed,
+    ReportReceived,
+    RequestReport,
     SendOrder,
 )
 from plantainyard.dispatch.interference import learn
@@ -90,13 +90,13 @@
     del state.runners[old.incarnation]
 
 
-def take_report(state: Dispatcher, event: HoldAnswered, now: float) -> None:
+def take_report(state: Dispatcher, event: ReportReceived, now: float) -> None:
     """Take in what runs and has ended at a runner."""
     runner = state.runners.get(event.incarnation)
     if runner is None or runner.entry is None:
         return
     runner.hold_out = False
-    held = event.held
+    held = event.report
     if held.born_ms is not None and held.born_ms != runner.entry.born_ms:
         _await_new_entry(state, runner, now)
         return
@@ -177,7 +177,7 @@
     runner.hold_at = now + state.limits.hold_retry_s
 
 
-def take_silence(state: Dispatcher, event: HoldFailed, now: float) -> None:
+def take_silence(state: Dispatcher, event: ReportFailed, now: float) -> None:
     """Take note that a runner's report didn't come.
 
     Notes
@@ -238,7 +238,9 @@
     assert runner.entry is not None
     runner.hold_out = True
     until_ms = make_lease(runner, state.limits, state.renewed_at, now) if renew else 0
-    state.actions.append(SendHold(runner.entry, runner.stored_seen, until_ms, wait_s))
+    state.actions.append(
+        RequestReport(runner.entry, runner.stored_seen, until_ms, wait_s)
+    )
 
 
 def _adjust_pace(state: Dispatcher, runner: Runner, held: Held, now: float) -> None:
--- a/plantainyard/dispatch/runs.py
+++ b/plantainyard/dispatch/runs.py
@@ -1,7 +1,7 @@
 """Runs of tasks: what the answers to orders mean, and what the end of a run does."""
 
 from plantainyard.dispatch import jobs
-from plantainyard.dispatch.events import Begun, OrderAnswered, OrderKind
+from plantainyard.dispatch.events import JobStarted, OrderAnswered, OrderKind
 from plantainyard.dispatch.leases import note_clock
 from plantainyard.dispatch.model import Phase, Runner, StepRun, Task
 from plantainyard.dispatch.orders import release_task, send_pace, send_stop
@@ -24,7 +24,7 @@
     job.begun = True
     state.begun[id(step)] = step
     waited_s = round(now - job.taken_at, 3)
-    state.actions.append(Begun(job.submission.record_id, waited_s))
+    state.actions.append(JobStarted(job.submission.record_id, waited_s))
 
 
 def take_answer(state: Dispatcher, event: OrderAnswered, now: float) -> None:
--- a/plantainyard/dispatch/tests/test_fleet.py
+++ b/plantainyard/dispatch/tests/test_fleet.py
@@ -14,11 +14,11 @@
 from plantainyard.batch.pending import add_up, count_pending
 from plantainyard.batch.records import RecordKind, parse_key
 from plantainyard.dispatch import (
-    Cancelled,
+    CancelRequested,
     Event,
     Forward,
     Forwarded,
-    LoadsTold,
+    LoadsReceived,
     list_arrived,
 )
 from plantainyard.dispatch.handover import MOST_HOPS
@@ -53,11 +53,11 @@
         key = parse_key(record.key)
         if key.kind == RecordKind.CANCEL:
             self.store(record.key, record.value)
-            self.tell(Cancelled(key.job_id))
+            self.tell(CancelRequested(key.job_id))
             return
         self.take(record)
         if self.replica.jobs[key.job_id].cancelled:
-            self.tell(Cancelled(key.job_id))
+            self.tell(CancelRequested(key.job_id))
 
 
 class Fleet(RuleBasedStateMachine):
@@ -93,7 +93,7 @@
         loads = {world.unit: world.state.load for world in self.worlds}
         for world in self.worlds:
             others = {u: load for u, load in loads.items() if u != world.unit}
-            world.tell(LoadsTold(others))
+            world.tell(LoadsReceived(others))
 
     def list_at_work(self) -> list[str]:
         worlds = self.worlds
@@ -142,7 +142,7 @@
             self.submit(unit, long_running=True, hops=MOST_HOPS)
         else:
             self.submit(unit)
-        self.worlds[unit].tell(LoadsTold({other: ROOMY}))
+        self.worlds[unit].tell(LoadsReceived({other: ROOMY}))
         self.pass_ticks(ticks)
 
     @rule(unit=st.integers(0, UNITS - 1), ticks=st.integers(1, 8))
--- a/plantainyard/dispatch/tests/test_handover.py
+++ b/plantainyard/dispatch/tests/test_handover.py
@@ -6,7 +6,7 @@
     make_submission_key,
 )
 from plantainyard.batch.values import Submission
-from plantainyard.dispatch import Load, LoadsTold
+from plantainyard.dispatch import Load, LoadsReceived
 from plantainyard.dispatch.forwarding import READ_S
 from plantainyard.dispatch.handover import measure_load
 from plantainyard.dispatch.load import EMPTY_LOAD
@@ -25,7 +25,7 @@
     world.runners["r0"].durations = {"full": 0.0}
     world.submit("full", make_step(cpu=63_000, long_running=True))
     world.run(1.0)
-    world.tell(LoadsTold({3: FULL, 5: ROOMY}))
+    world.tell(LoadsReceived({3: FULL, 5: ROOMY}))
     return world
 
 
@@ -46,7 +46,7 @@
     world.run(3.0)
     world.submit("short", make_step(cpu=4000))
     world.run(0.5)
-    world.tell(LoadsTold({3: FULL, 5: ROOMY}))
+    world.tell(LoadsReceived({3: FULL, 5: ROOMY}))
     world.submit("a", make_step(cpu=4000))
     assert list_forwarded(world) == []
     world.run(0.6)
@@ -66,7 +66,9 @@
     world.submit("full", make_step(cpu=60_000, long_running=True))
     world.run(3.0)
     world.tell(
-        LoadsTold({3: FULL, 5: FULL._replace(reserved=0.93, waiting=0.0, gap=12_000)})
+        LoadsReceived(
+            {3: FULL, 5: FULL._replace(reserved=0.93, waiting=0.0, gap=12_000)}
+        )
     )
     world.submit("a", make_step(cpu=1000), make_step(cpu=9000, after=(0,)))
     assert list_forwarded(world) == [(5, ["j/a"])]
@@ -82,7 +84,7 @@
 
 def test_nothing_is_handed_to_a_unit_that_is_hardly_emptier():
     world = make_full_world()
-    world.tell(LoadsTold({3: FULL}))
+    world.tell(LoadsReceived({3: FULL}))
     world.submit("a", make_step(cpu=4000))
     world.run(3.0)
     assert world.forwarded == []
@@ -92,7 +94,7 @@
     # Ten wide jobs come between two of the neighbour's reports. Sent there all
     # together they would wait there instead.
     world = make_full_world()
-    world.tell(LoadsTold({5: ROOMY}))
+    world.tell(LoadsReceived({5: ROOMY}))
     for number in range(10):
         world.submit(f"a{number}", make_step(8, cpu=4000))
     world.run(1.0)
@@ -131,7 +133,7 @@
     world = World(runners=1)
     world.lose("r0")
     world.run(LEASE_LAPSES_S)
-    world.tell(LoadsTold({5: ROOMY}))
+    world.tell(LoadsReceived({5: ROOMY}))
     for number in range(10):
         world.submit(f"a{number}", make_step(cpu=1000))
     world.run(1.0)
@@ -144,7 +146,7 @@
     world = World(runners=1)
     world.lose("r0")
     world.run(LEASE_LAPSES_S)
-    world.tell(LoadsTold({5: ROOMY}))
+    world.tell(LoadsReceived({5: ROOMY}))
     for number in range(100):
         world.submit(f"a{number}", make_step(8, cpu=4000))
     world.run(1.0)
@@ -158,7 +160,7 @@
     world.runners["r0"].durations = {"a": 5.0}
     world.submit("a", make_step(2, cpu=40_000))
     world.run(0.5)
-    world.tell(LoadsTold({5: ROOMY}))
+    world.tell(LoadsReceived({5: ROOMY}))
     world.run(2.0)
     assert world.forwarded == []
     assert len(world.starts("a")) == 1
@@ -242,7 +244,7 @@
     world = make_full_world()
     world.submit("a", make_step(cpu=4000))
     world.run(0.6)
-    world.tell(LoadsTold({}))
+    world.tell(LoadsReceived({}))
     world.tell_again("a")
     world.runners["r0"].durations = {}
     world.cancel("full")
@@ -258,7 +260,7 @@
     world.run(2.5)
     lost = next(name for name, r in world.runners.items() if not is_full(r))
     world.lose(lost)
-    world.tell(LoadsTold({5: ROOMY}))
+    world.tell(LoadsReceived({5: ROOMY}))
 
 
 def is_full(runner: RunnerState) -> bool:
@@ -298,7 +300,7 @@
     world.run(2.0)
     world.lose("r0")
     world.run(LEASE_LAPSES_S)
-    world.tell(LoadsTold({5: world.state.load._replace(waiting=0.5)}))
+    world.tell(LoadsReceived({5: world.state.load._replace(waiting=0.5)}))
     world.run(1.0)
     assert [unit for unit, _ in list_forwarded(world)] == [5]
 
@@ -391,7 +393,7 @@
     world = World(runners=1)
     world.cut.add("r0")
     world.begin()
-    world.tell(LoadsTold({5: ROOMY}))
+    world.tell(LoadsReceived({5: ROOMY}))
     world.submit("a", make_step(cpu=500, long_running=True))
     world.run(0.5)
     assert world.forwarded == []
@@ -414,7 +416,7 @@
     # Two tasks wait in a unit that is a little fuller than the neighbour. Both sent
     # there in one moment, the neighbour is the fuller one and sends them back.
     world = make_full_world()
-    world.tell(LoadsTold({5: Load(1.0, 0.0, 0.0, 0.0, 6_000)}))
+    world.tell(LoadsReceived({5: Load(1.0, 0.0, 0.0, 0.0, 6_000)}))
     for job_id in ("a", "b"):
         world.submit(job_id, make_step(cpu=4_000, long_running=True), hops=1)
     world.run(1.5)
@@ -425,7 +427,7 @@
     # A runner with several tasks of a service is lost and its unit is full. Each was
     # handed over only 0.6 s after the one before; the last counted as forgotten.
     world = make_full_world()
-    world.tell(LoadsTold({5: ROOMY}))
+    world.tell(LoadsReceived({5: ROOMY}))
     world.submit("a", make_step(5, cpu=1_500, long_running=True), hops=1)
     world.run(1.0)
     assert len(set(list_keys(world))) == 5
@@ -449,7 +451,7 @@
     # not leave any more, and did one task after the other for the rest of the day. The
     # neighbour's runners are all in use at this moment, by tasks that end in a second.
     world = make_nearly_full_world()
-    world.tell(LoadsTold({3: FULL, 5: CROWDED_BUT_ROOMY}))
+    world.tell(LoadsReceived({3: FULL, 5: CROWDED_BUT_ROOMY}))
     world.submit("a", make_step(12, cpu=3000))
     assert list_forwarded(world) == [(5, ["j/a"])]
     assert world.starts("a") == []
@@ -457,7 +459,7 @@
 
 def test_a_job_that_its_unit_has_room_for_stays():
     world = make_nearly_full_world()
-    world.tell(LoadsTold({5: CROWDED_BUT_ROOMY}))
+    world.tell(LoadsReceived({5: CROWDED_BUT_ROOMY}))
     world.submit("a", make_step(2, cpu=2000))
     world.run(0.2)
     assert world.forwarded == []
@@ -468,7 +470,7 @@
     # Loads are told once a second. Moved for little, jobs come where others came.
     world = make_nearly_full_world()
     crowded = CROWDED_BUT_ROOMY._replace(slots=(1,) * 14, ending=0)
-    world.tell(LoadsTold({3: crowded, 5: FULL._replace(slots=(0,) * 14)}))
+    world.tell(LoadsReceived({3: crowded, 5: FULL._replace(slots=(0,) * 14)}))
     world.submit("a", make_step(2, cpu=3500))
     world.run(0.2)
     assert world.forwarded == []
@@ -478,7 +480,7 @@
 def test_a_word_that_counts_other_sizes_draws_no_jobs():
     # While a release is rolled out owners of two versions tell each other their loads.
     world = make_nearly_full_world()
-    world.tell(LoadsTold({3: CROWDED_BUT_ROOMY._replace(slots=(60,) * 3), 5: FULL}))
+    world.tell(LoadsReceived({3: CROWDED_BUT_ROOMY._replace(slots=(60,) * 3), 5: FULL}))
     world.submit("a", make_step(12, cpu=3000))
     world.run(0.2)
     assert world.forwarded == []
@@ -487,7 +489,7 @@
 def test_wide_jobs_are_spread_between_two_words_of_the_other_units():
     world = make_nearly_full_world()
     empty = CROWDED_BUT_ROOMY._replace(ending=0)
-    world.tell(LoadsTold({3: empty, 5: empty}))
+    world.tell(LoadsReceived({3: empty, 5: empty}))
     for number in range(6):
         world.submit(f"a{number}", make_step(12, cpu=3000))
     world.run(0.2)
--- a/plantainyard/dispatch/tests/test_pending.py
+++ b/plantainyard/dispatch/tests/test_pending.py
@@ -10,7 +10,7 @@
 from plantainyard.batch.replica import describe_state
 from plantainyard.batch.values import StepProgress, TaskProgress
 from plantainyard.clock import read_clock
-from plantainyard.dispatch import LoadsTold, list_arrived
+from plantainyard.dispatch import LoadsReceived, list_arrived
 from plantainyard.dispatch.forwarding import READ_S
 from plantainyard.dispatch.handover import MOST_HOPS
 from plantainyard.dispatch.tests.test_handover import ROOMY, make_full_world
@@ -136,11 +136,11 @@
 def divide_job() -> World:
     """Return a unit that has handed the two tasks of a job on, one by one."""
     world = make_full_world()
-    world.tell(LoadsTold({}))
+    world.tell(LoadsReceived({}))
     step = make_step(2, cpu=4000, long_running=True)
     world.submit("a", step, hops=MOST_HOPS)
     world.run(1.0)
-    world.tell(LoadsTold({5: ROOMY}))
+    world.tell(LoadsReceived({5: ROOMY}))
     world.run(1.0)
     return world
 
--- a/plantainyard/dispatch/tests/world.py
+++ b/plantainyard/dispatch/tests/world.py
@@ -20,25 +20,25 @@
 from plantainyard.batch.values import Resources, Step, Submission
 from plantainyard.dispatch import (
     Action,
-    Begun,
-    Cancelled,
+    CancelRequested,
     Commit,
     Committed,
-    Delivered,
     EntryChanged,
     Event,
     Forward,
     Forwarded,
-    HoldAnswered,
-    HoldFailed,
+    HandoversConfirmed,
+    JobStarted,
+    JobSubmitted,
     JobSummary,
     Limits,
     OrderAnswered,
     OrderKind,
-    Renewed,
-    SendHold,
+    OwnershipRenewed,
+    ReportFailed,
+    ReportReceived,
+    RequestReport,
     SendOrder,
-    Submitted,
     Tick,
     restore_dispatcher,
     step,
@@ -76,7 +76,7 @@
         self.store_down = False
         self.renewing = True
         self.waiting_commit: Commit | None = None
-        self.held: list[tuple[float, SendHold]] = []
+        self.held: list[tuple[float, RequestReport]] = []
         self.slow = False
         self.answers: list[OrderAnswered] = []
         self.forwarded: list[Forward] = []
@@ -117,16 +117,16 @@
         self.submissions[job_id] = submission
         key = make_submission_key(job_id)
         self.store(key, encode_submission(submission))
-        self.tell(Submitted(submission))
+        self.tell(JobSubmitted(submission))
 
     def tell_again(self, job_id: str) -> None:
         """Repeat a submission, as a caller does that lost the answer."""
-        self.tell(Submitted(self.submissions[job_id]))
+        self.tell(JobSubmitted(self.submissions[job_id]))
 
     def take(self, record: Record) -> None:
         """Read a record that another unit's owner has stored."""
         self.store(record.key, record.value)
-        self.tell(Submitted(decode_submission(record.value)))
+        self.tell(JobSubmitted(decode_submission(record.value)))
 
     def lose(self, name: str) -> None:
         """Lose a runner for good: it runs nothing, and its entry goes."""
@@ -136,7 +136,7 @@
 
     def cancel(self, job_id: str) -> None:
         self.store(make_cancel_key(job_id), b"1")
-        self.tell(Cancelled(job_id))
+        self.tell(CancelRequested(job_id))
 
     def tell(self, event: Event) -> None:
         events: list[Event] = [event]
@@ -156,14 +156,14 @@
                 self.waiting_forwards.append(action)
                 return []
             return self.forward(action)
-        if isinstance(action, SendHold):
+        if isinstance(action, RequestReport):
             # A report that waits is answered with the next step of time.
             self.held.append((self.now, action))
             return []
-        if isinstance(action, Begun):
+        if isinstance(action, JobStarted):
             note_begun(self.replica, action.job_id)
             return []
-        if isinstance(action, Delivered):
+        if isinstance(action, HandoversConfirmed):
             note_delivered(self.replica, action.job_ids)
             return []
         assert isinstance(action, SendOrder)
@@ -231,7 +231,7 @@
                     for event in self.forward(forward):
                         self.tell(event)
             if self.renewing and not self.store_down:
-                self.tell(Renewed(self.now))
+                self.tell(OwnershipRenewed(self.now))
             self.tell(Tick())
 
     def answer_holds(self) -> None:
@@ -243,21 +243,23 @@
                 at = sent_at if self.slow else self.now - 0.01
                 self.tell(self.hold(action, at))
 
-    def is_waiting(self, sent_at: float, action: SendHold) -> bool:
+    def is_waiting(self, sent_at: float, action: RequestReport) -> bool:
         """Return whether a runner waits for something to report, as it was asked to."""
         runner = self.runners.get(action.entry.runner)
         if runner is None or action.entry.runner in self.cut or runner.ends:
             return False
         return self.now < sent_at + action.wait_s
 
-    def hold(self, action: SendHold, sent_at: float) -> HoldAnswered | HoldFailed:
+    def hold(
+        self, action: RequestReport, sent_at: float
+    ) -> ReportReceived | ReportFailed:
         incarnation, name = action.entry.incarnation, action.entry.runner
         if name in self.cut:
-            return HoldFailed(incarnation, sent_at, "no answer")
+            return ReportFailed(incarnation, sent_at, "no answer")
         found = hold_runner(self.runners[name], action, self.fence, self.now)
         if isinstance(found, Err):
-            return HoldFailed(incarnation, sent_at, found.err_value.detail)
-        return HoldAnswered(incarnation, found.ok_value, sent_at)
+            return ReportFailed(incarnation, sent_at, found.err_value.detail)
+        return ReportReceived(incarnation, found.ok_value, sent_at)
 
     def starts(self, job_id: str) -> list[tuple[float, str, int]]:
         """Return every run of a job that began anywhere, in order."""
--- a/plantainyard/entry/instance.py
+++ b/plantainyard/entry/instance.py
@@ -13,9 +13,9 @@
 from plantainyard.clock import read_clock
 from plantainyard.dispatch import (
     EMPTY_COUNTS,
-    Cancelled,
+    CancelRequested,
     Event,
-    Submitted,
+    JobSubmitted,
     count_state,
 )
 from plantainyard.entry.copies import UnitCopy
@@ -175,12 +175,12 @@
             return
         kind = parse_key(record.key).kind
         if kind == RecordKind.SUBMISSION:
-            self.tell(unit, Submitted(decode_submission(record.value)))
+            self.tell(unit, JobSubmitted(decode_submission(record.value)))
             # A job that was handed over may come after the request to cancel it.
             if self.copies[unit].replica.jobs[job_id].cancelled:
-                self.tell(unit, Cancelled(job_id))
+                self.tell(unit, CancelRequested(job_id))
         elif kind == RecordKind.CANCEL:
-            self.tell(unit, Cancelled(job_id))
+            self.tell(unit, CancelRequested(job_id))
 
     def tell(self, unit: int, event: Event) -> None:
         """Tell an owned unit's actor; a unit that was lost meanwhile needs no word."""
--- a/plantainyard/entry/loads.py
+++ b/plantainyard/entry/loads.py
@@ -2,7 +2,7 @@
 
 from itertools import count
 
-from plantainyard.dispatch import HarmsTold, LoadsTold
+from plantainyard.dispatch import InterferenceReceived, LoadsReceived
 from plantainyard.entry.instance import Instance
 from plantainyard.entry.peers import ask_harms, ask_load
 
@@ -38,7 +38,7 @@
         loads = {unit: load for unit, load in answers if load is not None}
         for unit in owned:
             others = {u: load for u, load in loads.items() if u != unit}
-            instance.tell(unit, LoadsTold(others))
+            instance.tell(unit, LoadsReceived(others))
 
 
 def _tell_harms(instance: Instance, owned: list[int]) -> None:
@@ -46,4 +46,4 @@
     answers = {unit: ask_harms(instance, unit) for unit in units}
     for unit in owned:
         harms = [told for u, told in answers.items() if u != unit and told]
-        instance.tell(unit, HarmsTold(harms))
+        instance.tell(unit, InterferenceReceived(harms))
--- a/plantainyard/entry/owning.py
+++ b/plantainyard/entry/owning.py
@@ -8,7 +8,7 @@
 from result import Err
 
 from plantainyard.clock import read_clock
-from plantainyard.dispatch import Renewed
+from plantainyard.dispatch import OwnershipRenewed
 from plantainyard.entry.candidacy import is_strong
 from plantainyard.entry.claims import Candidate, ClaimReason, Seen, judge_owner
 from plantainyard.entry.copies import UnitCopy, refresh_copy
@@ -140,7 +140,7 @@
                 self.give_up(unit)
             elif held is not None and held.epoch == claim.epoch:
                 claim.confirmed_at = max(claim.confirmed_at, read_at)
-                instance.tell(unit, Renewed(read_at))
+                instance.tell(unit, OwnershipRenewed(read_at))
             if read_clock() - claim.confirmed_at > KEEP_S:
                 self.give_up(unit)
 
--- a/plantainyard/entry/takeover.py
+++ b/plantainyard/entry/takeover.py
@@ -9,12 +9,12 @@
 from plantainyard.batch.replica import OWNER_KEY
 from plantainyard.clock import read_clock
 from plantainyard.dispatch import (
-    Cancelled,
+    CancelRequested,
     Dispatcher,
     EntryChanged,
     Event,
+    JobSubmitted,
     Limits,
-    Submitted,
     choose_lease,
     restore_dispatcher,
 )
@@ -102,6 +102,6 @@
         if view.ended or view.submission is None:
             continue
         if view.moved is None:
-            instance.tell(copy.unit, Submitted(view.submission))
+            instance.tell(copy.unit, JobSubmitted(view.submission))
         if view.cancelled:
-            instance.tell(copy.unit, Cancelled(job_id))
+            instance.tell(copy.unit, CancelRequested(job_id))
--- a/plantainyard/entry/tests/test_owning.py
+++ b/plantainyard/entry/tests/test_owning.py
@@ -13,7 +13,7 @@
 from plantainyard.batch.records import encode_progress, make_progress_key
 from plantainyard.batch.replica import Replica, apply_record
 from plantainyard.batch.values import StepProgress, TaskProgress
-from plantainyard.dispatch import Cancelled, Commit, Submitted
+from plantainyard.dispatch import CancelRequested, Commit, JobSubmitted
 from plantainyard.entry import owning
 from plantainyard.entry.copies import refresh_copy
 from plantainyard.entry.eventlog import EventLog
@@ -154,7 +154,7 @@
         instance.owned[0] = Owned(Mock(), actor)
         assert poll_tail(instance.copies[0].intake).is_ok()
         told = [type(sent.args[0]) for sent in actor.tell.call_args_list]
-    assert told[-2:] == [Submitted, Cancelled]
+    assert told[-2:] == [JobSubmitted, CancelRequested]
 
 
 def test_an_owner_denies_no_job_that_it_has_not_read_yet():
@@ -180,7 +180,9 @@
         actor = Mock()
         instance.owned[0] = Owned(Mock(), actor)
         tell_jobs(instance, instance.copies[0])
-    assert [sent.args[0] for sent in actor.tell.call_args_list] == [Cancelled(JOB)]
+    assert [sent.args[0] for sent in actor.tell.call_args_list] == [
+        CancelRequested(JOB)
+    ]
 
 
 def test_a_unit_whose_takeover_fails_once_gets_an_owner(monkeypatch):
--- a/plantainyard/entry/unit.py
+++ b/plantainyard/entry/unit.py
@@ -23,20 +23,20 @@
 from plantainyard.clock import read_clock
 from plantainyard.dispatch import (
     Action,
-    Begun,
     Commit,
     Committed,
-    Delivered,
     Dispatcher,
     Forward,
     Forwarded,
-    HoldAnswered,
-    HoldFailed,
+    HandoversConfirmed,
+    JobStarted,
     JobSummary,
     Limits,
     OrderAnswered,
     OrderKind,
-    SendHold,
+    ReportFailed,
+    ReportReceived,
+    RequestReport,
     SendOrder,
     Tick,
     step,
@@ -150,7 +150,7 @@
         if self.world.stopping.is_set():
             return
         now = read_clock()
-        if isinstance(message, HoldAnswered):
+        if isinstance(message, ReportReceived):
             self._log_ends(message)
         for action in step(self.dispatcher, message, now):
             self._perform(action)
@@ -171,16 +171,16 @@
             waited_s=round(now - job.taken_at, 3),
         )
 
-    def _note_begun(self, action: Begun) -> None:
+    def _note_begun(self, action: JobStarted) -> None:
         self.world.meters.first_start.observe(action.waited_s)
         self.world.log.write("job_begun", job=action.job_id, waited_s=action.waited_s)
         note_begun(self.world.replica, action.job_id)
 
-    def _log_ends(self, message: HoldAnswered) -> None:
+    def _log_ends(self, message: ReportReceived) -> None:
         runner = self.dispatcher.runners.get(message.incarnation)
         if runner is None:
             return
-        for end in message.held.ended:
+        for end in message.report.ended:
             if end.number > runner.seen:
                 self.world.log.write(
                     "run_ended",
@@ -218,11 +218,11 @@
         if isinstance(action, Commit):
             self.sequence += 1
             self.commits.submit(self._commit, action, self.sequence)
-        elif isinstance(action, SendHold):
+        elif isinstance(action, RequestReport):
             self._hold(action)
-        elif isinstance(action, Begun):
+        elif isinstance(action, JobStarted):
             self._note_begun(action)
-        elif isinstance(action, Delivered):
+        elif isinstance(action, HandoversConfirmed):
             note_delivered(self.world.replica, action.job_ids)
         elif isinstance(action, Forward):
             self.forwards.submit(self._forward, action)
@@ -260,14 +260,14 @@
             "job_ended",
             job=summary.job_id,
             state=summary.state,
-            took_s=summary.took_s,
-            late_s=summary.late_s,
-            task_s=summary.times,
-            lost=summary.lost,
+            took_s=summary.duration_s,
+            late_s=summary.lateness_s,
+            task_s=summary.task_time_s,
+            lost=summary.lost_runs,
         )
-        for part, seconds in summary.times.items():
+        for part, seconds in summary.task_time_s.items():
             world.meters.task_seconds.labels(part).inc(seconds)
-        for how, runs in summary.lost.items():
+        for how, runs in summary.lost_runs.items():
             world.meters.lost_runs.labels(how).inc(runs)
 
     def _forward(self, action: Forward) -> None:
@@ -292,7 +292,7 @@
             world.log.write("order_failed", kind="forward", why=why)
             world.stopping.wait(RETRY_S)
 
-    def _hold(self, action: SendHold) -> None:
+    def _hold(self, action: RequestReport) -> None:
         sent_at = read_clock()
         entry = action.entry
         order = _address(entry, self.world.epoch, lease=action.lease_until_ms)
@@ -306,15 +306,15 @@
 
     def _judge_report(
         self, incarnation: str, answer: Result[Held, CallError], sent_at: float
-    ) -> HoldAnswered | HoldFailed:
+    ) -> ReportReceived | ReportFailed:
         if isinstance(answer, Ok):
-            return HoldAnswered(incarnation, answer.ok_value, sent_at)
+            return ReportReceived(incarnation, answer.ok_value, sent_at)
         error = answer.err_value
         if error.kind == ErrorKind.CONFLICT:
             self.world.depose()
         self.world.log.write("runner_silent", runner=incarnation, why=error.detail)
         other_incarnation = error.kind == ErrorKind.OTHER_INCARNATION
-        return HoldFailed(incarnation, sent_at, error.detail, other_incarnation)
+        return ReportFailed(incarnation, sent_at, error.detail, other_incarnation)
 
     def _order(self, action: SendOrder) -> None:
         sent_at = read_clock()
--- a/standins/platform/samples.py
+++ b/standins/platform/samples.py
@@ -10,7 +10,7 @@
 from result import Result
 
 from plantainyard.batch.tasks import TaskKey
-from plantainyard.dispatch.events import OrderKind, SendHold, SendOrder
+from plantainyard.dispatch.events import OrderKind, RequestReport, SendOrder
 from plantainyard.errors import CallError
 from plantainyard.platform.runners import (
     Held,
@@ -141,7 +141,7 @@
 
 
 def hold_runner(
-    runner: RunnerState, hold: SendHold, fence: int, now: float
+    runner: RunnerState, hold: RequestReport, fence: int, now: float
 ) -> Result[Held, CallError]:
     """Ask a stand-in runner for its report and return it decoded."""
     body = {
