--- a/plantainyard/dispatch/crowding.py
+++ b/plantainyard/dispatch/crowding.py
@@ -48,7 +48,7 @@
 
 def measure_ending(state: Dispatcher, now: float) -> int:
     """Return what counted jobs that end, and are of use, ask for at a time."""
-    return sum(_measure_demand(j) for j in state.jobs.values() if now < j.useless_at)
+    return sum(_measure_demand(j) for j in state.jobs.values() if now < j.useful_until)
 
 
 def find_roomier_unit(state: Dispatcher, job: Job) -> int | None:
@@ -63,7 +63,7 @@
     demand = _measure_demand(job)
     if not demand or need > SLOT_SIZES[-1] or not _tells_slots(state.load):
         return None
-    counted = job.taken_at < state.load_at
+    counted = job.received_at < state.load_at
     here = _measure_crowding(state.load, need, 0 if counted else demand)
     if here <= CROWDED:
         return None
@@ -114,7 +114,7 @@
     )
 
 
-_ELSEWHERE = frozenset({Phase.DONE, Phase.HANDED})
+_ELSEWHERE = frozenset({Phase.DONE, Phase.HANDED_OVER})
 
 
 def _is_ending(step: Step) -> bool:
--- a/plantainyard/dispatch/dispatcher.py
+++ b/plantainyard/dispatch/dispatcher.py
@@ -258,7 +258,7 @@
     records = [
         Record(_progress_key(item), _encode_step(item))
         for item in state.dirty.values()
-        if not item.job.ended
+        if not item.job.final_state
     ]
     for job_id, ended in state.ending.items():
         records.append(Record(make_end_key(job_id), ended.encode()))
@@ -272,13 +272,13 @@
         if not submission.piece
     ]
     seen = {
-        incarnation: r.seen
+        incarnation: r.last_end
         for incarnation, r in state.runners.items()
-        if r.seen > r.stored_seen
+        if r.last_end > r.last_stored_end
     }
     if not records:
         for incarnation, number in seen.items():
-            state.runners[incarnation].stored_seen = number
+            state.runners[incarnation].last_stored_end = number
         return
     records += _encode_begun(state)
     records += take_settled(state)
@@ -304,7 +304,7 @@
     return [
         Record(_progress_key(item), _encode_step(item))
         for identity, item in state.begun.items()
-        if identity not in state.dirty and not item.job.ended
+        if identity not in state.dirty and not item.job.final_state
     ]
 
 
@@ -312,11 +312,11 @@
     accepted_at = job.deadline - find_allowed_s(job.submission)
     return JobSummary(
         job.submission.record_id,
-        job.ended,
+        job.final_state,
         round(now - accepted_at, 3),
         round(now - job.deadline, 3),
         summarize_times(job),
-        dict(job.lost),
+        dict(job.lost_runs),
     )
 
 
@@ -326,7 +326,9 @@
         if incarnation in state.runners:
             runner = state.runners[incarnation]
             # Less was seen than is stored where a new life has answered meanwhile.
-            runner.stored_seen = max(runner.stored_seen, min(number, runner.seen))
+            runner.last_stored_end = max(
+                runner.last_stored_end, min(number, runner.last_end)
+            )
     for job_id in state.committing_ends:
         state.jobs.pop(job_id, None)
     forward_handed(state)
@@ -353,4 +355,4 @@
         for t in item.tasks
         if t.phase != Phase.DONE and (t.run or t.unit is not None)
     }
-    return encode_progress(StepProgress(done, tasks, item.job.begun))
+    return encode_progress(StepProgress(done, tasks, item.job.started))
--- a/plantainyard/dispatch/handover.py
+++ b/plantainyard/dispatch/handover.py
@@ -79,11 +79,13 @@
             left = sum(task.phase == Phase.WAITING for task in step.tasks)
             waiting[step.spec.backfill] += left * step.spec.resources.cpu
     return Load(
-        reserved=sum(r.cpu for r in usable) / total,
+        reserved=sum(r.reserved_cpu for r in usable) / total,
         backfill=sum(r.backfill_cpu for r in usable) / total,
         waiting=waiting[False] / total,
         waiting_backfill=waiting[True] / total,
-        gap=max(r.entry.capacity.cpu - r.cpu for r in usable if r.entry is not None),
+        gap=max(
+            r.entry.capacity.cpu - r.reserved_cpu for r in usable if r.entry is not None
+        ),
     )
 
 
@@ -134,7 +136,7 @@
     if not _knows_its_runners(state, now):
         return
     for job in state.jobs.values():
-        if job.cancelled or job.ended or job.submission.hops >= MOST_TASK_HOPS:
+        if job.cancelled or job.final_state or job.submission.hops >= MOST_TASK_HOPS:
             continue
         for step in job.steps.values():
             if step.spec.long_running:
@@ -162,7 +164,7 @@
         unit = _find_room(state, step.spec, need, least)
         if unit is None:
             return
-        task.phase = Phase.HANDED
+        task.phase = Phase.HANDED_OVER
         task.unit = unit
         mark_dirty(state, step)
         piece = find_piece(task)
@@ -172,7 +174,7 @@
 
 
 def _can_leave(job: Job) -> bool:
-    if job.cancelled or job.ended or job.submission.hops >= MOST_HOPS:
+    if job.cancelled or job.final_state or job.submission.hops >= MOST_HOPS:
         return False
     if job.submission.piece:
         return False
@@ -192,7 +194,7 @@
             return roomier
     if needed > state.lasting_room:
         return _find_room(state, step, needed, MISFIT_GAP)
-    if now - job.taken_at < WAIT_S:
+    if now - job.received_at < WAIT_S:
         return None
     least = BACKFILL_GAP if step.backfill else SHORT_GAP
     return _find_room(state, step, needed, least)
--- a/plantainyard/dispatch/jobs.py
+++ b/plantainyard/dispatch/jobs.py
@@ -83,7 +83,7 @@
     """Take note that a task is done, and end the job if it was the last."""
     task.phase = Phase.DONE
     task.checkpoint = ""
-    task.step.done += 1
+    task.step.done_count += 1
     mark_dirty(state, task.step)
     check_end(state, task.step.job)
 
@@ -91,7 +91,7 @@
 def cancel_job(state: Dispatcher, job_id: str, now: float) -> None:
     """Let nothing of a job start any more and stop what runs."""
     job = state.jobs.get(job_id)
-    if job is None or job.cancelled or job.ended:
+    if job is None or job.cancelled or job.final_state:
         return
     job.cancelled = True
     stop_all(state, job, now)
@@ -100,7 +100,7 @@
 
 def fail_job(state: Dispatcher, job: Job, now: float) -> None:
     """End a job one of whose tasks has failed too often."""
-    if job.ended or job.cancelled:
+    if job.final_state or job.cancelled:
         return
     end_job(state, job, JobState.FAILED)
     stop_all(state, job, now)
@@ -112,33 +112,35 @@
         for task in step.tasks:
             if task.phase == Phase.STORING:
                 release_task(state, task)
-            elif task.phase == Phase.HANDED:
+            elif task.phase == Phase.HANDED_OVER:
                 forward_cancel(state, find_piece(task).record_id)
-            elif task.phase in Phase.OUT:
+            elif task.phase in Phase.ACTIVE:
                 send_stop(state, task, now)
 
 
 def check_end(state: Dispatcher, job: Job) -> None:
     """End the job if nothing of it is left to do."""
-    if job.ended:
+    if job.final_state:
         return
     if job.cancelled:
         if not _is_out(state, job):
             end_job(state, job, JobState.CANCELLED)
         return
     expected = max(1, job.submission.times) * len(job.submission.steps)
-    finished = sum(1 for s in job.steps.values() if s.done == len(s.tasks))
+    finished = sum(1 for s in job.steps.values() if s.done_count == len(s.tasks))
     if finished == expected:
         end_job(state, job, JobState.COMPLETED)
 
 
 def _is_out(state: Dispatcher, job: Job) -> bool:
     tasks = (task for step in job.steps.values() for task in step.tasks)
-    return any(task.phase in Phase.OUT or _awaits_cancel(state, task) for task in tasks)
+    return any(
+        task.phase in Phase.ACTIVE or _awaits_cancel(state, task) for task in tasks
+    )
 
 
 def _awaits_cancel(state: Dispatcher, task: Task) -> bool:
-    handed = task.phase == Phase.HANDED
+    handed = task.phase == Phase.HANDED_OVER
     return handed and find_piece(task).record_id in state.cancels_out
 
 
@@ -150,6 +152,6 @@
 
 def end_job(state: Dispatcher, job: Job, ended: str) -> None:
     """Give a job its final state, to be stored with the next commit."""
-    job.ended = ended
+    job.final_state = ended
     state.ending[job.submission.record_id] = ended
     state.ended[job.submission.record_id] = 0.0
--- a/plantainyard/dispatch/model.py
+++ b/plantainyard/dispatch/model.py
@@ -33,7 +33,7 @@
         It has to go; its end isn't known yet.
     ``DONE``
         Finished.
-    ``HANDED``
+    ``HANDED_OVER``
         Another unit has it.
     """
 
@@ -43,9 +43,9 @@
     RUNNING = "running"
     STOPPING = "stopping"
     DONE = "done"
-    HANDED = "handed"
+    HANDED_OVER = "handed"
 
-    OUT = frozenset({STORING, ORDERED, RUNNING, STOPPING})
+    ACTIVE = frozenset({STORING, ORDERED, RUNNING, STOPPING})
 
 
 @dataclass(slots=True, eq=False)
@@ -64,15 +64,15 @@
         Highest run number assigned so far.
     incarnation : str
         Life of the runner where that run is or may be; empty while none is out.
-    settled_at : float or None
+    resolved_at : float or None
         When it was known that the run is at the runner, or will be refused there; None
         while a start is unanswered. A report that was asked for later and doesn't list
         the run proves that it isn't there.
-    listed : bool
+    seen_in_report : bool
         A report of the life that it was ordered at has listed the run.
     next_order_at : float
         When to repeat an order that wasn't answered.
-    order_out : bool
+    order_pending : bool
         An order about it is on its way.
     starts_sent : int
         How often the start of the newest run was sent.
@@ -84,11 +84,11 @@
         Since when it could have been started.
     not_before : float
         Earliest time of the next start.
-    avoided : set of str
+    avoided_runners : set of str
         Runners that failed or refused it.
-    percent, moved_at : int, float
+    percent, progress_at : int, float
         How far the run is, and when that last changed.
-    pace, pace_before : int
+    pace, previous_pace : int
         Share of full speed that it was ordered to work at, and the one before that.
     slowed_at : float
         When that was last lowered.
@@ -101,20 +101,20 @@
     phase: str = Phase.WAITING
     run: int = 0
     incarnation: str = ""
-    settled_at: float | None = None
-    listed: bool = False
+    resolved_at: float | None = None
+    seen_in_report: bool = False
     next_order_at: float = 0.0
-    order_out: bool = False
+    order_pending: bool = False
     starts_sent: int = 0
     failures: int = 0
     checkpoint: str = ""
     waiting_since: float = 0.0
     not_before: float = 0.0
-    avoided: set[str] = field(default_factory=set)
+    avoided_runners: set[str] = field(default_factory=set)
     percent: int = -1
-    moved_at: float = 0.0
+    progress_at: float = 0.0
     pace: int = 100
-    pace_before: int = 100
+    previous_pace: int = 100
     slowed_at: float = 0.0
     unit: int | None = None
 
@@ -133,11 +133,11 @@
         What was submitted.
     tasks : list of Task
         All of them, by index.
-    done : int
+    done_count : int
         Number of finished tasks.
-    searched : bool
+    no_place_found : bool
         No runner was a place for its next task when all were looked through last.
-    waits_for, explained_at : str, float
+    wait_reason, wait_reason_at : str, float
         Why its tasks wait, one of `timing.TimePart` or empty, and when that was found.
     """
 
@@ -146,10 +146,10 @@
     number: int
     spec: Step
     tasks: list[Task] = field(default_factory=list)
-    done: int = 0
-    searched: bool = False
-    waits_for: str = ""
-    explained_at: float = 0.0
+    done_count: int = 0
+    no_place_found: bool = False
+    wait_reason: str = ""
+    wait_reason_at: float = 0.0
 
 
 @dataclass(slots=True, eq=False)
@@ -162,37 +162,37 @@
         What was accepted.
     deadline : float
         Time until which the latency objective is met, on the dispatcher's clock.
-    useless_at : float
+    useful_until : float
         Time from which its result is of no use to its caller.
-    taken_at : float
+    received_at : float
         When the dispatcher took it in.
-    left_ms : tuple of float
+    remaining_ms : tuple of float
         By step, the estimated time from its start to the job's end.
     steps : dict
         Steps by (occurrence, number); an occurrence is added when it is due.
-    begun : bool
+    started : bool
         A task of it is known to have started.
     cancelled : bool
         Nothing of it may start any more.
-    ended : str
+    final_state : str
         Final state, or empty.
-    times : dict
+    task_time_s : dict
         Seconds of its tasks since this owner took over, by `timing.TimePart`.
-    lost : dict
+    lost_runs : dict
         Runs since then that ended otherwise than done, by how they ended.
     """
 
     submission: Submission
     deadline: float
-    left_ms: tuple[float, ...]
-    taken_at: float = 0.0
-    useless_at: float = 0.0
-    begun: bool = False
+    remaining_ms: tuple[float, ...]
+    received_at: float = 0.0
+    useful_until: float = 0.0
+    started: bool = False
     steps: dict[tuple[int, int], StepRun] = field(default_factory=dict)
     cancelled: bool = False
-    ended: str = ""
-    times: dict[str, float] = field(default_factory=dict)
-    lost: dict[str, int] = field(default_factory=dict)
+    final_state: str = ""
+    task_time_s: dict[str, float] = field(default_factory=dict)
+    lost_runs: dict[str, int] = field(default_factory=dict)
 
 
 @dataclass(slots=True, eq=False)
@@ -205,34 +205,34 @@
         Its name.
     entry : RunnerEntry or None
         None for a life that only a predecessor's records name.
-    listed : bool
+    registered : bool
         Its entry is in the store.
     tasks : dict
         Tasks whose run is or may be there, and those that are being stopped.
-    cpu, memory, gpu : int
+    reserved_cpu, reserved_memory, reserved_gpu : int
         Room taken by them.
     backfill_cpu : int
         Processor time that its backfilling tasks ask for.
     serving_cpu : int
-        Part of `cpu` that serving tasks ask for.
-    known : bool
+        Part of `reserved_cpu` that serving tasks ask for.
+    has_reported : bool
         It has reported since this dispatcher took over.
-    answering : bool
+    responsive : bool
         It isn't silent: one of its last reports came.
-    misses : int
+    missed_reports : int
         Reports in a row that didn't come.
     clock_ms, clock_at : int, float
         Its clock at its last answer, and when that came.
     lease_bound : float
         Time after which nothing that was sent so far can still be running there.
-    seen, stored_seen : int
+    last_end, last_stored_end : int
         Number of the last end that was taken in, and of the last whose meaning is in
         the store.
-    hold_out : bool
+    report_pending : bool
         A report is being waited for.
-    hold_at : float
+    next_report_at : float
         When to ask for the next one.
-    bad : float
+    failure_score : float
         Failures of tasks since its last success.
     leaves_at : float
         When it may be gone, once it is draining.
@@ -240,51 +240,53 @@
         No tasks with limited attempts until then.
     paces : dict
         Share of full speed by backfilling image; full where it isn't named.
-    paced_at, harmed_since : float
+    sampled_at, over_target_since : float
         When a report was last learnt from; since when a serving task is over its target
         (zero: none is).
-    bases : dict
+    base_margins : dict
         By serving job, the margin (target over tail) that it has by its own load, as
         this runner's last report shows it.
-    recent_free : deque of int
+    recent_unreserved : deque of int
         Processor time that wasn't reserved, at the last ticks.
-    loads : dict
+    backfill_loads : dict
         By backfilling image, the part of the processors that it would use at full
         speed.
-    rooms : dict
+    serving_headroom : dict
         By serving image, the pressure that backfilling work may add in all.
-    spare : dict
+    spare_load : dict
         By backfilling image, the load that more work of it may add, as far as it was
-        asked for since `loads` and `rooms` were measured.
+        asked for since `backfill_loads` and `serving_headroom` were measured.
     """
 
     incarnation: str
     entry: RunnerEntry | None
-    listed: bool = True
+    registered: bool = True
     tasks: dict[TaskKey, Task] = field(default_factory=dict)
-    cpu: int = 0
-    memory: int = 0
-    gpu: int = 0
+    reserved_cpu: int = 0
+    reserved_memory: int = 0
+    reserved_gpu: int = 0
     backfill_cpu: int = 0
     serving_cpu: int = 0
-    known: bool = False
-    answering: bool = False
-    misses: int = 0
+    has_reported: bool = False
+    responsive: bool = False
+    missed_reports: int = 0
     clock_ms: int = 0
     clock_at: float = 0.0
     lease_bound: float = 0.0
-    seen: int = 0
-    stored_seen: int = 0
-    hold_out: bool = False
-    hold_at: float = 0.0
-    bad: float = 0.0
+    last_end: int = 0
+    last_stored_end: int = 0
+    report_pending: bool = False
+    next_report_at: float = 0.0
+    failure_score: float = 0.0
     leaves_at: float = 0.0
     quarantined_until: float = 0.0
     paces: dict[str, int] = field(default_factory=dict)
-    paced_at: float = 0.0
-    harmed_since: float = 0.0
-    bases: dict[str, float] = field(default_factory=dict)
-    recent_free: deque[int] = field(default_factory=lambda: deque(maxlen=GAP_TICKS))
-    loads: dict[str, float] = field(default_factory=dict)
-    rooms: dict[str, float] = field(default_factory=dict)
-    spare: dict[str, float] = field(default_factory=dict)
+    sampled_at: float = 0.0
+    over_target_since: float = 0.0
+    base_margins: dict[str, float] = field(default_factory=dict)
+    recent_unreserved: deque[int] = field(
+        default_factory=lambda: deque(maxlen=GAP_TICKS)
+    )
+    backfill_loads: dict[str, float] = field(default_factory=dict)
+    serving_headroom: dict[str, float] = field(default_factory=dict)
+    spare_load: dict[str, float] = field(default_factory=dict)
--- a/plantainyard/dispatch/orders.py
+++ b/plantainyard/dispatch/orders.py
@@ -31,16 +31,16 @@
 def send_start(state: Dispatcher, task: Task, now: float) -> None:
     """Order an assigned run to start; its record is in the store."""
     runner = state.runners.get(task.incarnation)
-    if runner is None or runner.entry is None or not runner.answering:
+    if runner is None or runner.entry is None or not runner.responsive:
         release_task(state, task)
         return
     task.phase = Phase.ORDERED
-    task.settled_at = None
-    task.listed = False
+    task.resolved_at = None
+    task.seen_in_report = False
     task.starts_sent = 0
     task.percent = -1
-    task.moved_at = now
-    task.pace = task.pace_before = 100
+    task.progress_at = now
+    task.pace = task.previous_pace = 100
     _send(state, OrderKind.START, task, runner, now)
 
 
@@ -60,7 +60,7 @@
     assert runner.entry is not None
     if percent < task.pace:
         task.slowed_at = now
-    task.pace_before = max(0, task.pace)
+    task.previous_pace = max(0, task.pace)
     task.pace = percent
     order = SendOrder(OrderKind.PACE, runner.entry, task.key, task.run, percent=percent)
     state.actions.append(order)
@@ -68,7 +68,7 @@
 
 def pace_backfill(state: Dispatcher, runner: Runner, now: float) -> None:
     """Choose the paces of the runner's backfilling tasks, and order what changes."""
-    over_s = now - runner.harmed_since if runner.harmed_since else 0.0
+    over_s = now - runner.over_target_since if runner.over_target_since else 0.0
     if over_s > state.limits.harm_s * STOP_ALL:
         images = {t.step.spec.image for t in runner.tasks.values()}
         runner.paces = dict.fromkeys(images, 0)
@@ -91,7 +91,7 @@
 
 def _send(state: Dispatcher, kind: str, task: Task, runner: Runner, now: float) -> None:
     assert runner.entry is not None
-    task.order_out = True
+    task.order_pending = True
     task.next_order_at = now + state.limits.order_retry_s
     starts = kind == OrderKind.START
     lease_ms = make_lease(runner, state.limits, state.renewed_at, now) if starts else 0
@@ -122,14 +122,14 @@
         if runner.entry is None:
             continue
         for task in list(runner.tasks.values()):
-            if task.order_out or now < task.next_order_at:
+            if task.order_pending or now < task.next_order_at:
                 continue
             if task.phase == Phase.STOPPING:
                 _send(state, OrderKind.STOP, task, runner, now)
             elif (
                 task.phase == Phase.ORDERED
-                and task.settled_at is None
-                and runner.answering
+                and task.resolved_at is None
+                and runner.responsive
             ):
                 _send(state, OrderKind.START, task, runner, now)
 
@@ -141,6 +141,6 @@
         release_room(runner, task)
     task.phase = Phase.WAITING
     task.incarnation = ""
-    task.settled_at = None
-    task.order_out = False
+    task.resolved_at = None
+    task.order_pending = False
     task.percent = -1
--- a/plantainyard/dispatch/pacing.py
+++ b/plantainyard/dispatch/pacing.py
@@ -104,12 +104,12 @@
 
 def measure_rooms(runner: Runner, harms: Harms) -> None:
     """Take note of what the bases of now leave to backfilling work, for placing."""
-    runner.loads = _sum_loads(runner)
-    runner.rooms = {
+    runner.backfill_loads = _sum_loads(runner)
+    runner.serving_headroom = {
         serving: measure_room(base, KEPT_MARGIN)
         for serving, base in _list_bases(runner, harms, PLACING_S).items()
     }
-    runner.spare = {}
+    runner.spare_load = {}
 
 
 def find_spare(runner: Runner, harms: Harms, image: str) -> float:
@@ -128,25 +128,29 @@
     of its pace makes room for a whole harmless task. The result is kept until the
     runner's next report; the cost is a pass over its pairs of images.
     """
-    found = runner.spare.get(image)
+    found = runner.spare_load.get(image)
     if found is None:
         limits = (
             _find_spare_beside(runner, harms, image, serving)
-            for serving in runner.rooms
+            for serving in runner.serving_headroom
         )
-        found = runner.spare[image] = min(limits, default=1.0)
+        found = runner.spare_load[image] = min(limits, default=1.0)
     return found
 
 
 def _find_spare_beside(runner: Runner, harms: Harms, image: str, serving: str) -> float:
     weight = find_weight_at_worst(harms, serving, image)
-    weights = {i: find_weight_at_worst(harms, serving, i) for i in runner.loads}
+    weights = {
+        i: find_weight_at_worst(harms, serving, i) for i in runner.backfill_loads
+    }
     taken = sum(
         weights[other] * load
-        for other, load in runner.loads.items()
+        for other, load in runner.backfill_loads.items()
         if weights[other] <= MUCH_MORE * weight
     )
-    return min(1.0, max(0.0, runner.rooms[serving] - taken) / max(weight, 1e-6))
+    return min(
+        1.0, max(0.0, runner.serving_headroom[serving] - taken) / max(weight, 1e-6)
+    )
 
 
 def _list_bases(runner: Runner, harms: Harms, ahead_s: float) -> dict[str, float]:
@@ -158,7 +162,7 @@
     }
     bases: dict[str, float] = {}
     for job_id, image in images.items():
-        own = runner.bases.get(job_id, MARGIN_CEILING)
+        own = runner.base_margins.get(job_id, MARGIN_CEILING)
         base = forecast_margin(harms, job_id, own, ahead_s, LOWEST_BASE)
         bases[image] = min(base, bases.get(image, MARGIN_CEILING))
     return bases
@@ -173,7 +177,7 @@
         spec = task.step.spec
         if spec.backfill and task.phase != Phase.STOPPING:
             loads[spec.image] = loads.get(spec.image, 0.0) + spec.resources.cpu / cpu
-    unused = 1.0 - (runner.cpu - (1 - SERVING_USE) * runner.serving_cpu) / cpu
+    unused = 1.0 - (runner.reserved_cpu - (1 - SERVING_USE) * runner.serving_cpu) / cpu
     crowding = min(1.0, max(unused, 0.05) / max(sum(loads.values()), 1e-6))
     return {image: load * crowding for image, load in loads.items()}
 
--- a/plantainyard/dispatch/placing.py
+++ b/plantainyard/dispatch/placing.py
@@ -60,7 +60,7 @@
 def _is_begun(task: Task) -> bool:
     """Return whether another task of the job is, or may be, at a runner."""
     steps = task.step.job.steps.values()
-    return any(other.phase in Phase.OUT for step in steps for other in step.tasks)
+    return any(other.phase in Phase.ACTIVE for step in steps for other in step.tasks)
 
 
 def expect_speed(spec: Step, runner: Runner, harms: Harms) -> float:
@@ -81,7 +81,7 @@
 def measure_unused(runner: Runner) -> float:
     """Return the processor time that further backfilling work would find unused."""
     assert runner.entry is not None
-    reserved = runner.cpu - (1 - SERVING_USE) * runner.serving_cpu
+    reserved = runner.reserved_cpu - (1 - SERVING_USE) * runner.serving_cpu
     return runner.entry.capacity.cpu - reserved - runner.backfill_cpu
 
 
@@ -93,7 +93,7 @@
     Guards against short jobs that find no room for the rest of the day: whenever one
     of their tasks ends, a long-running task that waits would take its place for good.
     """
-    return min(runner.recent_free, default=0) >= spec.resources.cpu
+    return min(runner.recent_unreserved, default=0) >= spec.resources.cpu
 
 
 def takes_work(runner: Runner) -> bool:
@@ -104,9 +104,9 @@
     A runner that hasn't reported to this owner may be full of its predecessor's tasks.
     """
     entry = runner.entry
-    if entry is None or entry.draining or not runner.listed:
+    if entry is None or entry.draining or not runner.registered:
         return False
-    return runner.known and runner.answering
+    return runner.has_reported and runner.responsive
 
 
 def can_start(task: Task, runner: Runner, now: float) -> bool:
@@ -154,9 +154,9 @@
     capacity = runner.entry.capacity
     wanted = spec.resources
     return (
-        runner.cpu + find_reserved_cpu(spec) <= capacity.cpu
-        and runner.memory + wanted.memory <= capacity.memory
-        and runner.gpu + wanted.gpu <= capacity.gpu
+        runner.reserved_cpu + find_reserved_cpu(spec) <= capacity.cpu
+        and runner.reserved_memory + wanted.memory <= capacity.memory
+        and runner.reserved_gpu + wanted.gpu <= capacity.gpu
     )
 
 
@@ -164,7 +164,9 @@
     """Take note of what is free at each runner; called with every tick."""
     for runner in runners:
         if runner.entry is not None:
-            runner.recent_free.append(runner.entry.capacity.cpu - runner.cpu)
+            runner.recent_unreserved.append(
+                runner.entry.capacity.cpu - runner.reserved_cpu
+            )
 
 
 def take_room(runner: Runner, task: Task) -> None:
@@ -185,7 +187,7 @@
     if spec.backfill:
         runner.backfill_cpu += cpu
     else:
-        runner.cpu += cpu
+        runner.reserved_cpu += cpu
         runner.serving_cpu += cpu if spec.target_ms else 0
-    runner.memory += sign * spec.resources.memory
-    runner.gpu += sign * spec.resources.gpu
+    runner.reserved_memory += sign * spec.resources.memory
+    runner.reserved_gpu += sign * spec.resources.gpu
--- a/plantainyard/dispatch/planning.py
+++ b/plantainyard/dispatch/planning.py
@@ -86,7 +86,7 @@
             # What wasn't looked at must not be taken for what found no place.
             state.search_all = True
             return
-        again = step.searched and not search_all
+        again = step.no_place_found and not search_all
         if not step.spec.gang:
             _place_tasks(
                 state, step, changed if again else runners, unplaced, again, now
@@ -111,7 +111,7 @@
     moving = [
         (runner, task)
         for runner in runners
-        if runner.answering and runner.entry is not None
+        if runner.responsive and runner.entry is not None
         for task in runner.tasks.values()
         if task.phase == Phase.RUNNING and _should_move(runner, task, now)
     ]
@@ -143,32 +143,32 @@
     if task.step.spec.long_running:
         return True
     # What is nearly done may finish; the rest resumes elsewhere.
-    assert task.settled_at is not None
-    elapsed_s = now - task.settled_at
+    assert task.resolved_at is not None
+    elapsed_s = now - task.resolved_at
     left_s = elapsed_s * (100 - task.percent) / max(task.percent, 1)
     return task.step.spec.saves_progress and now + left_s > runner.leaves_at
 
 
 def _is_stalled(task: Task, now: float) -> bool:
     paced = task.step.spec.backfill and task.pace < SLOW_PACE
-    return not paced and task.percent < 100 and now - task.moved_at > STALL_S
+    return not paced and task.percent < 100 and now - task.progress_at > STALL_S
 
 
 def _blame_for_stall(state: Dispatcher, runner: Runner, task: Task, now: float) -> None:
     assert runner.entry is not None
-    task.avoided.add(runner.entry.runner)
-    runner.bad += 1.0
-    if runner.bad >= state.limits.quarantine_after:
+    task.avoided_runners.add(runner.entry.runner)
+    runner.failure_score += 1.0
+    if runner.failure_score >= state.limits.quarantine_after:
         runner.quarantined_until = now + state.limits.quarantine_s
 
 
 def _find_ready(job: Job) -> list[StepRun]:
-    if job.cancelled or job.ended:
+    if job.cancelled or job.final_state:
         return []
     return [
         step
         for step in job.steps.values()
-        if step.done < len(step.tasks)
+        if step.done_count < len(step.tasks)
         and all(_is_done(job, step.occurrence, n) for n in step.spec.after)
         and has_waiting(step)
     ]
@@ -176,7 +176,7 @@
 
 def _is_done(job: Job, occurrence: int, number: int) -> bool:
     step = job.steps[occurrence, number]
-    return step.done == len(step.tasks)
+    return step.done_count == len(step.tasks)
 
 
 def _place_tasks(
@@ -215,7 +215,7 @@
 def _leave_waiting(
     step: StepRun, task: Task, runners: list[Runner], again: bool, now: float
 ) -> None:
-    step.searched = True
+    step.no_place_found = True
     if not again:
         explain_wait(step, task, runners, now)
 
@@ -337,8 +337,8 @@
     task.run = run
     task.incarnation = runner.incarnation
     task.waiting_since = 0.0
-    task.step.waits_for = ""
-    task.step.searched = False
+    task.step.wait_reason = ""
+    task.step.no_place_found = False
     take_room(runner, task)
     if task.step.spec.backfill or task.step.spec.target_ms:
         # What is there already is slowed before the newcomer adds to the harm.
--- a/plantainyard/dispatch/queue.py
+++ b/plantainyard/dispatch/queue.py
@@ -92,10 +92,10 @@
 
 def _find_delay(step: StepRun, now: float) -> int:
     job = step.job
-    ends_at = now + OPTIMISM * job.left_ms[step.number] / 1000
+    ends_at = now + OPTIMISM * job.remaining_ms[step.number] / 1000
     if ends_at <= job.deadline:
         return _Delay.NONE
-    return _Delay.LATE if ends_at <= job.useless_at else _Delay.OF_NO_USE
+    return _Delay.LATE if ends_at <= job.useful_until else _Delay.OF_NO_USE
 
 
 def _find_turn(step: StepRun, delay: int) -> int:
@@ -111,7 +111,7 @@
 def measure_work(job: Job) -> float:
     """Return the estimated work that is left of a job's open steps, in core-seconds."""
     return sum(
-        (len(step.tasks) - step.done)
+        (len(step.tasks) - step.done_count)
         * max(step.spec.resources.cpu, 1)
         * step.spec.estimate_ms
         / 1e6
@@ -172,7 +172,7 @@
 def set_deadlines(job: Job, accepted: float) -> None:
     """Take note of when a job is late, and when it is of no use any more."""
     job.deadline = find_deadline(job.submission, accepted)
-    job.useless_at = find_deadline(job.submission, accepted, LATE_FACTOR)
+    job.useful_until = find_deadline(job.submission, accepted, LATE_FACTOR)
 
 
 def has_waiting(step: StepRun) -> bool:
--- a/plantainyard/dispatch/ranking.py
+++ b/plantainyard/dispatch/ranking.py
@@ -178,7 +178,7 @@
     tolerant ones are full: it would be slowed to a stop there and hold its memory.
     """
     usable = list(ranked.places.values())
-    if task.avoided:
+    if task.avoided_runners:
         fresh = [p for p in usable if not _is_avoided(task, p.runner)]
         usable = fresh or usable
     if task.step.spec.backfill:
@@ -192,7 +192,7 @@
 
 
 def _is_avoided(task: Task, runner: Runner) -> bool:
-    return runner.entry is None or runner.entry.runner in task.avoided
+    return runner.entry is None or runner.entry.runner in task.avoided_runners
 
 
 def _get_score(place: Place) -> float:
@@ -214,7 +214,7 @@
         score += _match_images(task, runner)
     # The fullest runner that has room: what is left free stays whole, for tasks that
     # need much and for backfilling ones that find no serving task there.
-    return score - (runner.entry.capacity.cpu - runner.cpu) / 1000
+    return score - (runner.entry.capacity.cpu - runner.reserved_cpu) / 1000
 
 
 def _score_backfill(
@@ -232,7 +232,7 @@
     assert runner.entry is not None
     near = runner.entry.rack == spec.preferred_rack and spec.preferred_rack != ""
     score = RACK_BONUS if near and limits.remote_factor > 1 else 0.0
-    return score - BAD_COST * runner.bad
+    return score - BAD_COST * runner.failure_score
 
 
 def _measure_freedom(runner: Runner, harms: Harms) -> float:
@@ -241,7 +241,10 @@
     if not images:
         return 0.0
     harmless = sum(
-        all(find_weight(harms, serving, image) < HARMLESS for serving in runner.rooms)
+        all(
+            find_weight(harms, serving, image) < HARMLESS
+            for serving in runner.serving_headroom
+        )
         for image in images
     )
     return harmless / len(images)
--- a/plantainyard/dispatch/reports.py
+++ b/plantainyard/dispatch/reports.py
@@ -44,14 +44,14 @@
     old = state.runners.get(state.incarnations.get(runner_id, ""))
     if entry is None:
         if old is not None:
-            old.listed = False
+            old.registered = False
         return
     runner = state.runners.get(entry.incarnation)
     if runner is None:
         runner = Runner(entry.incarnation, entry)
         state.runners[entry.incarnation] = runner
     runner.entry = entry
-    runner.listed = True
+    runner.registered = True
     if entry.draining and not runner.leaves_at:
         stays_ms = DRAIN_MS if entry.leaves_in_ms is None else entry.leaves_in_ms
         runner.leaves_at = now + stays_ms / 1000
@@ -77,12 +77,12 @@
     nothing of the new one: only a report after the answer to that stop counts.
     """
     for task in list(old.tasks.values()):
-        ended = task.listed and task.starts_sent == 1
+        ended = task.seen_in_report and task.starts_sent == 1
         if ended or task.phase == Phase.STORING:
             runs.free_task(state, task)
             continue
         release_room(old, task)
-        task.settled_at = None
+        task.resolved_at = None
         task.incarnation = new.incarnation
         take_room(new, task)
         orders.send_stop(state, task, now)
@@ -95,15 +95,15 @@
     runner = state.runners.get(event.incarnation)
     if runner is None or runner.entry is None:
         return
-    runner.hold_out = False
+    runner.report_pending = False
     held = event.report
     if held.born_ms is not None and held.born_ms != runner.entry.born_ms:
         _await_new_entry(state, runner, now)
         return
     note_clock(runner, held.clock_ms, now)
-    runner.answering = True
-    runner.misses = 0
-    runner.hold_at = now + state.limits.idle_hold_s
+    runner.responsive = True
+    runner.missed_reports = 0
+    runner.next_report_at = now + state.limits.idle_hold_s
     _take_ends(state, runner, held, now)
     present = {
         row.task
@@ -112,15 +112,15 @@
     }
     if len(held.ended) < FULL_REPORT:
         _free_missing(state, runner, present, event.sent_at)
-        runner.known = True
+        runner.has_reported = True
     _adjust_pace(state, runner, held, now)
 
 
 def _take_ends(state: Dispatcher, runner: Runner, held: Held, now: float) -> None:
     for end in sorted(held.ended):
-        if end.number <= runner.seen:
+        if end.number <= runner.last_end:
             continue
-        runner.seen = end.number
+        runner.last_end = end.number
         task = runner.tasks.get(end.task)
         if task is not None and task.run == end.run:
             runs.end_run(state, task, runner, end.how, end.checkpoint, now)
@@ -134,16 +134,16 @@
     if task is None or task.run != row.run:
         _stop_stray(state, runner, row.task, row.run)
         return False
-    task.listed = True
+    task.seen_in_report = True
     runs.note_begun(state, task.step, now)
     if row.checkpoint:
         task.checkpoint = row.checkpoint
     if row.percent != task.percent:
         task.percent = row.percent
-        task.moved_at = now
+        task.progress_at = now
     if task.phase == Phase.ORDERED:
         task.phase = Phase.RUNNING
-        task.settled_at = sent_at
+        task.resolved_at = sent_at
     return True
 
 
@@ -159,7 +159,7 @@
     """Free the tasks whose runs are certainly not at the runner any more."""
     for task in list(runner.tasks.values()):
         gone = task.key not in present and task.phase != Phase.STORING
-        if gone and task.settled_at is not None and task.settled_at <= sent_at:
+        if gone and task.resolved_at is not None and task.resolved_at <= sent_at:
             runs.free_task(state, task)
 
 
@@ -172,9 +172,9 @@
     for nothing but to go on: its ends are numbered anew, and told of those of the old
     life it would forget as many of its own, which nobody has taken in.
     """
-    runner.seen = runner.stored_seen = 0
-    runner.answering = False
-    runner.hold_at = now + state.limits.hold_retry_s
+    runner.last_end = runner.last_stored_end = 0
+    runner.responsive = False
+    runner.next_report_at = now + state.limits.hold_retry_s
 
 
 def take_silence(state: Dispatcher, event: ReportFailed, now: float) -> None:
@@ -189,45 +189,45 @@
     runner = state.runners.get(event.incarnation)
     if runner is None:
         return
-    runner.hold_out = False
-    runner.misses += 1
-    if runner.misses < SILENT_AFTER and not event.other_incarnation:
+    runner.report_pending = False
+    runner.missed_reports += 1
+    if runner.missed_reports < SILENT_AFTER and not event.other_incarnation:
         return
-    runner.answering = False
-    runner.hold_at = now + state.limits.hold_retry_s
+    runner.responsive = False
+    runner.next_report_at = now + state.limits.hold_retry_s
 
 
 def expire_leases(state: Dispatcher, now: float) -> None:
     """Free the tasks of silent runners whose leases have lapsed; forget dead lives."""
     for runner in list(state.runners.values()):
-        silent = runner.entry is None or not runner.answering
+        silent = runner.entry is None or not runner.responsive
         if silent and has_lapsed(runner, now):
             for task in list(runner.tasks.values()):
                 if task.phase != Phase.STORING:
                     runs.free_task(state, task)
         if runner.quarantined_until and runner.quarantined_until < now:
             runner.quarantined_until = 0.0
-            runner.bad = state.limits.quarantine_after / 2
-        dead = runner.entry is None or not runner.listed
-        if dead and not runner.tasks and not runner.hold_out:
+            runner.failure_score = state.limits.quarantine_after / 2
+        dead = runner.entry is None or not runner.registered
+        if dead and not runner.tasks and not runner.report_pending:
             del state.runners[runner.incarnation]
 
 
 def ask_runners(state: Dispatcher, now: float) -> None:
     """Ask each runner for its report when it is due."""
     for runner in state.runners.values():
-        if runner.hold_out or runner.entry is None:
+        if runner.report_pending or runner.entry is None:
             continue
-        if not runner.known or not runner.answering or not runner.tasks:
-            if now >= runner.hold_at:
+        if not runner.has_reported or not runner.responsive or not runner.tasks:
+            if now >= runner.next_report_at:
                 _ask(state, runner, now, 0.0, renew=False)
-        elif runner.seen == runner.stored_seen:
+        elif runner.last_end == runner.last_stored_end:
             watched = has_targets(runner) and has_backfill(runner)
             limits = state.limits
             wait_s = limits.watch_wait_s if watched else limits.hold_wait_s
-            wait_s = 0.0 if runner.misses else wait_s
+            wait_s = 0.0 if runner.missed_reports else wait_s
             _ask(state, runner, now, wait_s, renew=True)
-        elif now >= runner.hold_at:
+        elif now >= runner.next_report_at:
             # The store is slow: ends can't be acknowledged, yet the lease must go on.
             _ask(state, runner, now, 0.0, renew=True)
 
@@ -236,28 +236,28 @@
     state: Dispatcher, runner: Runner, now: float, wait_s: float, renew: bool
 ) -> None:
     assert runner.entry is not None
-    runner.hold_out = True
+    runner.report_pending = True
     until_ms = make_lease(runner, state.limits, state.renewed_at, now) if renew else 0
     state.actions.append(
-        RequestReport(runner.entry, runner.stored_seen, until_ms, wait_s)
+        RequestReport(runner.entry, runner.last_stored_end, until_ms, wait_s)
     )
 
 
 def _adjust_pace(state: Dispatcher, runner: Runner, held: Held, now: float) -> None:
     """Learn from the report, and slow what harms the runner's serving tasks."""
     if not has_targets(runner):
-        runner.bases = {}
-        runner.harmed_since = 0.0
-    elif now - runner.paced_at >= state.limits.watch_wait_s * 0.8:
-        runner.paced_at = now
+        runner.base_margins = {}
+        runner.over_target_since = 0.0
+    elif now - runner.sampled_at >= state.limits.watch_wait_s * 0.8:
+        runner.sampled_at = now
         sample = read_sample(runner, held.running)
-        runner.bases = learn(state.harms, sample, now)
+        runner.base_margins = learn(state.harms, sample, now)
         _note_harm(runner, max((t.value for t in sample.tails), default=0.0), now)
     orders.pace_backfill(state, runner, now)
 
 
 def _note_harm(runner: Runner, worst: float, now: float) -> None:
     if worst <= 1.0:
-        runner.harmed_since = 0.0
-    elif not runner.harmed_since:
-        runner.harmed_since = now
+        runner.over_target_since = 0.0
+    elif not runner.over_target_since:
+        runner.over_target_since = now
--- a/plantainyard/dispatch/restoring.py
+++ b/plantainyard/dispatch/restoring.py
@@ -73,7 +73,7 @@
     assert submission is not None
     add_job(state, submission, now)
     job = state.jobs[submission.record_id]
-    job.begun = view.begun
+    job.started = view.begun
     accepted = submission.accepted_at_ms / 1000 - state.wall_offset_s
     set_deadlines(job, min(now, accepted))
     for (occurrence, number), progress in view.steps.items():
@@ -97,7 +97,7 @@
     for task in step.tasks:
         if task.key.number in progress.done:
             task.phase = Phase.DONE
-            step.done += 1
+            step.done_count += 1
     by_number = {task.key.number: task for task in step.tasks}
     for index, stored in progress.tasks.items():
         task = by_number[index]
@@ -114,7 +114,7 @@
     state: Dispatcher, task: Task, unit: int, delivered: Set[str]
 ) -> None:
     """Send a task that was handed over once more; see `_restore_moved`."""
-    task.phase = Phase.HANDED
+    task.phase = Phase.HANDED_OVER
     task.unit = unit
     piece = find_piece(task)
     note_moved(state, piece, unit)
@@ -127,7 +127,7 @@
 def _restore_run(state: Dispatcher, task: Task, incarnation: str, now: float) -> None:
     task.phase = Phase.ORDERED
     task.incarnation = incarnation
-    task.settled_at = now
+    task.resolved_at = now
     runner = state.runners.get(incarnation)
     if runner is None:
         runner = Runner(incarnation, None)
--- a/plantainyard/dispatch/runs.py
+++ b/plantainyard/dispatch/runs.py
@@ -19,11 +19,11 @@
 def note_begun(state: Dispatcher, step: StepRun, now: float) -> None:
     """Take note that a runner has, or had, a run of a step's job."""
     job = step.job
-    if job.begun:
+    if job.started:
         return
-    job.begun = True
+    job.started = True
     state.begun[id(step)] = step
-    waited_s = round(now - job.taken_at, 3)
+    waited_s = round(now - job.received_at, 3)
     state.actions.append(JobStarted(job.submission.record_id, waited_s))
 
 
@@ -40,7 +40,7 @@
     if event.kind == OrderKind.PACE:
         _take_pace_answer(task, event)
         return
-    task.order_out = False
+    task.order_pending = False
     outcome = event.result.outcome
     if event.kind == OrderKind.STOP:
         _take_stop_answer(task, outcome, now)
@@ -64,32 +64,32 @@
     end is known, and reports wait longer than repeats. Were the last answer to count,
     each report would have been asked for before it, and none would prove anything.
     """
-    if outcome == OrderOutcome.DONE and task.settled_at is None:
-        task.settled_at = now
+    if outcome == OrderOutcome.DONE and task.resolved_at is None:
+        task.resolved_at = now
 
 
 def _take_start_answer(
     state: Dispatcher, task: Task, runner: Runner, outcome: str, now: float
 ) -> None:
     if outcome == OrderOutcome.DONE:
-        task.settled_at = now
+        task.resolved_at = now
         note_begun(state, task.step, now)
         if task.phase == Phase.ORDERED:
             task.phase = Phase.RUNNING
-            task.moved_at = now
+            task.progress_at = now
             spec = task.step.spec
             if spec.backfill and pace_of(runner, spec.image) < task.pace:
                 send_pace(state, task, runner, pace_of(runner, spec.image), now)
         return
     if outcome == OrderOutcome.OLD:
         # The run has ended there or was stopped: the next report tells.
-        task.settled_at = now
+        task.resolved_at = now
         return
-    if outcome in _NOT_DONE and task.settled_at is None:
+    if outcome in _NOT_DONE and task.resolved_at is None:
         entry = runner.entry
         if outcome == OrderOutcome.REFUSED and entry is not None:
-            task.avoided.add(entry.runner)
-            runner.bad += 0.5
+            task.avoided_runners.add(entry.runner)
+            runner.failure_score += 0.5
         task.not_before = now + state.limits.retry_s
         _settle_refusal(state, task, now)
 
@@ -125,8 +125,8 @@
     release_room(runner, task)
     job = task.step.job
     lasting = task.step.spec.long_running
-    if how == "done" and not lasting and not job.cancelled and not job.ended:
-        runner.bad = 0.0
+    if how == "done" and not lasting and not job.cancelled and not job.final_state:
+        runner.failure_score = 0.0
         task.incarnation = ""
         jobs.finish_task(state, task)
         return
@@ -144,8 +144,8 @@
     first = task.failures == 0
     task.failures += 1
     if runner.entry is not None:
-        task.avoided.add(runner.entry.runner)
+        task.avoided_runners.add(runner.entry.runner)
     # A task that failed elsewhere too says little about this runner.
-    runner.bad += 1.0 if first else 0.25
-    if runner.bad >= state.limits.quarantine_after:
+    runner.failure_score += 1.0 if first else 0.25
+    if runner.failure_score >= state.limits.quarantine_after:
         runner.quarantined_until = now + state.limits.quarantine_s
--- a/plantainyard/dispatch/samples.py
+++ b/plantainyard/dispatch/samples.py
@@ -96,7 +96,7 @@
     Guards against a harmful image that is taken for harmless after seconds in which
     its tasks were in quiet phases, and is let go just before they end.
     """
-    pace = min(task.pace, task.pace_before) / 100
+    pace = min(task.pace, task.previous_pace) / 100
     busy = used >= QUIET_USE * pace * task.step.spec.resources.cpu
     return used if busy else QUIET_PART * used
 
--- a/plantainyard/dispatch/state.py
+++ b/plantainyard/dispatch/state.py
@@ -192,6 +192,6 @@
 
 
 def _name_state(runner: Runner) -> str:
-    if not runner.answering:
+    if not runner.responsive:
         return "silent"
     return "quarantined" if runner.quarantined_until else "answering"
--- a/plantainyard/dispatch/tests/test_handover.py
+++ b/plantainyard/dispatch/tests/test_handover.py
@@ -408,7 +408,7 @@
     world = World(runners=1)
     (runner,) = world.state.runners.values()
     assert measure_load(world.state) != EMPTY_LOAD
-    runner.known = False
+    runner.has_reported = False
     assert measure_load(world.state) == EMPTY_LOAD
 
 
--- a/plantainyard/dispatch/tests/test_pacing.py
+++ b/plantainyard/dispatch/tests/test_pacing.py
@@ -38,7 +38,7 @@
         capacity=Resources(CPU, 250_000, 0),
         labels=(),
     )
-    return Runner(incarnation, entry, known=True, answering=True)
+    return Runner(incarnation, entry, has_reported=True, responsive=True)
 
 
 def put(runner: Runner, spec: Step, job_id: str = "") -> Task:
@@ -88,7 +88,7 @@
     """Choose paces and have them in force at once."""
     runner.paces = choose_paces(runner, harms)
     for task in runner.tasks.values():
-        task.pace_before = task.pace
+        task.previous_pace = task.pace
         task.pace = pace_of(runner, task.step.spec.image)
 
 
@@ -108,7 +108,7 @@
             rows = report(runner, now)
             sample = read_sample(runner, rows)
             missed += any(tail.value > 1.0 for tail in sample.tails)
-            runner.bases = learn(harms, sample, now)
+            runner.base_margins = learn(harms, sample, now)
         paces = [pace_of(full, image) / 100 for image in images]
         done += sum(paces) / len(paces)
         apply_paces(full, harms)
@@ -141,9 +141,9 @@
         now = number * 0.25
         learn(harms, read_sample(other, report(other, now)), now)
         sample = read_sample(runner, report(runner, now))
-        runner.bases = learn(harms, sample, now)
+        runner.base_margins = learn(harms, sample, now)
         apply_paces(runner, harms)
-    runner.bases = {"web": 1.6}
+    runner.base_margins = {"web": 1.6}
     harms.tracks.clear()
     for _ in range(3):
         apply_paces(runner, harms)
@@ -159,7 +159,7 @@
     busy, calm = make_runner("r0@1"), make_runner("r1@1")
     for runner, base in ((busy, 1.6), (calm, 3.8)):
         task = put(runner, serving())
-        runner.bases = {task.key.job_id: base}
+        runner.base_margins = {task.key.job_id: base}
         harms.tracks[task.key.job_id] = Track(base, base, 0.0)
         measure_rooms(runner, harms)
     task = put(make_runner("r2@1"), filling("heavy"))
@@ -179,7 +179,7 @@
     neighbour = put(runner, serving())
     put(runner, filling("heavy"))
     put(runner, filling("heavy"))
-    runner.bases = {neighbour.key.job_id: 2.0}
+    runner.base_margins = {neighbour.key.job_id: 2.0}
     harms.tracks[neighbour.key.job_id] = Track(2.0, 2.0, 0.0)
     measure_rooms(runner, harms)
 
@@ -215,7 +215,7 @@
     play_harms(harms)
     runner = make_runner("r0@1")
     neighbour = put(runner, serving())
-    runner.bases = {neighbour.key.job_id: 1.3}
+    runner.base_margins = {neighbour.key.job_id: 1.3}
     harms.tracks[neighbour.key.job_id] = Track(1.3, 1.3, 0.0)
     measure_rooms(runner, harms)
     task = put(make_runner("r2@1"), filling("heavy"))
@@ -263,7 +263,7 @@
     put(runner, serving(), "web")
     put(runner, filling("light"))
     play_harms(harms)
-    runner.bases = {"web": 4.0}
+    runner.base_margins = {"web": 4.0}
     harms.tracks["web"] = Track(4.0, 4.0, 0.0)
     runner.paces = {"light": 0}
     apply_paces(runner, harms)
@@ -302,8 +302,8 @@
     runner = make_runner("r0@1")
     put(runner, serving(), "web")
     task = put(runner, filling("light"))
-    runner.bases = {"web": 4.0}
-    runner.harmed_since = 100.0
+    runner.base_margins = {"web": 4.0}
+    runner.over_target_since = 100.0
     pace_backfill(state, runner, 101.0)
     assert task.pace > 0
     pace_backfill(state, runner, 102.0)
@@ -322,6 +322,6 @@
     step = StepRun(piece.step.job, 0, 0, piece.step.spec)
     late = Task(key, step)
     for runner in (beside, fuller):
-        runner.recent_free.append(CPU)
+        runner.recent_unreserved.append(CPU)
     chosen = choose_runner(late, [beside, fuller], Limits(), Harms(), 100.0)
     assert chosen is beside
--- a/plantainyard/dispatch/tests/test_pending.py
+++ b/plantainyard/dispatch/tests/test_pending.py
@@ -86,8 +86,8 @@
     world.submit("c", make_step())
     world.begin()
     assert count_waiting(world) == 1
-    assert world.state.jobs["a"].begun
-    assert not world.state.jobs["c"].begun
+    assert world.state.jobs["a"].started
+    assert not world.state.jobs["c"].started
     world.run(LEASE_LAPSES_S)
     assert count_waiting(world) == 1
 
--- a/plantainyard/dispatch/tests/test_planning.py
+++ b/plantainyard/dispatch/tests/test_planning.py
@@ -104,11 +104,11 @@
     state, now = world.state, world.now
     runners = list(state.runners.values())
     for runner, cores in zip(runners, free, strict=True):
-        runner.cpu = CAPACITY - 1_000 * cores
+        runner.reserved_cpu = CAPACITY - 1_000 * cores
     job = Job(Submission("a", "q", SERVICE, "", ()), 0.0, ())
     step = StepRun(job, 0, 0, make_step(size, 2_000, backfill=backfill))
     tasks = [Task(TaskKey("a", 0, 0, number), step) for number in range(size)]
-    tasks[-1].avoided = {f"r{number}" for number in avoided}
+    tasks[-1].avoided_runners = {f"r{number}" for number in avoided}
     ranked = rank_places(tasks[0], runners, state.harms, now)
     assigned: list[Runner] = []
     for task in tasks:
--- a/plantainyard/dispatch/tests/test_queue.py
+++ b/plantainyard/dispatch/tests/test_queue.py
@@ -44,7 +44,7 @@
     # the oldest first, room goes to what nobody waits for until the others have been
     # given up too.
     jobs = make_job("given-up", 1, 5.0), make_job("late", 5, 15.0)
-    jobs[0].useless_at, jobs[1].useless_at = 15.0, 45.0
+    jobs[0].useful_until, jobs[1].useful_until = 15.0, 45.0
     assert order(20.0, *jobs) == ["late", "given-up"]
 
 
@@ -52,9 +52,9 @@
     # A short job that missed its objective by a second waited behind long-running jobs
     # that took each gap for a minute, and came too late to be of use.
     late, lasting = make_job("late", 1, 15.0), make_lasting_job("lasting", 0)
-    late.useless_at = 45.0
+    late.useful_until = 45.0
     assert order(20.0, lasting, late) == ["late", "lasting"]
-    late.useless_at = 15.0
+    late.useful_until = 15.0
     assert order(20.0, lasting, late) == ["lasting", "late"]
 
 
--- a/plantainyard/dispatch/tests/test_takeovers.py
+++ b/plantainyard/dispatch/tests/test_takeovers.py
@@ -288,7 +288,7 @@
     world.begin()
     job = world.state.jobs["a"]
     assert job.deadline == pytest.approx(world.now - 30.0 + 2.0, abs=1.0)
-    assert job.useless_at == pytest.approx(world.now - 30.0 + 6.0, abs=1.0)
+    assert job.useful_until == pytest.approx(world.now - 30.0 + 6.0, abs=1.0)
 
 
 def test_a_task_whose_runner_starts_anew_goes_on_where_reports_wait():
--- a/plantainyard/dispatch/timing.py
+++ b/plantainyard/dispatch/timing.py
@@ -58,16 +58,16 @@
     The whole step is taken to wait for the same reason. The cost is at most two passes
     over the runners, every half second for each step.
     """
-    if now - step.explained_at < EXPLAIN_EVERY_S:
+    if now - step.wait_reason_at < EXPLAIN_EVERY_S:
         return
-    step.explained_at = now
+    step.wait_reason_at = now
     usable = [runner for runner in runners if can_start(task, runner, now)]
     if not usable:
-        step.waits_for = TimePart.WAITING_RUNNER
+        step.wait_reason = TimePart.WAITING_RUNNER
     elif not any(has_room(step.spec, runner) for runner in usable):
-        step.waits_for = TimePart.WAITING_ROOM
+        step.wait_reason = TimePart.WAITING_ROOM
     else:
-        step.waits_for = TimePart.WAITING_PLACE
+        step.wait_reason = TimePart.WAITING_PLACE
 
 
 def measure_times(jobs: Iterable[Job], elapsed_s: float) -> None:
@@ -79,10 +79,10 @@
     of all open jobs.
     """
     for job in jobs:
-        if job.ended:
+        if job.final_state:
             continue
         for step in job.steps.values():
-            if step.done < len(step.tasks):
+            if step.done_count < len(step.tasks):
                 _measure_step(job, step, elapsed_s)
 
 
@@ -94,7 +94,7 @@
             _add(job, TimePart.SLOWED, elapsed_s * (1 - pace))
         elif task.phase == Phase.WAITING:
             if task.waiting_since:
-                part = step.waits_for or TimePart.WAITING_TURN
+                part = step.wait_reason or TimePart.WAITING_TURN
                 _add(job, part, elapsed_s)
         elif task.phase in (Phase.STORING, Phase.ORDERED):
             _add(job, TimePart.ORDERED, elapsed_s)
@@ -104,14 +104,16 @@
 
 def _add(job: Job, part: str, seconds: float) -> None:
     if seconds:
-        job.times[part] = job.times.get(part, 0.0) + seconds
+        job.task_time_s[part] = job.task_time_s.get(part, 0.0) + seconds
 
 
 def note_lost(job: Job, how: str) -> None:
     """Count a run that ended otherwise than done, by how it ended."""
-    job.lost[how] = job.lost.get(how, 0) + 1
+    job.lost_runs[how] = job.lost_runs.get(how, 0) + 1
 
 
 def summarize_times(job: Job) -> dict[str, float]:
     """Return the parts of a job's time in task-seconds since its owner took over."""
-    return {part: round(seconds, 2) for part, seconds in sorted(job.times.items())}
+    return {
+        part: round(seconds, 2) for part, seconds in sorted(job.task_time_s.items())
+    }
--- a/plantainyard/entry/inspection.py
+++ b/plantainyard/entry/inspection.py
@@ -85,7 +85,7 @@
         "failures": task.failures,
         "percent": task.percent,
         "pace": task.pace,
-        "avoids": sorted(task.avoided),
+        "avoids": sorted(task.avoided_runners),
         "unit": task.unit,
     }
 
--- a/plantainyard/entry/unit.py
+++ b/plantainyard/entry/unit.py
@@ -168,7 +168,7 @@
             task=message.task[1:],
             run=message.run,
             runner=message.incarnation,
-            waited_s=round(now - job.taken_at, 3),
+            waited_s=round(now - job.received_at, 3),
         )
 
     def _note_begun(self, action: JobStarted) -> None:
@@ -181,7 +181,7 @@
         if runner is None:
             return
         for end in message.report.ended:
-            if end.number > runner.seen:
+            if end.number > runner.last_end:
                 self.world.log.write(
                     "run_ended",
                     job=end.task.job_id,
