--- a/plantainyard/dispatch/__init__.py
+++ b/plantainyard/dispatch/__init__.py
@@ -29,7 +29,7 @@
     SendOrder,
     Tick,
 )
-from plantainyard.dispatch.forwarding import list_arrived
+from plantainyard.dispatch.forwarding import list_arrivals
 from plantainyard.dispatch.limits import Limits, choose_lease
 from plantainyard.dispatch.load import EMPTY_LOAD, Load
 from plantainyard.dispatch.state import EMPTY_COUNTS, Counts, count_state
@@ -65,7 +65,7 @@
     "JobSubmitted",
     "Tick",
     "choose_lease",
-    "list_arrived",
+    "list_arrivals",
     "restore_dispatcher",
     "step",
 ]
--- a/plantainyard/dispatch/crowding.py
+++ b/plantainyard/dispatch/crowding.py
@@ -63,13 +63,13 @@
     demand = _measure_demand(job)
     if not demand or need > SLOT_SIZES[-1] or not _tells_slots(state.load):
         return None
-    counted = job.received_at < state.load_at
+    counted = job.received_at < state.load_measured_at
     here = _measure_crowding(state.load, need, 0 if counted else demand)
     if here <= CROWDED:
         return None
     others = {
         unit: _measure_crowding(load, need, demand)
-        for unit, load in state.loads.items()
+        for unit, load in state.other_loads.items()
         if _tells_slots(load)
     }
     best = min(others, key=lambda unit: others[unit], default=None)
@@ -80,8 +80,8 @@
 
 def move_ending(state: Dispatcher, job: Job, unit: int) -> None:
     """Count what a job asks for in its new unit, until that is measured there."""
-    load = state.loads[unit]
-    state.loads[unit] = load._replace(ending=load.ending + _measure_demand(job))
+    load = state.other_loads[unit]
+    state.other_loads[unit] = load._replace(ending=load.ending + _measure_demand(job))
 
 
 def _tells_slots(load: Load) -> bool:
--- a/plantainyard/dispatch/dispatcher.py
+++ b/plantainyard/dispatch/dispatcher.py
@@ -31,16 +31,16 @@
     Tick,
 )
 from plantainyard.dispatch.forwarding import (
-    forget_arrived,
+    confirm_deliveries,
+    confirm_forwarded,
+    expire_arrivals,
     forward_cancel,
-    forward_handed,
-    note_forwarded,
-    settle_delivered,
-    take_settled,
+    forward_outgoing,
+    pop_delivery_records,
 )
 from plantainyard.dispatch.handover import (
-    measure_lasting_room,
     measure_load,
+    measure_max_short_task_cpu,
     plan_handovers,
     plan_task_handovers,
 )
@@ -49,7 +49,7 @@
 from plantainyard.dispatch.jobs import (
     add_job,
     cancel_job,
-    end_cancelled,
+    end_cancelled_jobs,
     open_due_occurrences,
 )
 from plantainyard.dispatch.limits import Limits
@@ -68,26 +68,26 @@
 __all__ = ["Dispatcher", "restore_dispatcher", "step"]
 
 
-FORGET_EVERY_S = 1.0
+FORGET_INTERVAL_S = 1.0
 """Time between looks at what wasn't seen; several reports of each runner."""
 
-HARMS_EVERY_S = 3.0
+STORE_ESTIMATES_INTERVAL_S = 3.0
 """Time between stored copies of what is learnt of interference: a second of learning
 is lost by a change of owner on average, for a kilobyte each time."""
 
 
-TIMES_EVERY_S = 0.5
+TIMES_INTERVAL_S = 0.5
 """Time between additions to what the tasks of all jobs did; the sums at a job's end are
 off by half of it."""
 
-MOVES_EVERY_S = 0.3
+MOVES_INTERVAL_S = 0.3
 """Time between looks at work that would be better off elsewhere; none of it shows in
 less than 0.8 s."""
 
 _WITHOUT_ROOM = (ReportFailed, OrderAnswered, OwnershipRenewed)
 """Events after which nothing is free that wasn't before."""
 
-LOAD_EVERY_S = 0.3
+LOAD_INTERVAL_S = 0.3
 """Time between looks at how full the unit is; owners ask each other once a second."""
 
 
@@ -110,7 +110,7 @@
         When the owner's first record was sent: a successor's comes later.
     """
     state = Dispatcher(limits=limits, wall_offset_s=wall_ms / 1000 - now)
-    state.began_at = now
+    state.took_over_at = now
     state.renewed_at = fenced_at
     restore_jobs(state, replica, now)
     if replica.harms:
@@ -146,22 +146,22 @@
         plan_handovers(state, state.jobs.values(), now)
         plan_task_handovers(state, now)
         open_due_occurrences(state, now)
-        orders.repeat_orders(state, now)
+        orders.resend_orders(state, now)
         reports.expire_leases(state, now)
         _plan_moves(state, now)
         _measure_times(state, now)
         _forget_harms(state, now)
-        settle_delivered(state, now)
-        forget_arrived(state, now)
+        confirm_deliveries(state, now)
+        expire_arrivals(state, now)
     state.plan_due |= _changes_plan(state, event)
-    state.changed |= _find_changed(event)
+    state.changed_runners |= _find_changed(event)
     state.search_all |= isinstance(event, Tick)
-    if not state.commit_out:
+    if not state.commit_pending:
         if state.plan_due:
             plan_starts(state, now)
             state.plan_due = False
         _commit(state, now)
-    reports.ask_runners(state, now)
+    reports.request_reports(state, now)
     actions = state.actions
     state.actions = []
     return actions
@@ -177,7 +177,7 @@
     report tells of harm waits for the next tick, a tenth of a second at most.
     """
     if isinstance(event, ReportReceived):
-        return bool(state.dirty or state.ending)
+        return bool(state.dirty_steps or state.new_final_states)
     return not isinstance(event, _WITHOUT_ROOM)
 
 
@@ -192,42 +192,42 @@
 
 
 def _measure_load(state: Dispatcher, now: float) -> None:
-    if now - state.load_at >= LOAD_EVERY_S:
+    if now - state.load_measured_at >= LOAD_INTERVAL_S:
         state.load = measure_load(state)._replace(
             slots=count_slots(state, now), ending=measure_ending(state, now)
         )
-        state.lasting_room = measure_lasting_room(state)
-        state.load_at = now
+        state.max_short_task_cpu = measure_max_short_task_cpu(state)
+        state.load_measured_at = now
 
 
 def _plan_moves(state: Dispatcher, now: float) -> None:
-    if now - state.moved_at >= MOVES_EVERY_S:
+    if now - state.moves_planned_at >= MOVES_INTERVAL_S:
         plan_moves(state, now)
-        state.moved_at = now
+        state.moves_planned_at = now
 
 
 def _measure_times(state: Dispatcher, now: float) -> None:
-    elapsed_s = now - (state.timed_at or now)
-    if not state.timed_at or elapsed_s >= TIMES_EVERY_S:
+    elapsed_s = now - (state.times_updated_at or now)
+    if not state.times_updated_at or elapsed_s >= TIMES_INTERVAL_S:
         measure_times(state.jobs.values(), elapsed_s)
-        state.timed_at = now
+        state.times_updated_at = now
 
 
 def _forget_harms(state: Dispatcher, now: float) -> None:
     elapsed_s = now - state.harms_forgotten_at
-    if elapsed_s >= FORGET_EVERY_S:
-        forget_unseen(state.harms, min(elapsed_s, 2 * FORGET_EVERY_S), now)
+    if elapsed_s >= FORGET_INTERVAL_S:
+        forget_unseen(state.harms, min(elapsed_s, 2 * FORGET_INTERVAL_S), now)
         state.harms_forgotten_at = now
 
 
 def _take(state: Dispatcher, event: Event, now: float) -> None:
     match event:
         case ReportReceived():
-            reports.take_report(state, event, now)
+            reports.apply_report(state, event, now)
         case ReportFailed():
-            reports.take_silence(state, event, now)
+            reports.apply_missed_report(state, event, now)
         case OrderAnswered():
-            runs.take_answer(state, event, now)
+            runs.apply_order_result(state, event, now)
         case Committed():
             _take_commit(state, now)
         case OwnershipRenewed(sent_at):
@@ -236,39 +236,41 @@
             add_job(state, submission, now)
             added = state.jobs.get(submission.record_id)
             plan_handovers(state, [added] if added else [], now)
-        case CancelRequested(job_id) if job_id in state.moved:
+        case CancelRequested(job_id) if job_id in state.handed_over:
             forward_cancel(state, job_id)
         case CancelRequested(job_id):
             cancel_job(state, job_id, now)
         case Forwarded(keys):
-            note_forwarded(state, keys, now)
-            end_cancelled(state)
+            confirm_forwarded(state, keys, now)
+            end_cancelled_jobs(state)
         case LoadsReceived(loads):
-            state.loads = dict(loads)
+            state.other_loads = dict(loads)
         case InterferenceReceived(harms):
             for told in harms:
                 merge_harms(state.harms, _restore_harms(told))
         case EntryChanged(runner, entry):
-            reports.take_entry(state, runner, entry, now)
+            reports.apply_entry(state, runner, entry, now)
 
 
 def _commit(state: Dispatcher, now: float) -> None:
     """Put all that changed since the last commit into the next one."""
-    summaries = [_summarize(state.jobs[job_id], now) for job_id in state.ending]
+    summaries = [
+        _summarize(state.jobs[job_id], now) for job_id in state.new_final_states
+    ]
     records = [
         Record(_progress_key(item), _encode_step(item))
-        for item in state.dirty.values()
+        for item in state.dirty_steps.values()
         if not item.job.final_state
     ]
-    for job_id, ended in state.ending.items():
+    for job_id, ended in state.new_final_states.items():
         records.append(Record(make_end_key(job_id), ended.encode()))
         records += [
             Record(make_progress_key(job_id, *place), b"")
             for place in state.jobs[job_id].steps
         ]
     records += [
-        Record(make_handover_key(job_id), str(state.moved[job_id]).encode())
-        for job_id, submission in state.handing.items()
+        Record(make_handover_key(job_id), str(state.handed_over[job_id]).encode())
+        for job_id, submission in state.outgoing.items()
         if not submission.piece
     ]
     seen = {
@@ -281,20 +283,23 @@
             state.runners[incarnation].last_stored_end = number
         return
     records += _encode_begun(state)
-    records += take_settled(state)
-    if state.harms.estimates and now - state.harms_stored_at > HARMS_EVERY_S:
+    records += pop_delivery_records(state)
+    if (
+        state.harms.estimates
+        and now - state.harms_stored_at > STORE_ESTIMATES_INTERVAL_S
+    ):
         # With the records of others: a commit of its own would be one more call.
         records.append(Record(HARMS_KEY, encode_harms(state.harms)))
         state.harms_stored_at = now
-    state.commit_out = True
-    state.committing_seen = seen
-    state.committing_ends = list(state.ending)
-    state.committing_handing = state.handing
-    state.handing = {}
+    state.commit_pending = True
+    state.committing_last_ends = seen
+    state.committing_ends = list(state.new_final_states)
+    state.committing_outgoing = state.outgoing
+    state.outgoing = {}
     state.committing_starts = state.assigned
-    state.dirty = {}
-    state.begun = {}
-    state.ending = {}
+    state.dirty_steps = {}
+    state.started_steps = {}
+    state.new_final_states = {}
     state.assigned = []
     state.actions.append(Commit(records, summaries))
 
@@ -303,8 +308,8 @@
     """Return the records of steps that nothing else has changed since jobs began."""
     return [
         Record(_progress_key(item), _encode_step(item))
-        for identity, item in state.begun.items()
-        if identity not in state.dirty and not item.job.final_state
+        for identity, item in state.started_steps.items()
+        if identity not in state.dirty_steps and not item.job.final_state
     ]
 
 
@@ -321,8 +326,8 @@
 
 
 def _take_commit(state: Dispatcher, now: float) -> None:
-    state.commit_out = False
-    for incarnation, number in state.committing_seen.items():
+    state.commit_pending = False
+    for incarnation, number in state.committing_last_ends.items():
         if incarnation in state.runners:
             runner = state.runners[incarnation]
             # Less was seen than is stored where a new life has answered meanwhile.
@@ -331,11 +336,11 @@
             )
     for job_id in state.committing_ends:
         state.jobs.pop(job_id, None)
-    forward_handed(state)
+    forward_outgoing(state)
     for task in state.committing_starts:
         if task.phase == Phase.STORING:
             orders.send_start(state, task, now)
-    state.committing_seen = {}
+    state.committing_last_ends = {}
     state.committing_ends = []
     state.committing_starts = []
 
--- a/plantainyard/dispatch/handover.py
+++ b/plantainyard/dispatch/handover.py
@@ -11,58 +11,62 @@
 
 from plantainyard.batch.values import Step
 from plantainyard.dispatch.crowding import find_roomier_unit, move_ending
-from plantainyard.dispatch.forwarding import find_piece, note_moved, pass_on
+from plantainyard.dispatch.forwarding import (
+    add_hop,
+    build_task_submission,
+    record_handover,
+)
 from plantainyard.dispatch.load import EMPTY_LOAD, Load
 from plantainyard.dispatch.model import Job, Phase, Runner, StepRun
 from plantainyard.dispatch.placing import find_reserved_cpu, takes_work
 from plantainyard.dispatch.state import Dispatcher, mark_dirty
 
 __all__ = [
-    "MOST_HOPS",
+    "MAX_HOPS",
     "measure_load",
-    "measure_lasting_room",
+    "measure_max_short_task_cpu",
     "plan_handovers",
     "plan_task_handovers",
 ]
 
-MOST_HOPS = 1
+MAX_HOPS = 1
 """Units that a job is passed on to."""
 
-LASTING_GAP = 0.08
+LONG_RUNNING_DIFFERENCE = 0.08
 """Difference of reserved processors, as a part of a unit's, from which a long-running
 job goes elsewhere at once: it stays for long, so the difference would."""
 
-SHORT_GAP = 0.15
+SHORT_DIFFERENCE = 0.15
 """The same for jobs that end, once they have waited."""
 
-BACKFILL_GAP = 0.25
+BACKFILL_DIFFERENCE = 0.25
 """Difference of processors asked for by backfilling work from which it goes elsewhere;
 it shares what is unused, so a small difference costs little."""
 
-MISFIT_GAP = 0.0
+MISFIT_DIFFERENCE = 0.0
 """The same for a job with a task that no runner here would have room for if all short
 jobs had ended: it goes at once to any unit that is emptier and has a gap for it. Begun
 here, it would wait for a long-running job to end."""
 
-LEAST_GAP = 0.0
+FIRST_RUN_DIFFERENCE = 0.0
 """The same for a long-running task that never ran."""
 
-ANY_GAP = -math.inf
+ANY_DIFFERENCE = -math.inf
 """The same for one that was interrupted: any unit with room will do."""
 
-MOST_TASK_HOPS = 6
+MAX_TASK_HOPS = 6
 """Units that a single task is passed on to; each has told of room, which may be taken
 when the task arrives."""
 
-TASK_WAIT_S = 0.6
+INTERRUPTED_TASK_WAIT_S = 0.6
 """Time that an interrupted task waits for its own unit: the platform counts it as
 forgotten after three seconds, and handing over takes 0.1 s."""
 
-SETTLE_S = 1.0
+TAKEOVER_SETTLE_S = 1.0
 """Time after a takeover in which nothing is handed over: runners are asked at once and
 again after 0.25 s where they don't answer."""
 
-WAIT_S = 0.3
+SHORT_JOB_WAIT_S = 0.3
 """Time that a job that ends waits for its own unit before it goes elsewhere; handing it
 over takes two appends and a read, a fifth of that."""
 
@@ -89,7 +93,7 @@
     )
 
 
-def measure_lasting_room(state: Dispatcher) -> int:
+def measure_max_short_task_cpu(state: Dispatcher) -> int:
     """Return the processor time that long-running tasks leave where they leave most."""
     rooms = (
         r.entry.capacity.cpu
@@ -136,7 +140,7 @@
     if not _knows_its_runners(state, now):
         return
     for job in state.jobs.values():
-        if job.cancelled or job.final_state or job.submission.hops >= MOST_TASK_HOPS:
+        if job.cancelled or job.final_state or job.submission.hops >= MAX_TASK_HOPS:
             continue
         for step in job.steps.values():
             if step.spec.long_running:
@@ -151,30 +155,30 @@
     Guards against a new owner that gives all its jobs away: before its runners have
     reported, its unit seems to be full.
     """
-    return bool(state.loads) and now - state.began_at > SETTLE_S
+    return bool(state.other_loads) and now - state.took_over_at > TAKEOVER_SETTLE_S
 
 
 def _hand_over_tasks(state: Dispatcher, step: StepRun, now: float) -> None:
     for task in step.tasks:
         waits = task.phase == Phase.WAITING and task.waiting_since
-        if not waits or now - task.waiting_since < TASK_WAIT_S:
+        if not waits or now - task.waiting_since < INTERRUPTED_TASK_WAIT_S:
             continue
         need = find_reserved_cpu(step.spec)
-        least = ANY_GAP if task.run else LEAST_GAP
+        least = ANY_DIFFERENCE if task.run else FIRST_RUN_DIFFERENCE
         unit = _find_room(state, step.spec, need, least)
         if unit is None:
             return
         task.phase = Phase.HANDED_OVER
         task.unit = unit
         mark_dirty(state, step)
-        piece = find_piece(task)
-        note_moved(state, piece, unit)
-        state.handing[piece.record_id] = piece
+        piece = build_task_submission(task)
+        record_handover(state, piece, unit)
+        state.outgoing[piece.record_id] = piece
         _move_load(state, step.spec, 1, unit)
 
 
 def _can_leave(job: Job) -> bool:
-    if job.cancelled or job.final_state or job.submission.hops >= MOST_HOPS:
+    if job.cancelled or job.final_state or job.submission.hops >= MAX_HOPS:
         return False
     if job.submission.piece:
         return False
@@ -187,16 +191,16 @@
     step = submission.steps[0]
     needed = max(find_reserved_cpu(step) for step in submission.steps)
     if any(step.long_running for step in submission.steps):
-        return _find_room(state, step, needed, LASTING_GAP)
+        return _find_room(state, step, needed, LONG_RUNNING_DIFFERENCE)
     if not any(step.requires for step in submission.steps):
         roomier = find_roomier_unit(state, job)
         if roomier is not None:
             return roomier
-    if needed > state.lasting_room:
-        return _find_room(state, step, needed, MISFIT_GAP)
-    if now - job.received_at < WAIT_S:
+    if needed > state.max_short_task_cpu:
+        return _find_room(state, step, needed, MISFIT_DIFFERENCE)
+    if now - job.received_at < SHORT_JOB_WAIT_S:
         return None
-    least = BACKFILL_GAP if step.backfill else SHORT_GAP
+    least = BACKFILL_DIFFERENCE if step.backfill else SHORT_DIFFERENCE
     return _find_room(state, step, needed, least)
 
 
@@ -215,12 +219,12 @@
     least : float
         Least difference to the own unit.
     """
-    units = [unit for unit, load in state.loads.items() if load.gap >= needed]
+    units = [unit for unit, load in state.other_loads.items() if load.gap >= needed]
     if not units:
         return None
-    best = min(units, key=lambda u: _fullness(state.loads[u], step.backfill))
+    best = min(units, key=lambda u: _fullness(state.other_loads[u], step.backfill))
     emptier_by = _fullness(state.load, step.backfill)
-    emptier_by -= _fullness(state.loads[best], step.backfill)
+    emptier_by -= _fullness(state.other_loads[best], step.backfill)
     return best if emptier_by > least else None
 
 
@@ -233,8 +237,8 @@
 def _hand_over(state: Dispatcher, job: Job, unit: int) -> None:
     submission = job.submission
     del state.jobs[submission.job_id]
-    note_moved(state, submission, unit)
-    state.handing[submission.job_id] = pass_on(submission)
+    record_handover(state, submission, unit)
+    state.outgoing[submission.job_id] = add_hop(submission)
     first = submission.steps[0]
     _move_load(state, first, first.size, unit)
     move_ending(state, job, unit)
@@ -252,9 +256,9 @@
     """
     size = _sum_cpu(r for r in state.runners.values() if takes_work(r))
     moved = tasks * step.resources.cpu
-    there = state.loads[unit]
+    there = state.other_loads[unit]
     share = moved / max(1, size, there.gap)
-    state.loads[unit] = _add_waiting(there, share, step.backfill)
+    state.other_loads[unit] = _add_waiting(there, share, step.backfill)
     if size:
         state.load = _add_waiting(state.load, -moved / size, step.backfill)
 
--- a/plantainyard/dispatch/jobs.py
+++ b/plantainyard/dispatch/jobs.py
@@ -3,9 +3,9 @@
 from plantainyard.batch.tasks import TaskKey
 from plantainyard.batch.values import JobState, Submission
 from plantainyard.dispatch.forwarding import (
-    find_piece,
+    build_task_submission,
     forward_cancel,
-    note_arrived,
+    record_arrival,
 )
 from plantainyard.dispatch.model import Job, Phase, StepRun, Task
 from plantainyard.dispatch.orders import release_task, send_stop
@@ -15,8 +15,8 @@
 __all__ = [
     "add_job",
     "cancel_job",
-    "check_end",
-    "end_cancelled",
+    "end_if_finished",
+    "end_cancelled_jobs",
     "finish_task",
     "open_due_occurrences",
     "open_occurrence",
@@ -26,13 +26,13 @@
 def add_job(state: Dispatcher, submission: Submission, now: float) -> None:
     """Take in an accepted job; a repeat of its submission changes nothing."""
     job_id = submission.record_id
-    if job_id in state.jobs or job_id in state.ended or job_id in state.moved:
+    if job_id in state.jobs or job_id in state.ended_at or job_id in state.handed_over:
         return
     chains_ms = find_chains_ms(submission.steps)
     job = Job(submission, 0.0, chains_ms, now)
     set_deadlines(job, now)
     state.jobs[job_id] = job
-    note_arrived(state, submission, now)
+    record_arrival(state, submission, now)
     if submission.piece:
         _open_piece(job)
     elif not submission.times:
@@ -85,7 +85,7 @@
     task.checkpoint = ""
     task.step.done_count += 1
     mark_dirty(state, task.step)
-    check_end(state, task.step.job)
+    end_if_finished(state, task.step.job)
 
 
 def cancel_job(state: Dispatcher, job_id: str, now: float) -> None:
@@ -94,8 +94,8 @@
     if job is None or job.cancelled or job.final_state:
         return
     job.cancelled = True
-    stop_all(state, job, now)
-    check_end(state, job)
+    stop_tasks(state, job, now)
+    end_if_finished(state, job)
 
 
 def fail_job(state: Dispatcher, job: Job, now: float) -> None:
@@ -103,22 +103,22 @@
     if job.final_state or job.cancelled:
         return
     end_job(state, job, JobState.FAILED)
-    stop_all(state, job, now)
+    stop_tasks(state, job, now)
 
 
-def stop_all(state: Dispatcher, job: Job, now: float) -> None:
+def stop_tasks(state: Dispatcher, job: Job, now: float) -> None:
     """Order all runs of a job to stop."""
     for step in job.steps.values():
         for task in step.tasks:
             if task.phase == Phase.STORING:
                 release_task(state, task)
             elif task.phase == Phase.HANDED_OVER:
-                forward_cancel(state, find_piece(task).record_id)
+                forward_cancel(state, build_task_submission(task).record_id)
             elif task.phase in Phase.ACTIVE:
                 send_stop(state, task, now)
 
 
-def check_end(state: Dispatcher, job: Job) -> None:
+def end_if_finished(state: Dispatcher, job: Job) -> None:
     """End the job if nothing of it is left to do."""
     if job.final_state:
         return
@@ -141,17 +141,17 @@
 
 def _awaits_cancel(state: Dispatcher, task: Task) -> bool:
     handed = task.phase == Phase.HANDED_OVER
-    return handed and find_piece(task).record_id in state.cancels_out
+    return handed and build_task_submission(task).record_id in state.pending_cancels
 
 
-def end_cancelled(state: Dispatcher) -> None:
+def end_cancelled_jobs(state: Dispatcher) -> None:
     """End the cancelled jobs of which nothing is left to do any more."""
     for job in [job for job in state.jobs.values() if job.cancelled]:
-        check_end(state, job)
+        end_if_finished(state, job)
 
 
 def end_job(state: Dispatcher, job: Job, ended: str) -> None:
     """Give a job its final state, to be stored with the next commit."""
     job.final_state = ended
-    state.ending[job.submission.record_id] = ended
-    state.ended[job.submission.record_id] = 0.0
+    state.new_final_states[job.submission.record_id] = ended
+    state.ended_at[job.submission.record_id] = 0.0
--- a/plantainyard/dispatch/orders.py
+++ b/plantainyard/dispatch/orders.py
@@ -10,20 +10,20 @@
 __all__ = [
     "pace_backfill",
     "release_task",
-    "repeat_orders",
+    "resend_orders",
     "send_pace",
     "send_start",
     "send_stop",
 ]
 
-PACE_STEP = 10
+MIN_PACE_DECREASE = 10
 """Points by which a pace has to fall to be ordered anew; reports are off by more."""
 
-RISE_STEP = 20
+MIN_PACE_INCREASE = 20
 """Points by which it has to rise: small rises do little more work, and each order costs
 the owner's processor time."""
 
-STOP_ALL = 0.45
+STOP_ALL_SHARE = 0.45
 """Part of the time that harm may last after which all backfilling work is stopped:
 what is left is twice the time until a stop shows in the reports."""
 
@@ -69,7 +69,7 @@
 def pace_backfill(state: Dispatcher, runner: Runner, now: float) -> None:
     """Choose the paces of the runner's backfilling tasks, and order what changes."""
     over_s = now - runner.over_target_since if runner.over_target_since else 0.0
-    if over_s > state.limits.harm_s * STOP_ALL:
+    if over_s > state.limits.harm_s * STOP_ALL_SHARE:
         images = {t.step.spec.image for t in runner.tasks.values()}
         runner.paces = dict.fromkeys(images, 0)
     else:
@@ -84,7 +84,7 @@
 def _needs_pace(task: Task, pace: int) -> bool:
     if task.phase != Phase.RUNNING or not task.step.spec.backfill:
         return False
-    least = RISE_STEP if pace > task.pace else PACE_STEP
+    least = MIN_PACE_INCREASE if pace > task.pace else MIN_PACE_DECREASE
     small = abs(task.pace - pace) < least and 0 < pace < FULL
     return task.pace != pace and not small
 
@@ -108,7 +108,7 @@
     state.actions.append(order)
 
 
-def repeat_orders(state: Dispatcher, now: float) -> None:
+def resend_orders(state: Dispatcher, now: float) -> None:
     """Send again what wasn't answered.
 
     Notes
--- a/plantainyard/dispatch/planning.py
+++ b/plantainyard/dispatch/planning.py
@@ -76,9 +76,11 @@
     """
     ready = [s for job in state.jobs.values() for s in _find_ready(job)]
     runners = list(state.runners.values())
-    changed = [runner for runner in runners if runner.incarnation in state.changed]
+    changed = [
+        runner for runner in runners if runner.incarnation in state.changed_runners
+    ]
     search_all = state.search_all
-    state.changed = set()
+    state.changed_runners = set()
     state.search_all = False
     unplaced: _Unplaced = {}
     for step in order_steps(ready, now):
--- a/plantainyard/dispatch/reports.py
+++ b/plantainyard/dispatch/reports.py
@@ -20,28 +20,28 @@
 from plantainyard.platform.runners import Held, HeldRun
 
 __all__ = [
-    "ask_runners",
+    "request_reports",
     "expire_leases",
-    "take_entry",
-    "take_report",
-    "take_silence",
+    "apply_entry",
+    "apply_report",
+    "apply_missed_report",
 ]
 
-FULL_REPORT = 500
+MAX_LISTED_ENDS = 500
 """Ends that a runner lists at a time; with so many, others may be missing."""
 
-DRAIN_MS = 2_000
+DEFAULT_DRAIN_MS = 2_000
 """Time that a draining runner is taken to stay where its entry doesn't say."""
 
-SILENT_AFTER = 2
+SILENT_AFTER_MISSES = 2
 """Reports in a row that don't come before a runner counts as silent."""
 
 
-def take_entry(
+def apply_entry(
     state: Dispatcher, runner_id: str, entry: RunnerEntry | None, now: float
 ) -> None:
     """Take in a runner's entry, or that it has none any more."""
-    old = state.runners.get(state.incarnations.get(runner_id, ""))
+    old = state.runners.get(state.newest_incarnations.get(runner_id, ""))
     if entry is None:
         if old is not None:
             old.registered = False
@@ -53,9 +53,11 @@
     runner.entry = entry
     runner.registered = True
     if entry.draining and not runner.leaves_at:
-        stays_ms = DRAIN_MS if entry.leaves_in_ms is None else entry.leaves_in_ms
+        stays_ms = (
+            DEFAULT_DRAIN_MS if entry.leaves_in_ms is None else entry.leaves_in_ms
+        )
         runner.leaves_at = now + stays_ms / 1000
-    state.incarnations[runner_id] = entry.incarnation
+    state.newest_incarnations[runner_id] = entry.incarnation
     for incarnation in [k for k in state.runners if k.startswith(f"{runner_id}@")]:
         if incarnation != entry.incarnation:
             _end_old_incarnation(state, state.runners[incarnation], runner, now)
@@ -79,7 +81,7 @@
     for task in list(old.tasks.values()):
         ended = task.seen_in_report and task.starts_sent == 1
         if ended or task.phase == Phase.STORING:
-            runs.free_task(state, task)
+            runs.requeue_task(state, task)
             continue
         release_room(old, task)
         task.resolved_at = None
@@ -90,7 +92,7 @@
     del state.runners[old.incarnation]
 
 
-def take_report(state: Dispatcher, event: ReportReceived, now: float) -> None:
+def apply_report(state: Dispatcher, event: ReportReceived, now: float) -> None:
     """Take in what runs and has ended at a runner."""
     runner = state.runners.get(event.incarnation)
     if runner is None or runner.entry is None:
@@ -110,7 +112,7 @@
         for row in held.running
         if _take_row(state, runner, row, event.sent_at, now)
     }
-    if len(held.ended) < FULL_REPORT:
+    if len(held.ended) < MAX_LISTED_ENDS:
         _free_missing(state, runner, present, event.sent_at)
         runner.has_reported = True
     _adjust_pace(state, runner, held, now)
@@ -135,7 +137,7 @@
         _stop_stray(state, runner, row.task, row.run)
         return False
     task.seen_in_report = True
-    runs.note_begun(state, task.step, now)
+    runs.mark_started(state, task.step, now)
     if row.checkpoint:
         task.checkpoint = row.checkpoint
     if row.percent != task.percent:
@@ -160,7 +162,7 @@
     for task in list(runner.tasks.values()):
         gone = task.key not in present and task.phase != Phase.STORING
         if gone and task.resolved_at is not None and task.resolved_at <= sent_at:
-            runs.free_task(state, task)
+            runs.requeue_task(state, task)
 
 
 def _await_new_entry(state: Dispatcher, runner: Runner, now: float) -> None:
@@ -177,7 +179,7 @@
     runner.next_report_at = now + state.limits.hold_retry_s
 
 
-def take_silence(state: Dispatcher, event: ReportFailed, now: float) -> None:
+def apply_missed_report(state: Dispatcher, event: ReportFailed, now: float) -> None:
     """Take note that a runner's report didn't come.
 
     Notes
@@ -191,7 +193,7 @@
         return
     runner.report_pending = False
     runner.missed_reports += 1
-    if runner.missed_reports < SILENT_AFTER and not event.other_incarnation:
+    if runner.missed_reports < SILENT_AFTER_MISSES and not event.other_incarnation:
         return
     runner.responsive = False
     runner.next_report_at = now + state.limits.hold_retry_s
@@ -204,7 +206,7 @@
         if silent and has_lapsed(runner, now):
             for task in list(runner.tasks.values()):
                 if task.phase != Phase.STORING:
-                    runs.free_task(state, task)
+                    runs.requeue_task(state, task)
         if runner.quarantined_until and runner.quarantined_until < now:
             runner.quarantined_until = 0.0
             runner.failure_score = state.limits.quarantine_after / 2
@@ -213,7 +215,7 @@
             del state.runners[runner.incarnation]
 
 
-def ask_runners(state: Dispatcher, now: float) -> None:
+def request_reports(state: Dispatcher, now: float) -> None:
     """Ask each runner for its report when it is due."""
     for runner in state.runners.values():
         if runner.report_pending or runner.entry is None:
--- a/plantainyard/dispatch/restoring.py
+++ b/plantainyard/dispatch/restoring.py
@@ -5,16 +5,16 @@
 from plantainyard.batch.replica import JobView, Replica
 from plantainyard.batch.values import StepProgress
 from plantainyard.dispatch.forwarding import (
-    find_piece,
+    add_hop,
+    build_task_submission,
     forward_cancel,
     make_forward,
-    note_moved,
-    pass_on,
+    record_handover,
 )
 from plantainyard.dispatch.jobs import (
     add_job,
     cancel_job,
-    check_end,
+    end_if_finished,
     open_occurrence,
 )
 from plantainyard.dispatch.model import Phase, Runner, StepRun, Task
@@ -39,7 +39,7 @@
     delivered = {job_id for job_id, view in views if view.delivered}
     for job_id, view in views:
         if view.ended:
-            state.ended[job_id] = now
+            state.ended_at[job_id] = now
         elif view.moved is not None:
             _restore_moved(state, view, view.moved)
         elif view.submission is not None:
@@ -56,9 +56,9 @@
     """
     if view.submission is None:
         return
-    note_moved(state, view.submission, unit)
+    record_handover(state, view.submission, unit)
     if not view.delivered:
-        forward = make_forward(pass_on(view.submission), unit, view.cancelled)
+        forward = make_forward(add_hop(view.submission), unit, view.cancelled)
         state.actions.append(forward)
         return
     state.unconfirmed.discard(view.submission.job_id)
@@ -84,7 +84,7 @@
     if view.cancelled:
         cancel_job(state, submission.record_id, now)
     else:
-        check_end(state, job)
+        end_if_finished(state, job)
 
 
 def _restore_step(
@@ -116,8 +116,8 @@
     """Send a task that was handed over once more; see `_restore_moved`."""
     task.phase = Phase.HANDED_OVER
     task.unit = unit
-    piece = find_piece(task)
-    note_moved(state, piece, unit)
+    piece = build_task_submission(task)
+    record_handover(state, piece, unit)
     if piece.record_id in delivered:
         state.unconfirmed.discard(piece.record_id)
     else:
@@ -135,5 +135,5 @@
         granted = limits.longest_lease_s * (1 + limits.clock_drift)
         runner.lease_bound = now + granted + limits.lease_slack_s
         state.runners[incarnation] = runner
-        state.incarnations[incarnation.partition("@")[0]] = incarnation
+        state.newest_incarnations[incarnation.partition("@")[0]] = incarnation
     take_room(runner, task)
--- a/plantainyard/dispatch/runs.py
+++ b/plantainyard/dispatch/runs.py
@@ -11,23 +11,23 @@
 from plantainyard.dispatch.timing import note_lost
 from plantainyard.platform.runners import OrderOutcome
 
-__all__ = ["end_run", "free_task", "note_begun", "take_answer"]
+__all__ = ["end_run", "requeue_task", "mark_started", "apply_order_result"]
 
 _NOT_DONE = frozenset({OrderOutcome.LATE, OrderOutcome.NO_ROOM, OrderOutcome.REFUSED})
 
 
-def note_begun(state: Dispatcher, step: StepRun, now: float) -> None:
+def mark_started(state: Dispatcher, step: StepRun, now: float) -> None:
     """Take note that a runner has, or had, a run of a step's job."""
     job = step.job
     if job.started:
         return
     job.started = True
-    state.begun[id(step)] = step
+    state.started_steps[id(step)] = step
     waited_s = round(now - job.received_at, 3)
     state.actions.append(JobStarted(job.submission.record_id, waited_s))
 
 
-def take_answer(state: Dispatcher, event: OrderAnswered, now: float) -> None:
+def apply_order_result(state: Dispatcher, event: OrderAnswered, now: float) -> None:
     """Take in what became of an order."""
     runner = state.runners.get(event.incarnation)
     if runner is None:
@@ -73,7 +73,7 @@
 ) -> None:
     if outcome == OrderOutcome.DONE:
         task.resolved_at = now
-        note_begun(state, task.step, now)
+        mark_started(state, task.step, now)
         if task.phase == Phase.ORDERED:
             task.phase = Phase.RUNNING
             task.progress_at = now
@@ -106,20 +106,20 @@
     if task.starts_sent > 1 or task.phase == Phase.STOPPING:
         send_stop(state, task, now)
         return
-    free_task(state, task)
+    requeue_task(state, task)
 
 
-def free_task(state: Dispatcher, task: Task) -> None:
+def requeue_task(state: Dispatcher, task: Task) -> None:
     """Let a task wait again, and end its job if that was all it waited for."""
     release_task(state, task)
-    jobs.check_end(state, task.step.job)
+    jobs.end_if_finished(state, task.step.job)
 
 
 def end_run(
     state: Dispatcher, task: Task, runner: Runner, how: str, checkpoint: str, now: float
 ) -> None:
     """Take in the end of a task's newest run."""
-    note_begun(state, task.step, now)
+    mark_started(state, task.step, now)
     if checkpoint:
         task.checkpoint = checkpoint
     release_room(runner, task)
@@ -134,7 +134,7 @@
         note_lost(job, how)
     if how == "failed":
         _note_failure(state, task, runner, now)
-    free_task(state, task)
+    requeue_task(state, task)
     mark_dirty(state, task.step)
     if not lasting and task.failures >= job.submission.max_attempts:
         jobs.fail_job(state, job, now)
--- a/plantainyard/dispatch/state.py
+++ b/plantainyard/dispatch/state.py
@@ -28,12 +28,12 @@
     ----------
     queue : str
         The job's.
-    at : float
+    received_at : float
         When it was taken in.
     """
 
     queue: str
-    at: float
+    received_at: float
 
 
 @dataclass(slots=True, eq=False)
@@ -48,35 +48,35 @@
         Unix time less the dispatcher's clock, taken once: the time of day may jump.
     jobs : dict
         Jobs that haven't ended, by id.
-    ended : dict
+    ended_at : dict
         When the jobs that ended here did, by id; a repeated submission of one is
         passed over.
     runners : dict
         Lives of runners by name.
-    incarnations : dict
+    newest_incarnations : dict
         Newest life by the runner's id.
-    dirty : dict
+    dirty_steps : dict
         Steps whose stored progress is out of date, by their identity.
-    begun : dict
+    started_steps : dict
         Steps to be stored with the next commit that there is, because their jobs have
         begun; by their identity.
-    ending : dict
+    new_final_states : dict
         Final states that aren't stored yet, by job.
     assigned : list of Task
         Tasks assigned since the last commit.
-    commit_out : bool
+    commit_pending : bool
         A commit is on its way; the next one waits for it.
-    committing_seen, committing_ends, committing_starts
+    committing_last_ends, committing_ends, committing_starts
         What it carries: acknowledged ends by life, ended jobs, tasks to start.
     plan_due : bool
         Waiting work may find a place.
-    changed : set of str
+    changed_runners : set of str
         Lives of runners that may have more room than at the last search for places.
     search_all : bool
         The next search looks at all runners, for whatever waits.
     actions : list of Action
         What the current step has asked for so far.
-    began_at : float
+    took_over_at : float
         When this owner took over.
     renewed_at : float
         When the last renewal of the ownership that succeeded was sent.
@@ -86,33 +86,33 @@
         When that was last put into a commit.
     harms_forgotten_at : float
         When it was last looked for pairs that weren't seen.
-    load, load_at : Load, float
+    load, load_measured_at : Load, float
         How full the unit is, and when that was measured.
-    lasting_room : int
+    max_short_task_cpu : int
         Processor time that long-running tasks leave at the runner where they leave
         most, when that was measured.
-    loads : dict
+    other_loads : dict
         How full the other units are; empty where there is only one.
-    moved : dict
+    handed_over : dict
         Units that jobs were handed to, by job.
     unconfirmed : set of str
         Those of them whose records aren't known to be stored there.
-    delivered : dict
+    delivered_at : dict
         When those of them that their new units are to be given time to read were stored
         there.
-    settled : list of str
+    confirmed : list of str
         Those that have had it, and whose record of that goes with the next commit.
-    arrived : dict of str to Arrival
+    arrivals : dict of str to Arrival
         The jobs that were handed to this unit in the last seconds.
-    handing, committing_handing : dict
+    outgoing, committing_outgoing : dict
         Submissions of jobs to be handed over once that is stored; those of them that
         the commit on its way carries.
-    cancelled_handing : set of str
+    cancelled_outgoing : set of str
         Those of them that were cancelled meanwhile.
-    cancels_out : set of str
+    pending_cancels : set of str
         Jobs and tasks that other units have, and whose cancelling isn't stored there
         yet.
-    timed_at, moved_at : float
+    times_updated_at, moves_planned_at : float
         When the times of jobs were last added to; when it was last looked for work that
         would be better off elsewhere.
     """
@@ -120,46 +120,46 @@
     limits: Limits
     wall_offset_s: float = 0.0
     jobs: dict[str, Job] = field(default_factory=dict)
-    ended: dict[str, float] = field(default_factory=dict)
+    ended_at: dict[str, float] = field(default_factory=dict)
     runners: dict[str, Runner] = field(default_factory=dict)
-    incarnations: dict[str, str] = field(default_factory=dict)
-    dirty: dict[int, StepRun] = field(default_factory=dict)
-    begun: dict[int, StepRun] = field(default_factory=dict)
-    ending: dict[str, str] = field(default_factory=dict)
+    newest_incarnations: dict[str, str] = field(default_factory=dict)
+    dirty_steps: dict[int, StepRun] = field(default_factory=dict)
+    started_steps: dict[int, StepRun] = field(default_factory=dict)
+    new_final_states: dict[str, str] = field(default_factory=dict)
     assigned: list[Task] = field(default_factory=list)
-    commit_out: bool = False
-    committing_seen: dict[str, int] = field(default_factory=dict)
+    commit_pending: bool = False
+    committing_last_ends: dict[str, int] = field(default_factory=dict)
     committing_ends: list[str] = field(default_factory=list)
     committing_starts: list[Task] = field(default_factory=list)
     plan_due: bool = True
-    changed: set[str] = field(default_factory=set)
+    changed_runners: set[str] = field(default_factory=set)
     search_all: bool = True
     actions: list[Action] = field(default_factory=list)
-    began_at: float = 0.0
+    took_over_at: float = 0.0
     renewed_at: float = 0.0
     harms: Harms = field(default_factory=Harms)
     harms_stored_at: float = 0.0
     harms_forgotten_at: float = 0.0
     load: Load = EMPTY_LOAD
-    load_at: float = 0.0
-    lasting_room: int = 0
-    loads: dict[int, Load] = field(default_factory=dict)
-    moved: dict[str, int] = field(default_factory=dict)
+    load_measured_at: float = 0.0
+    max_short_task_cpu: int = 0
+    other_loads: dict[int, Load] = field(default_factory=dict)
+    handed_over: dict[str, int] = field(default_factory=dict)
     unconfirmed: set[str] = field(default_factory=set)
-    delivered: dict[str, float] = field(default_factory=dict)
-    settled: list[str] = field(default_factory=list)
-    arrived: dict[str, Arrival] = field(default_factory=dict)
-    handing: dict[str, Submission] = field(default_factory=dict)
-    committing_handing: dict[str, Submission] = field(default_factory=dict)
-    cancelled_handing: set[str] = field(default_factory=set)
-    cancels_out: set[str] = field(default_factory=set)
-    timed_at: float = 0.0
-    moved_at: float = 0.0
+    delivered_at: dict[str, float] = field(default_factory=dict)
+    confirmed: list[str] = field(default_factory=list)
+    arrivals: dict[str, Arrival] = field(default_factory=dict)
+    outgoing: dict[str, Submission] = field(default_factory=dict)
+    committing_outgoing: dict[str, Submission] = field(default_factory=dict)
+    cancelled_outgoing: set[str] = field(default_factory=set)
+    pending_cancels: set[str] = field(default_factory=set)
+    times_updated_at: float = 0.0
+    moves_planned_at: float = 0.0
 
 
 def mark_dirty(state: Dispatcher, step: StepRun) -> None:
     """Have the step's progress stored with the next commit."""
-    state.dirty[id(step)] = step
+    state.dirty_steps[id(step)] = step
 
 
 class Counts(NamedTuple):
--- a/plantainyard/dispatch/tests/test_fleet.py
+++ b/plantainyard/dispatch/tests/test_fleet.py
@@ -19,9 +19,9 @@
     Forward,
     Forwarded,
     LoadsReceived,
-    list_arrived,
+    list_arrivals,
 )
-from plantainyard.dispatch.handover import MOST_HOPS
+from plantainyard.dispatch.handover import MAX_HOPS
 from plantainyard.dispatch.tests.test_handover import ROOMY
 from plantainyard.dispatch.tests.world import World, make_step
 from plantainyard.platform.store import Record
@@ -139,7 +139,7 @@
             self.worlds[other].cut |= set(self.worlds[other].runners)
         if divided:
             # A job that came from elsewhere can't go on as a whole, and its tasks can.
-            self.submit(unit, long_running=True, hops=MOST_HOPS)
+            self.submit(unit, long_running=True, hops=MAX_HOPS)
         else:
             self.submit(unit)
         self.worlds[unit].tell(LoadsReceived({other: ROOMY}))
@@ -202,7 +202,7 @@
 
     def count(self, queue: str) -> int:
         told = [count_pending(world.replica, queue) for world in self.worlds]
-        recent = [list_arrived(world.state, queue) for world in self.worlds]
+        recent = [list_arrivals(world.state, queue) for world in self.worlds]
         rows = zip(told, recent, strict=True)
         return add_up(t._replace(arrived=t.arrived | new) for t, new in rows)
 
--- a/plantainyard/dispatch/tests/test_handover.py
+++ b/plantainyard/dispatch/tests/test_handover.py
@@ -7,7 +7,7 @@
 )
 from plantainyard.batch.values import Submission
 from plantainyard.dispatch import Load, LoadsReceived
-from plantainyard.dispatch.forwarding import READ_S
+from plantainyard.dispatch.forwarding import DELIVERY_READ_S
 from plantainyard.dispatch.handover import measure_load
 from plantainyard.dispatch.load import EMPTY_LOAD
 from plantainyard.dispatch.tests.world import World, make_step
@@ -207,7 +207,7 @@
     # Guards against a new owner that is busy with all that was ever handed over.
     world = make_full_world()
     world.submit("a", make_step(cpu=4000))
-    world.run(READ_S + 1.0)
+    world.run(DELIVERY_READ_S + 1.0)
     world.submit("other", make_step(cpu=500))
     world.run(1.0)
     world.forwarded = []
@@ -317,7 +317,7 @@
 
 def test_a_successor_does_not_send_a_task_again_that_has_arrived():
     world = make_interrupted_world()
-    world.run(READ_S + 1.0)
+    world.run(DELIVERY_READ_S + 1.0)
     world.submit("other", make_step(cpu=500))
     world.run(1.0)
     world.forwarded = []
--- a/plantainyard/dispatch/tests/test_pacing.py
+++ b/plantainyard/dispatch/tests/test_pacing.py
@@ -286,12 +286,12 @@
         pace_backfill(state, runner, 100.0)
         return task.pace
 
-    lower = 50 - orders.PACE_STEP
+    lower = 50 - orders.MIN_PACE_DECREASE
     assert order(50) == 50
-    assert order(50 + orders.RISE_STEP - 1) == 50
+    assert order(50 + orders.MIN_PACE_INCREASE - 1) == 50
     assert order(lower + 1) == 50
     assert order(lower) == lower
-    assert order(lower + orders.RISE_STEP) == lower + orders.RISE_STEP
+    assert order(lower + orders.MIN_PACE_INCREASE) == lower + orders.MIN_PACE_INCREASE
     assert order(100) == 100
 
 
--- a/plantainyard/dispatch/tests/test_pending.py
+++ b/plantainyard/dispatch/tests/test_pending.py
@@ -10,9 +10,9 @@
 from plantainyard.batch.replica import describe_state
 from plantainyard.batch.values import StepProgress, TaskProgress
 from plantainyard.clock import read_clock
-from plantainyard.dispatch import LoadsReceived, list_arrived
-from plantainyard.dispatch.forwarding import READ_S
-from plantainyard.dispatch.handover import MOST_HOPS
+from plantainyard.dispatch import LoadsReceived, list_arrivals
+from plantainyard.dispatch.forwarding import DELIVERY_READ_S
+from plantainyard.dispatch.handover import MAX_HOPS
 from plantainyard.dispatch.tests.test_handover import ROOMY, make_full_world
 from plantainyard.dispatch.tests.world import World, make_step
 from plantainyard.entry import peers
@@ -95,7 +95,7 @@
 def tell_pending(world: World) -> Pending:
     """Return what the unit's owner tells other instances."""
     pending = count_pending(world.replica, "q")
-    return pending._replace(arrived=pending.arrived | list_arrived(world.state, "q"))
+    return pending._replace(arrived=pending.arrived | list_arrivals(world.state, "q"))
 
 
 def test_a_job_on_its_way_to_another_unit_counts_once():
@@ -114,7 +114,7 @@
     new.take(forward.records[0])
     began_at = old.now
     while tell_pending(old).moving:
-        assert old.now < began_at + READ_S + 1.0
+        assert old.now < began_at + DELIVERY_READ_S + 1.0
         for world in (old, new):
             world.run(0.1)
         assert add_up(map(tell_pending, (old, new))) == 1
@@ -138,7 +138,7 @@
     world = make_full_world()
     world.tell(LoadsReceived({}))
     step = make_step(2, cpu=4000, long_running=True)
-    world.submit("a", step, hops=MOST_HOPS)
+    world.submit("a", step, hops=MAX_HOPS)
     world.run(1.0)
     world.tell(LoadsReceived({5: ROOMY}))
     world.run(1.0)
--- a/plantainyard/dispatch/tests/test_planning.py
+++ b/plantainyard/dispatch/tests/test_planning.py
@@ -148,7 +148,7 @@
     world.run(0.2)
     looked_at = count_looked_at(world, monkeypatch)
     runner = next(iter(world.state.runners.values()))
-    world.state.changed = {runner.incarnation}
+    world.state.changed_runners = {runner.incarnation}
     plan_starts(world.state, world.now)
     assert looked_at == [1] * 6
     world.run(0.1)
--- a/plantainyard/entry/inspection.py
+++ b/plantainyard/entry/inspection.py
@@ -45,8 +45,8 @@
         **count_state(state)._asdict(),
         "load": state.load._asdict(),
         "renewed_s_ago": round(now - state.renewed_at, 3),
-        "commit_out": state.commit_out,
-        "moved": len(state.moved),
+        "commit_out": state.commit_pending,
+        "moved": len(state.handed_over),
     }
 
 
--- a/plantainyard/entry/lookups.py
+++ b/plantainyard/entry/lookups.py
@@ -2,7 +2,7 @@
 
 from result import Err, Ok, Result
 
-from plantainyard.dispatch.handover import MOST_HOPS
+from plantainyard.dispatch.handover import MAX_HOPS
 from plantainyard.entry.copies import UnitCopy, refresh_copy
 from plantainyard.entry.instance import Instance
 from plantainyard.entry.peers import (
@@ -31,7 +31,7 @@
     """
     unit = instance.copy_of(job_id).unit
     found = Found("")
-    for _ in range(MOST_HOPS + 1):
+    for _ in range(MAX_HOPS + 1):
         told = ask_about_job(instance, unit, job_id)
         if told is None:
             told = _read_stored(instance, instance.copies[unit], job_id)
--- a/plantainyard/entry/peers.py
+++ b/plantainyard/entry/peers.py
@@ -10,7 +10,7 @@
 from plantainyard.batch.pending import Pending, count_pending
 from plantainyard.batch.replica import describe_state
 from plantainyard.clock import read_clock
-from plantainyard.dispatch import Load, list_arrived
+from plantainyard.dispatch import Load, list_arrivals
 from plantainyard.entry.answers import OK, send_json
 from plantainyard.entry.candidacy import is_strong
 from plantainyard.entry.claims import Reply, Word
@@ -115,7 +115,7 @@
     owned = instance.owned.get(unit)
     if owned is not None:
         # First: what arrives meanwhile may be told twice, and never by nobody.
-        arrived = list_arrived(owned.world.dispatcher, queue)
+        arrived = list_arrivals(owned.world.dispatcher, queue)
         counted = count_in_copy(instance.copies[unit], queue)
         if counted.age_s > COUNT_AGE_S:
             return None
