--- a/bench/dispatch/play.py
+++ b/bench/dispatch/play.py
@@ -268,15 +268,15 @@
     worker = day.workers[action.entry.runner]
     generation, sent_at = day.generation, day.now
     arrives = partial(_hold, day, action, sent_at, generation)
-    if _is_away(worker, action.entry.born_ms):
+    if _is_away(worker, action.entry.started_at_ms):
         _fail_hold(day, action, sent_at, generation, TIMEOUT_S)
         return
     day.later(worker.delay_s, arrives)
 
 
-def _is_away(worker: Worker, born_ms: int) -> bool:
+def _is_away(worker: Worker, started_at_ms: int) -> bool:
     condition = worker.condition
-    return condition.cut or condition.gone or worker.life != born_ms
+    return condition.cut or condition.gone or worker.life != started_at_ms
 
 
 def _fail_hold(
@@ -288,7 +288,7 @@
 
 def _hold(day: Day, action: SendHold, sent_at: float, generation: int) -> None:
     worker = day.workers[action.entry.runner]
-    if generation < worker.fence or _is_away(worker, action.entry.born_ms):
+    if generation < worker.fence or _is_away(worker, action.entry.started_at_ms):
         _fail_hold(day, action, sent_at, generation, TIMEOUT_S)
         return
     worker.fence = generation
@@ -304,7 +304,7 @@
 def _answer_hold(
     day: Day, worker: Worker, action: SendHold, sent_at: float, generation: int
 ) -> None:
-    if _is_away(worker, action.entry.born_ms):
+    if _is_away(worker, action.entry.started_at_ms):
         _fail_hold(day, action, sent_at, generation, TIMEOUT_S)
         return
     held = workers.report(day.site, worker, day.now)
@@ -329,7 +329,7 @@
     day.stops += action.kind == OrderKind.STOP
     day.paces += action.kind == OrderKind.PACE
     late = any(day.luck.random() < f.share for f in day.active("late_orders"))
-    if late or _is_away(worker, action.entry.born_ms):
+    if late or _is_away(worker, action.entry.started_at_ms):
         _leave_unanswered(day, action)
         if late:
             carry_out = partial(_order, day, action, day.generation, False)
--- a/bench/dispatch/site.py
+++ b/bench/dispatch/site.py
@@ -71,7 +71,7 @@
         """Return what the runner writes about itself."""
         return RunnerEntry(
             runner=self.name,
-            born_ms=self.life,
+            started_at_ms=self.life,
             service=SERVICE,
             address="",
             domain="",
--- a/bench/dispatch/workers.py
+++ b/bench/dispatch/workers.py
@@ -13,7 +13,12 @@
 from plantainyard.batch.tasks import TaskKey
 from plantainyard.batch.values import Step
 from plantainyard.dispatch.events import OrderKind, SendOrder
-from plantainyard.platform.runners import Held, HeldRun, OrderOutcome, RunEnd
+from plantainyard.platform.runners import (
+    OrderOutcome,
+    ReportedRun,
+    RunEnd,
+    RunnerReport,
+)
 
 __all__ = [
     "advance",
@@ -62,7 +67,7 @@
     run = worker.runs.get(asked.task)
     if asked.kind == OrderKind.START:
         if asked.run <= worker.settled.get(asked.task, 0):
-            return OrderOutcome.OLD
+            return OrderOutcome.STALE_RUN
         if run is None:
             worker.lease_until = max(worker.lease_until, asked.lease_until_ms / 1000)
             worker.runs[asked.task] = _begin(site, worker, asked, spec, truth, at)
@@ -76,7 +81,7 @@
             run.stops_at = min(run.stops_at, at + STOP_S)
         return OrderOutcome.DONE
     if run is None or run.number != asked.run:
-        return OrderOutcome.OLD
+        return OrderOutcome.STALE_RUN
     run.pace = asked.percent / 100
     return OrderOutcome.DONE
 
@@ -281,10 +286,10 @@
     return f"{best_s:.3f}" if best_s > 0 else ""
 
 
-def report(site: Site, worker: Worker, at: float) -> Held:
+def report(site: Site, worker: Worker, at: float) -> RunnerReport:
     """Return a runner's report of all that runs and has ended there."""
     rows = [
-        HeldRun(
+        ReportedRun(
             run.key,
             run.number,
             find_checkpoint(run),
@@ -293,7 +298,7 @@
         )
         for run in worker.runs.values()
     ]
-    return Held(round(at * 1000), worker.life, rows, list(worker.ends))
+    return RunnerReport(round(at * 1000), worker.life, rows, list(worker.ends))
 
 
 def _find_percent(run: Run, at: float) -> int:
--- a/bench/owner.py
+++ b/bench/owner.py
@@ -23,8 +23,8 @@
 from tabulate import tabulate
 
 from plantainyard.clock import read_clock
+from plantainyard.entry.caller_api import serve_request
 from plantainyard.entry.eventlog import EventLog
-from plantainyard.entry.front import serve_request
 from plantainyard.entry.instance import Instance
 from plantainyard.entry.process import start_threads
 from plantainyard.entry.topics import LAYOUT, UNITS_KEY
--- a/plantainyard/batch/__init__.py
+++ b/plantainyard/batch/__init__.py
@@ -4,8 +4,8 @@
 the latter.
 """
 
-from plantainyard.batch.checks import find_fault
-from plantainyard.batch.pending import Pending, add_up, count_pending
+from plantainyard.batch.checks import validate_submission
+from plantainyard.batch.pending import Pending, count_pending, sum_pending
 from plantainyard.batch.records import (
     decode_progress,
     decode_submission,
@@ -19,7 +19,7 @@
     describe_state,
 )
 from plantainyard.batch.values import (
-    JobEnd,
+    FinalStates,
     JobState,
     Resources,
     Step,
@@ -29,7 +29,7 @@
 )
 
 __all__ = [
-    "JobEnd",
+    "FinalStates",
     "JobState",
     "JobView",
     "Replica",
@@ -40,12 +40,12 @@
     "TaskProgress",
     "apply_record",
     "Pending",
-    "add_up",
+    "sum_pending",
     "count_pending",
     "decode_progress",
     "decode_submission",
     "describe_state",
     "encode_progress",
     "encode_submission",
-    "find_fault",
+    "validate_submission",
 ]
--- a/plantainyard/batch/checks.py
+++ b/plantainyard/batch/checks.py
@@ -2,7 +2,7 @@
 
 from plantainyard.batch.values import Step, Submission
 
-__all__ = ["MAX_SPEC_BYTES", "MAX_STEPS", "MAX_TASKS", "find_fault"]
+__all__ = ["MAX_SPEC_BYTES", "MAX_STEPS", "MAX_TASKS", "validate_submission"]
 
 MAX_SPEC_BYTES = 4_000
 """Longest `spec` in bytes; the platform's documented limit."""
@@ -14,13 +14,13 @@
 """Tasks of a job over all steps; bounds the memory that one request can take."""
 
 
-def find_fault(submission: Submission) -> str:
+def validate_submission(submission: Submission) -> str:
     """Return why `submission` can't be accepted, or an empty string.
 
     Examples
     --------
     >>> from plantainyard.batch.values import Step, Submission
-    >>> find_fault(Submission("a", "q", "s", "", (Step(size=0),)))
+    >>> validate_submission(Submission("a", "q", "s", "", (Step(size=0),)))
     'steps[0]: count is below 1'
     """
     if len(submission.spec.encode()) > MAX_SPEC_BYTES:
--- a/plantainyard/batch/pending.py
+++ b/plantainyard/batch/pending.py
@@ -5,7 +5,7 @@
 
 from plantainyard.batch.replica import Replica, is_divided
 
-__all__ = ["Pending", "add_up", "count_pending"]
+__all__ = ["Pending", "sum_pending", "count_pending"]
 
 
 class Pending(NamedTuple):
@@ -35,7 +35,7 @@
     begun: frozenset[str] = frozenset()
 
 
-def add_up(units: Iterable[Pending]) -> int:
+def sum_pending(units: Iterable[Pending]) -> int:
     """Return the number of jobs that wait in all units together.
 
     Parameters
@@ -53,7 +53,7 @@
     --------
     >>> old = Pending(waiting=3, moving=frozenset({"a", "b"}))
     >>> new = Pending(waiting=1, arrived=frozenset({"a"}))
-    >>> add_up([old, new])
+    >>> sum_pending([old, new])
     5
     """
     found = list(units)
@@ -77,20 +77,20 @@
     views = [
         (job_id, view, view.submission)
         for job_id, view in list(replica.jobs.items())
-        if not (view.ended or view.cancelled)
+        if not (view.final_state or view.cancelled)
         and view.submission is not None
         and view.submission.queue == queue
     ]
-    open_ = [(j, v, s) for j, v, s in views if not (v.begun or s.piece)]
-    here = [(j, v, s) for j, v, s in open_ if v.moved is None]
+    open_ = [(j, v, s) for j, v, s in views if not (v.started or s.piece)]
+    here = [(j, v, s) for j, v, s in open_ if v.handed_to is None]
     own = [v for _, v, _ in here if not is_divided(v)]
     return Pending(
         waiting=sum(not view.steps for view in own),
         assigned=sum(bool(view.steps) for view in own),
         moving=frozenset(
-            j for j, v, _ in open_ if v.moved is not None and not v.delivered
+            j for j, v, _ in open_ if v.handed_to is not None and not v.delivered
         ),
         arrived=frozenset(j for j, _, s in here if s.hops),
         divided=frozenset(j for j, v, _ in here if is_divided(v)),
-        begun=frozenset(s.job_id for _, v, s in views if s.piece and v.begun),
+        begun=frozenset(s.job_id for _, v, s in views if s.piece and v.started),
     )
--- a/plantainyard/batch/records.py
+++ b/plantainyard/batch/records.py
@@ -16,8 +16,8 @@
 )
 
 __all__ = [
-    "CANCEL",
-    "DELIVERED",
+    "CANCEL_VALUE",
+    "DELIVERED_VALUE",
     "RecordKind",
     "StoredKey",
     "decode_progress",
@@ -33,11 +33,11 @@
     "parse_key",
 ]
 
-CANCEL = b"1"
+CANCEL_VALUE = b"1"
 """Value of the record that a job is to be cancelled."""
 
 
-DELIVERED = b"1"
+DELIVERED_VALUE = b"1"
 """Value of the record that a job's new unit has it."""
 
 
@@ -152,8 +152,8 @@
     """
     done = sum(1 << index for index in progress.done)
     tasks = {str(index): list(task) for index, task in progress.tasks.items()}
-    begun = {"begun": True} if progress.begun else {}
-    return _dump({"done": f"{done:x}", "tasks": tasks, **begun})
+    started = {"begun": True} if progress.started else {}
+    return _dump({"done": f"{done:x}", "tasks": tasks, **started})
 
 
 def decode_progress(value: bytes) -> StepProgress:
--- a/plantainyard/batch/replica.py
+++ b/plantainyard/batch/replica.py
@@ -21,8 +21,8 @@
     "apply_record",
     "describe_state",
     "is_divided",
-    "note_begun",
-    "note_delivered",
+    "mark_job_started",
+    "mark_jobs_delivered",
 ]
 
 OWNER_KEY = "owner"
@@ -44,25 +44,25 @@
         None until its record is read; other records may come first.
     cancelled : bool
         A caller asked to cancel it.
-    ended : str
+    final_state : str
         Final state, or empty.
     steps : dict
         Progress by (occurrence, step).
-    moved : int or None
+    handed_to : int or None
         The unit that the job was handed to.
     delivered : bool
         That unit has its record, and has had the time to read it.
-    begun : bool
+    started : bool
         A task of it is known to have started.
     """
 
     submission: Submission | None = None
     cancelled: bool = False
-    ended: str = ""
+    final_state: str = ""
     steps: dict[tuple[int, int], StepProgress] = field(default_factory=dict)
-    moved: int | None = None
+    handed_to: int | None = None
     delivered: bool = False
-    begun: bool = False
+    started: bool = False
 
 
 @dataclass(slots=True)
@@ -129,9 +129,9 @@
     elif key.kind == RecordKind.CANCEL:
         view.cancelled = bool(value)
     elif key.kind == RecordKind.END:
-        view.ended = value.decode()
+        view.final_state = value.decode()
     elif key.kind == RecordKind.HANDOVER:
-        view.moved = int(value) if value else None
+        view.handed_to = int(value) if value else None
     elif key.kind == RecordKind.DELIVERY:
         view.delivered = bool(value)
     elif key.kind == RecordKind.PROGRESS:
@@ -139,8 +139,8 @@
         if value:
             progress = decode_progress(value)
             view.steps[occurrence, step] = progress
-            if progress.begun:
-                view.begun = True
+            if progress.started:
+                view.started = True
         else:
             view.steps.pop((occurrence, step), None)
 
@@ -153,12 +153,12 @@
     Of a job some of whose tasks other units have, only those know whether one has
     started; they get tasks for which they have room, so it is told as running.
     """
-    if view.ended:
-        return view.ended
+    if view.final_state:
+        return view.final_state
     if view.cancelled:
         return JobState.CANCELLED
-    begun = view.begun or is_divided(view)
-    return JobState.RUNNING if begun else JobState.QUEUED
+    has_started = view.started or is_divided(view)
+    return JobState.RUNNING if has_started else JobState.QUEUED
 
 
 def is_divided(view: JobView) -> bool:
@@ -168,14 +168,14 @@
     return any(task.unit is not None for task in tasks)
 
 
-def note_delivered(replica: Replica, job_ids: Iterable[str]) -> None:
+def mark_jobs_delivered(replica: Replica, job_ids: Iterable[str]) -> None:
     """Take note that the new units of jobs know of them, ahead of the record."""
     for job_id in job_ids:
         replica.jobs.setdefault(job_id, JobView()).delivered = True
 
 
-def note_begun(replica: Replica, job_id: str) -> None:
+def mark_job_started(replica: Replica, job_id: str) -> None:
     """Take note that a task of a job has started, ahead of the stored record."""
     view = replica.jobs.get(job_id)
     if view is not None:
-        view.begun = True
+        view.started = True
--- a/plantainyard/batch/values.py
+++ b/plantainyard/batch/values.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 __all__ = [
-    "JobEnd",
+    "FinalStates",
     "JobState",
     "Resources",
     "Step",
@@ -23,7 +23,7 @@
     CANCELLED = "cancelled"
 
 
-class JobEnd:
+class FinalStates:
     """Names of the states in which a job stays for good."""
 
     ALL = frozenset({JobState.COMPLETED, JobState.FAILED, JobState.CANCELLED})
@@ -202,10 +202,10 @@
         Indices of finished tasks.
     tasks : dict of int to TaskProgress
         The tasks that were ordered at least once and aren't done.
-    begun : bool
+    started : bool
         A task of the job is known to have started.
     """
 
     done: frozenset[int]
     tasks: dict[int, TaskProgress]
-    begun: bool = False
+    started: bool = False
--- a/plantainyard/dispatch/events.py
+++ b/plantainyard/dispatch/events.py
@@ -7,7 +7,7 @@
 from plantainyard.batch.values import Submission
 from plantainyard.dispatch.load import Load
 from plantainyard.platform.entries import RunnerEntry
-from plantainyard.platform.runners import Held, OrderResult
+from plantainyard.platform.runners import OrderResult, RunnerReport
 from plantainyard.platform.store import Record
 
 __all__ = [
@@ -82,7 +82,7 @@
     """A runner has reported."""
 
     life: str
-    held: Held
+    held: RunnerReport
     sent_at: float
 
 
--- a/plantainyard/dispatch/forwarding.py
+++ b/plantainyard/dispatch/forwarding.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterable, Iterator
 
 from plantainyard.batch.records import (
-    CANCEL,
-    DELIVERED,
+    CANCEL_VALUE,
+    DELIVERED_VALUE,
     RecordKind,
     encode_submission,
     make_cancel_key,
@@ -119,7 +119,7 @@
 def take_settled(state: Dispatcher) -> list[Record]:
     """Return the records of jobs that their new units know of."""
     settled, state.settled = state.settled, []
-    return [Record(make_delivery_key(job_id), DELIVERED) for job_id in settled]
+    return [Record(make_delivery_key(job_id), DELIVERED_VALUE) for job_id in settled]
 
 
 def note_arrived(state: Dispatcher, submission: Submission, now: float) -> None:
@@ -155,7 +155,7 @@
     job_id = submission.record_id
     records = [Record(make_submission_key(job_id), encode_submission(submission))]
     if cancelled:
-        records.append(Record(make_cancel_key(job_id), CANCEL))
+        records.append(Record(make_cancel_key(job_id), CANCEL_VALUE))
     return records
 
 
@@ -172,5 +172,5 @@
     if job_id in state.handing or job_id in state.committing_handing:
         state.cancelled_handing.add(job_id)
         return
-    record = Record(make_cancel_key(job_id), CANCEL)
+    record = Record(make_cancel_key(job_id), CANCEL_VALUE)
     state.actions.append(Forward(state.moved[job_id], [record]))
--- a/plantainyard/dispatch/reports.py
+++ b/plantainyard/dispatch/reports.py
@@ -17,7 +17,7 @@
 from plantainyard.dispatch.samples import read_sample
 from plantainyard.dispatch.state import Dispatcher
 from plantainyard.platform.entries import RunnerEntry
-from plantainyard.platform.runners import Held, HeldRun
+from plantainyard.platform.runners import ReportedRun, RunnerReport
 
 __all__ = [
     "ask_runners",
@@ -95,7 +95,10 @@
         return
     runner.hold_out = False
     held = event.held
-    if held.born_ms is not None and held.born_ms != runner.entry.born_ms:
+    if (
+        held.started_at_ms is not None
+        and held.started_at_ms != runner.entry.started_at_ms
+    ):
         _take_other_life(state, runner, now)
         return
     note_clock(runner, held.clock_ms, now)
@@ -114,18 +117,20 @@
     _adjust_pace(state, runner, held, now)
 
 
-def _take_ends(state: Dispatcher, runner: Runner, held: Held, now: float) -> None:
+def _take_ends(
+    state: Dispatcher, runner: Runner, held: RunnerReport, now: float
+) -> None:
     for end in sorted(held.ended):
         if end.number <= runner.seen:
             continue
         runner.seen = end.number
         task = runner.tasks.get(end.task)
         if task is not None and task.run == end.run:
-            runs.end_run(state, task, runner, end.how, end.checkpoint, now)
+            runs.end_run(state, task, runner, end.outcome, end.checkpoint, now)
 
 
 def _take_row(
-    state: Dispatcher, runner: Runner, row: HeldRun, sent_at: float, now: float
+    state: Dispatcher, runner: Runner, row: ReportedRun, sent_at: float, now: float
 ) -> bool:
     """Take in one run that is there; return whether it is one of the unit's own."""
     task = runner.tasks.get(row.task)
@@ -239,7 +244,9 @@
     state.actions.append(SendHold(runner.entry, runner.stored_seen, until_ms, wait_s))
 
 
-def _adjust_pace(state: Dispatcher, runner: Runner, held: Held, now: float) -> None:
+def _adjust_pace(
+    state: Dispatcher, runner: Runner, held: RunnerReport, now: float
+) -> None:
     """Learn from the report, and slow what harms the runner's serving tasks."""
     if not has_targets(runner):
         runner.bases = {}
--- a/plantainyard/dispatch/restoring.py
+++ b/plantainyard/dispatch/restoring.py
@@ -38,10 +38,10 @@
     views = list(replica.jobs.items())
     delivered = {job_id for job_id, view in views if view.delivered}
     for job_id, view in views:
-        if view.ended:
+        if view.final_state:
             state.ended[job_id] = now
-        elif view.moved is not None:
-            _restore_moved(state, view, view.moved)
+        elif view.handed_to is not None:
+            _restore_moved(state, view, view.handed_to)
         elif view.submission is not None:
             _restore_job(state, view, delivered, now)
 
@@ -73,7 +73,7 @@
     assert submission is not None
     add_job(state, submission, now)
     job = state.jobs[submission.record_id]
-    job.begun = view.begun
+    job.begun = view.started
     accepted = submission.accepted_at_ms / 1000 - state.wall_offset_s
     set_deadlines(job, min(now, accepted))
     for (occurrence, number), progress in view.steps.items():
--- a/plantainyard/dispatch/runs.py
+++ b/plantainyard/dispatch/runs.py
@@ -13,7 +13,9 @@
 
 __all__ = ["end_run", "free_task", "note_begun", "take_answer"]
 
-_NOT_DONE = frozenset({OrderOutcome.LATE, OrderOutcome.NO_ROOM, OrderOutcome.REFUSED})
+_NOT_DONE = frozenset(
+    {OrderOutcome.LEASE_EXPIRED, OrderOutcome.NO_CAPACITY, OrderOutcome.REFUSED}
+)
 
 
 def note_begun(state: Dispatcher, step: StepRun, now: float) -> None:
@@ -81,7 +83,7 @@
             if spec.backfill and pace_of(runner, spec.image) < task.pace:
                 send_pace(state, task, runner, pace_of(runner, spec.image), now)
         return
-    if outcome == OrderOutcome.OLD:
+    if outcome == OrderOutcome.STALE_RUN:
         # The run has ended there or was stopped: the next report tells.
         task.settled_at = now
         return
--- a/plantainyard/dispatch/samples.py
+++ b/plantainyard/dispatch/samples.py
@@ -10,7 +10,7 @@
 
 from plantainyard.batch.tasks import TaskKey
 from plantainyard.dispatch.model import Phase, Runner, Task
-from plantainyard.platform.runners import HeldRun
+from plantainyard.platform.runners import ReportedRun
 
 __all__ = [
     "QUIET_PART",
@@ -69,7 +69,7 @@
     loads: dict[str, float] = field(default_factory=dict)
 
 
-def read_sample(runner: Runner, running: Iterable[HeldRun]) -> Sample:
+def read_sample(runner: Runner, running: Iterable[ReportedRun]) -> Sample:
     """Return what a report says about harm at the runner."""
     sample = Sample(runner.life)
     assert runner.entry is not None
--- a/plantainyard/dispatch/tests/test_faults.py
+++ b/plantainyard/dispatch/tests/test_faults.py
@@ -91,11 +91,11 @@
             assert len(runner.running) * TASK_CPU <= CORES * 1000, "over its room"
         for job, view in world.replica.jobs.items():
             steps = world.submissions[job].steps
-            if view.ended == "completed":
+            if view.final_state == "completed":
                 assert not any(step.long_running for step in steps)
-            if view.ended == "cancelled":
+            if view.final_state == "cancelled":
                 assert job in self.cancelled
-            assert view.ended != "failed"
+            assert view.final_state != "failed"
 
     def teardown(self) -> None:
         """Heal everything: what was accepted must then come to its end."""
--- a/plantainyard/dispatch/tests/test_fleet.py
+++ b/plantainyard/dispatch/tests/test_fleet.py
@@ -11,7 +11,7 @@
     rule,
 )
 
-from plantainyard.batch.pending import add_up, count_pending
+from plantainyard.batch.pending import count_pending, sum_pending
 from plantainyard.batch.records import RecordKind, parse_key
 from plantainyard.dispatch import (
     Cancelled,
@@ -204,7 +204,7 @@
         told = [count_pending(world.replica, queue) for world in self.worlds]
         recent = [list_arrived(world.state, queue) for world in self.worlds]
         rows = zip(told, recent, strict=True)
-        return add_up(t._replace(arrived=t.arrived | new) for t, new in rows)
+        return sum_pending(t._replace(arrived=t.arrived | new) for t, new in rows)
 
     def teardown(self) -> None:
         """Heal everything: what was cancelled is gone, the rest is at work."""
--- a/plantainyard/dispatch/tests/test_handover.py
+++ b/plantainyard/dispatch/tests/test_handover.py
@@ -53,7 +53,7 @@
     assert list_forwarded(world) == [(5, ["j/a"])]
     (record,) = world.forwarded[0].records
     assert decode_submission(record.value).hops == 1
-    assert world.replica.jobs["a"].moved == 5
+    assert world.replica.jobs["a"].handed_to == 5
     assert world.starts("a") == []
 
 
@@ -192,7 +192,7 @@
     world.losing_forwards = True
     world.submit("a", make_step(cpu=4000))
     world.run(3.0)
-    assert world.replica.jobs["a"].moved == 5
+    assert world.replica.jobs["a"].handed_to == 5
     assert list_forwarded(world) == []
     world.losing_forwards = False
     world.begin()
--- a/plantainyard/dispatch/tests/test_pacing.py
+++ b/plantainyard/dispatch/tests/test_pacing.py
@@ -19,7 +19,7 @@
 from plantainyard.dispatch.tests.test_interference import TRUE, find_tail, swing
 from plantainyard.dispatch.weights import find_weight
 from plantainyard.platform.entries import RunnerEntry
-from plantainyard.platform.runners import HeldRun
+from plantainyard.platform.runners import ReportedRun
 
 CPU = 64_000
 _numbers = itertools.count()
@@ -29,7 +29,7 @@
 def make_runner(life: str) -> Runner:
     entry = RunnerEntry(
         runner=life.partition("@")[0],
-        born_ms=1,
+        started_at_ms=1,
         service="tollgate",
         address="",
         domain="",
@@ -67,7 +67,7 @@
     return _reported[life][1]
 
 
-def report(runner: Runner, now: float) -> list[HeldRun]:
+def report(runner: Runner, now: float) -> list[ReportedRun]:
     """Return what the runner says after half a second at its paces of now."""
     loads = {
         task.key: 7_000 * pace_of(runner, task.step.spec.image) / 100
@@ -80,7 +80,8 @@
     )
     tail_ms = smooth(runner.life, 50.0 * find_tail(swing(now), stretch), now)
     return [
-        HeldRun(key, 1, "", 100, loads.get(key, round(tail_ms))) for key in runner.tasks
+        ReportedRun(key, 1, "", 100, loads.get(key, round(tail_ms)))
+        for key in runner.tasks
     ]
 
 
@@ -248,7 +249,7 @@
         learn(harms, read_sample(other, report(other, now)), now)
         tail_ms = smooth("quiet", 50.0 * find_tail(swing(now), stretch), now)
         rows = [
-            HeldRun(key, 1, "", 100, used if task.step.spec.backfill else tail_ms)
+            ReportedRun(key, 1, "", 100, used if task.step.spec.backfill else tail_ms)
             for key, task in runner.tasks.items()
         ]
         learn(harms, read_sample(runner, rows), now)
--- a/plantainyard/dispatch/tests/test_pending.py
+++ b/plantainyard/dispatch/tests/test_pending.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from plantainyard.batch.pending import Pending, add_up, count_pending
+from plantainyard.batch.pending import Pending, count_pending, sum_pending
 from plantainyard.batch.replica import describe_state
 from plantainyard.batch.values import StepProgress, TaskProgress
 from plantainyard.clock import read_clock
@@ -24,7 +24,7 @@
 
 
 def count_waiting(world: World) -> int:
-    return add_up([count_pending(world.replica, "q")])
+    return sum_pending([count_pending(world.replica, "q")])
 
 
 def describe(world: World, job_id: str) -> str:
@@ -106,21 +106,21 @@
     old.submit("a", make_step(cpu=4000))
     for _ in range(30):
         old.run(0.1)
-        assert add_up(map(tell_pending, (old, new))) == 1
+        assert sum_pending(map(tell_pending, (old, new))) == 1
     new_first = tell_pending(new)
     ((forward,), old.losing_forwards) = old.waiting_forwards, False
     old.run(0.1)
-    assert add_up([tell_pending(old), new_first]) == 1
+    assert sum_pending([tell_pending(old), new_first]) == 1
     new.take(forward.records[0])
     began_at = old.now
     while tell_pending(old).moving:
         assert old.now < began_at + READ_S + 1.0
         for world in (old, new):
             world.run(0.1)
-        assert add_up(map(tell_pending, (old, new))) == 1
+        assert sum_pending(map(tell_pending, (old, new))) == 1
     new.cut.clear()
     new.run(1.0)
-    assert add_up(map(tell_pending, (old, new))) == 0
+    assert sum_pending(map(tell_pending, (old, new))) == 0
 
 
 def test_a_job_that_begins_as_soon_as_it_arrives_does_not_count():
@@ -130,7 +130,7 @@
     new.take(old.forwarded[0].records[0])
     new.run(0.3)
     assert tell_pending(old).moving
-    assert add_up(map(tell_pending, (old, new))) == 0
+    assert sum_pending(map(tell_pending, (old, new))) == 0
 
 
 def divide_job() -> World:
@@ -150,13 +150,13 @@
     # unit has handed its tasks on, and none has started anywhere.
     old, new = divide_job(), World(runners=1)
     new.cut.add("r0")
-    assert add_up(map(tell_pending, (old, new))) == 1
+    assert sum_pending(map(tell_pending, (old, new))) == 1
     for record in old.forwarded[0].records:
         new.take(record)
     for _ in range(30):
         for world in (old, new):
             world.run(0.1)
-        assert add_up(map(tell_pending, (old, new))) == 1
+        assert sum_pending(map(tell_pending, (old, new))) == 1
 
 
 def test_a_job_whose_only_tasks_at_work_are_in_another_unit_has_begun():
@@ -168,7 +168,7 @@
     new.take(old.forwarded[0].records[0])
     new.run(1.0)
     assert tell_pending(old).divided == {"a"}
-    assert add_up(map(tell_pending, (old, new))) == 0
+    assert sum_pending(map(tell_pending, (old, new))) == 0
 
 
 def test_a_job_counts_until_its_new_unit_has_read_of_it_or_tells_nothing():
@@ -200,7 +200,7 @@
 
     monkeypatch.setattr(peers, "count_in_copy", count_late)
     told = ask_owner_to_count(new)
-    assert add_up([tell_pending(old), told]) == 1
+    assert sum_pending([tell_pending(old), told]) == 1
 
 
 def ask_owner_to_count(world: World) -> Pending:
--- a/plantainyard/dispatch/tests/test_takeovers.py
+++ b/plantainyard/dispatch/tests/test_takeovers.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from plantainyard.batch.records import CANCEL, make_cancel_key
+from plantainyard.batch.records import CANCEL_VALUE, make_cancel_key
 from plantainyard.dispatch import OrderKind, Tick, choose_lease
 from plantainyard.dispatch.tests.world import World, make_step
 
@@ -235,7 +235,7 @@
     world.runners["r0"].durations = {"a": 0.0}
     world.submit("a", make_step(2, long_running=True))
     world.run(0.5)
-    world.store(make_cancel_key("a"), CANCEL)
+    world.store(make_cancel_key("a"), CANCEL_VALUE)
     world.begin()
     world.run(1.0)
     assert world.at_work("a") == []
--- a/plantainyard/dispatch/tests/world.py
+++ b/plantainyard/dispatch/tests/world.py
@@ -14,8 +14,8 @@
 from plantainyard.batch.replica import (
     Replica,
     apply_record,
-    note_begun,
-    note_delivered,
+    mark_job_started,
+    mark_jobs_delivered,
 )
 from plantainyard.batch.values import Resources, Step, Submission
 from plantainyard.dispatch import (
@@ -161,10 +161,10 @@
             self.held.append((self.now, action))
             return []
         if isinstance(action, Begun):
-            note_begun(self.replica, action.job_id)
+            mark_job_started(self.replica, action.job_id)
             return []
         if isinstance(action, Delivered):
-            note_delivered(self.replica, action.job_ids)
+            mark_jobs_delivered(self.replica, action.job_ids)
             return []
         assert isinstance(action, SendOrder)
         return self.order(action)
@@ -278,7 +278,7 @@
         ]
 
     def ended(self, job_id: str) -> str:
-        return self.replica.jobs[job_id].ended
+        return self.replica.jobs[job_id].final_state
 
 
 def make_step(size: int = 1, cpu: int = 1000, **more: Any) -> Step:
--- a/plantainyard/entry/front.py
+++ b/plantainyard/entry/caller_api.py
@@ -7,28 +7,28 @@
 
 from result import Err, Ok, Result
 
-from plantainyard.batch.checks import find_fault
-from plantainyard.batch.pending import add_up
+from plantainyard.batch.checks import validate_submission
+from plantainyard.batch.pending import sum_pending
 from plantainyard.batch.records import (
-    CANCEL,
+    CANCEL_VALUE,
     encode_submission,
     make_cancel_key,
     make_submission_key,
 )
-from plantainyard.batch.values import JobEnd, Submission
+from plantainyard.batch.values import FinalStates, Submission
 from plantainyard.clock import read_clock
-from plantainyard.entry.answers import OK, send_json
 from plantainyard.entry.instance import Instance
 from plantainyard.entry.lookups import count_pending_in, find_job
 from plantainyard.entry.peers import Counted
+from plantainyard.entry.responses import OK, send_json
 from plantainyard.entry.topics import INTAKE
-from plantainyard.entry.wall import read_wall_ms
+from plantainyard.entry.wall_clock import read_wall_clock_ms
 from plantainyard.errors import ErrorKind
 from plantainyard.platform.configuration import Configuration, Queue, find_queue
 from plantainyard.platform.store import Append, Record
 from plantainyard.platform.submissions import decode_body
 
-__all__ = ["Answer", "build_front", "serve_request"]
+__all__ = ["Answer", "build_caller_app", "serve_request"]
 
 ID_LENGTH = 16
 """Hexadecimal digits of a job's id."""
@@ -102,7 +102,7 @@
     return Answer("400 Bad Request", {"error": error}, reason=Reason.BODY)
 
 
-def build_front(
+def build_caller_app(
     instance: Instance,
 ) -> Callable[[WSGIEnvironment, StartResponse], Iterable[bytes]]:
     """Return the WSGI application of the callers' port."""
@@ -179,12 +179,12 @@
 
 def _decode(body: bytes, job_id: str, queue: Queue) -> Result[Submission, str]:
     try:
-        submission = decode_body(body, job_id, queue, int(read_wall_ms()))
+        submission = decode_body(body, job_id, queue, int(read_wall_clock_ms()))
     except (ValueError, TypeError, KeyError, AttributeError) as error:
         return Err(f"not a submission: {error}")
     except RecursionError:
         return Err("not a submission: nested too deep")
-    fault = find_fault(submission)
+    fault = validate_submission(submission)
     return Err(fault) if fault else Ok(submission)
 
 
@@ -238,9 +238,9 @@
     unit, job = found.ok_value
     if not job.state:
         return _GONE
-    if job.state in JobEnd.ALL:
+    if job.state in FinalStates.ALL:
         return Answer(OK, {"state": job.state})
-    answer = _store(instance, unit, make_cancel_key(job_id), CANCEL)
+    answer = _store(instance, unit, make_cancel_key(job_id), CANCEL_VALUE)
     if answer.status == OK:
         instance.log.write("cancel_accepted", job=job_id)
     return answer
@@ -253,7 +253,7 @@
         )
     )
     known = [count for count in counts if count is not None]
-    pending = add_up(count.pending for count in known)
+    pending = sum_pending(count.pending for count in known)
     units = [count and _abridge(count) for count in counts]
     instance.log.write("counted", queue=queue.name, pending=pending, units=units)
     if len(known) < len(counts):
--- a/plantainyard/entry/candidacy.py
+++ b/plantainyard/entry/candidacy.py
@@ -15,7 +15,7 @@
 from plantainyard.entry.topics import PROGRESS
 from plantainyard.errors import CallError
 from plantainyard.platform.settings import InstanceSettings
-from plantainyard.platform.store import Holding
+from plantainyard.platform.store import PartitionOwner
 
 __all__ = ["Reserve", "is_reserve", "is_strong", "needs_reserves", "watch_group"]
 
@@ -60,14 +60,18 @@
     return member.endswith(RESERVE_MARK)
 
 
-def needs_reserves(holdings: Iterable[Holding], units: int) -> bool:
+def needs_reserves(holdings: Iterable[PartitionOwner], units: int) -> bool:
     """Return whether the strong instances of a group are too few for all units.
 
     Examples
     --------
-    >>> needs_reserves([Holding(PROGRESS, 0, "a/1"), Holding(PROGRESS, 1, "b/2")], 4)
+    >>> owners = [
+    ...     PartitionOwner(PROGRESS, 0, "a/1"),
+    ...     PartitionOwner(PROGRESS, 1, "b/2"),
+    ... ]
+    >>> needs_reserves(owners, 4)
     False
-    >>> needs_reserves([Holding(PROGRESS, 0, "a/1"), Holding(PROGRESS, 1, "b/2")], 5)
+    >>> needs_reserves(owners, 5)
     True
     """
     strong = {
@@ -110,7 +114,7 @@
 
 def watch_group(
     reserve: Reserve,
-    look: Callable[[], Result[list[Holding], CallError]],
+    look: Callable[[], Result[list[PartitionOwner], CallError]],
     answers: Callable[[int], bool],
     units: int,
     now: float,
--- a/plantainyard/entry/eventlog.py
+++ b/plantainyard/entry/eventlog.py
@@ -17,7 +17,7 @@
 
 from plantainyard.clock import read_clock
 
-__all__ = ["EVENTS", "EventLog", "keep_event_log"]
+__all__ = ["EVENTS", "EventLog", "open_event_log"]
 
 QUEUE_LINES = 2_000
 """Lines that wait for the writer: some seconds of the busiest traffic, under 1 MB."""
@@ -105,8 +105,8 @@
         self.instance = instance
         self.stream = stream
         self.lines: queue.Queue[str | None] = queue.Queue(QUEUE_LINES - BATCH_LINES)
-        self.lost = 0
-        self.count: Callable[[str], None] = _count_nothing
+        self.lost_lines = 0
+        self.on_event: Callable[[str], None] = _count_nothing
         self._counts: dict[str, int] = {}
         self._second = 0
         self._lock = threading.Lock()
@@ -121,7 +121,7 @@
         **fields
             What decided it and what became of it; encodable as JSON.
         """
-        self.count(event)
+        self.on_event(event)
         lines, finished = self._count(event)
         for name, left_out in finished:
             self._put("left_out", {"of": name, "lines": left_out})
@@ -162,7 +162,7 @@
         try:
             self.lines.put_nowait(json.dumps(data, separators=(",", ":"), default=str))
         except queue.Full:
-            self.lost += 1
+            self.lost_lines += 1
 
     def run(self) -> None:
         """Write lines until a None is queued."""
@@ -175,7 +175,7 @@
                 if self.lines.empty():
                     self.stream.flush()
             except (OSError, ValueError):
-                self.lost += len(batch)
+                self.lost_lines += len(batch)
             if ended:
                 return
 
@@ -210,7 +210,7 @@
 
 
 @contextlib.contextmanager
-def keep_event_log(instance: str, stream: TextIO | None = None) -> Iterator[EventLog]:
+def open_event_log(instance: str, stream: TextIO | None = None) -> Iterator[EventLog]:
     """Yield an event log whose writer runs for the length of the context.
 
     Notes
--- a/plantainyard/entry/inspection.py
+++ b/plantainyard/entry/inspection.py
@@ -12,9 +12,9 @@
 from plantainyard.clock import read_clock
 from plantainyard.dispatch import Dispatcher, count_state
 from plantainyard.dispatch.model import Job, Task
-from plantainyard.entry.answers import OK, send_answer
 from plantainyard.entry.instance import Instance
 from plantainyard.entry.peers import look_up
+from plantainyard.entry.responses import OK, send_response
 
 __all__ = ["build_inspection_app", "describe_job", "describe_state"]
 
@@ -104,6 +104,6 @@
         else:
             return metrics(environ, start)
         body = json.dumps(answer, indent=1).encode() + b"\n"
-        return send_answer(start, OK, "application/json", body)
+        return send_response(start, OK, "application/json", body)
 
     return serve
--- a/plantainyard/entry/instance.py
+++ b/plantainyard/entry/instance.py
@@ -103,7 +103,7 @@
         self.settings = settings
         self.log = log
         self.meters = Meters()
-        log.count = lambda event: self.meters.events.labels(event).inc()
+        log.on_event = lambda event: self.meters.events.labels(event).inc()
         observe = self.meters.observe_call
         self.store: StoreCalls = build_store_calls(settings.store_address, observe)
         self.runners: RunnerCalls = build_runner_calls(observe)
@@ -138,7 +138,7 @@
     def refresh_meters(self) -> None:
         """Set the gauges to what holds now."""
         meters = self.meters
-        meters.lost_lines.set(self.log.lost)
+        meters.lost_lines.set(self.log.lost_lines)
         meters.configuration_age.set(read_clock() - self.operations.synced_at)
         if self.configuration is not None:
             meters.configuration_version.set(self.configuration.version)
--- a/plantainyard/entry/layout.py
+++ b/plantainyard/entry/layout.py
@@ -204,7 +204,7 @@
 def propose_units(store: StoreCalls, units: int, log: EventLog) -> None:
     """Store the number of units if nobody has; whoever was first is read next."""
     value = json.dumps({"units": units}).encode()
-    append = Append(LAYOUT, 0, [Record(UNITS_KEY, value)], at=0)
+    append = Append(LAYOUT, 0, [Record(UNITS_KEY, value)], expected_end=0)
     answer = store.append(append, READ_TIMEOUT_S)
     if not isinstance(answer, Err) and answer.ok_value.accepted:
         log.write("layout_chosen", units=units)
--- a/plantainyard/entry/meters.py
+++ b/plantainyard/entry/meters.py
@@ -11,7 +11,7 @@
     generate_latest,
 )
 
-from plantainyard.entry.answers import OK, send_answer
+from plantainyard.entry.responses import OK, send_response
 
 __all__ = ["METERS", "Meters", "build_metrics_app"]
 
@@ -103,6 +103,6 @@
     def serve(_: WSGIEnvironment, start: StartResponse) -> Iterable[bytes]:
         refresh()
         body = generate_latest(meters.registry)
-        return send_answer(start, OK, METRICS_TYPE, body)
+        return send_response(start, OK, METRICS_TYPE, body)
 
     return serve
--- a/plantainyard/entry/ownership.py
+++ b/plantainyard/entry/ownership.py
@@ -17,7 +17,7 @@
 from plantainyard.entry.instance import Instance
 from plantainyard.entry.topics import GROUP, PROGRESS
 from plantainyard.errors import CallError
-from plantainyard.platform.store import Holding
+from plantainyard.platform.store import PartitionOwner
 
 __all__ = ["Member", "Ownership", "follow_ownership", "name_member"]
 
@@ -156,8 +156,8 @@
     member = Member(name_member(instance.settings.instance, strong), instance, take)
     reserve = Reserve(read_clock())
 
-    def look() -> Result[list[Holding], CallError]:
-        return instance.store.read_holdings(GROUP, JOIN_TIMEOUT_S)
+    def look() -> Result[list[PartitionOwner], CallError]:
+        return instance.store.read_partition_owners(GROUP, JOIN_TIMEOUT_S)
 
     def is_needed() -> bool:
         units = instance.layout.units
--- a/plantainyard/entry/peers.py
+++ b/plantainyard/entry/peers.py
@@ -11,11 +11,11 @@
 from plantainyard.batch.replica import describe_state
 from plantainyard.clock import read_clock
 from plantainyard.dispatch import Load, list_arrived
-from plantainyard.entry.answers import OK, send_json
 from plantainyard.entry.candidacy import is_strong
 from plantainyard.entry.claims import Reply, Word
 from plantainyard.entry.copies import UnitCopy
 from plantainyard.entry.instance import Instance
+from plantainyard.entry.responses import OK, send_json
 from plantainyard.entry.tails import read_ahead
 from plantainyard.errors import ErrorKind
 from plantainyard.transport import build_peer, build_pool, call_json
@@ -88,7 +88,7 @@
     view = copy.replica.jobs.get(job_id)
     if view is None or view.submission is None:
         return Found("")
-    moved = None if view.ended else view.moved
+    moved = None if view.final_state else view.handed_to
     return Found(describe_state(view), moved)
 
 
--- a/plantainyard/entry/process.py
+++ b/plantainyard/entry/process.py
@@ -14,9 +14,9 @@
 from result import Err
 
 from plantainyard.clock import read_clock
+from plantainyard.entry.caller_api import build_caller_app
 from plantainyard.entry.candidacy import is_strong
-from plantainyard.entry.eventlog import EventLog, keep_event_log
-from plantainyard.entry.front import build_front
+from plantainyard.entry.eventlog import EventLog, open_event_log
 from plantainyard.entry.inspection import build_inspection_app
 from plantainyard.entry.instance import (
     CONFIRM_S,
@@ -72,7 +72,7 @@
             f"{fault.path}:{fault.line}: {fault.key}: {fault.detail}", file=sys.stderr
         )
         return EXIT_USAGE
-    with keep_event_log(loaded.ok_value.instance) as log:
+    with open_event_log(loaded.ok_value.instance) as log:
         run_instance(loaded.ok_value, log)
     return EXIT_OK
 
@@ -203,7 +203,7 @@
     meters = build_metrics_app(instance.meters, instance.refresh_meters)
     metrics = build_inspection_app(instance, meters)
     apps: list[tuple[str, WSGIApplication, int]] = [
-        (settings.caller_address, build_front(instance), CALLER_THREADS),
+        (settings.caller_address, build_caller_app(instance), CALLER_THREADS),
         (settings.ready_address, ready, 1),
         (instance.peer_address(), build_peer_app(instance), 4),
         (f"{settings.ip}:{settings.metrics_port}", metrics, 1),
--- a/plantainyard/entry/answers.py
+++ b/plantainyard/entry/responses.py
@@ -5,13 +5,13 @@
 from typing import Any
 from wsgiref.types import StartResponse
 
-__all__ = ["OK", "send_answer", "send_json"]
+__all__ = ["OK", "send_response", "send_json"]
 
 OK = "200 OK"
 """Status of an answer that has what was asked for."""
 
 
-def send_answer(
+def send_response(
     start: StartResponse,
     status: str,
     content_type: str,
@@ -43,6 +43,6 @@
 def send_json(
     start: StartResponse, status: str, data: Any, retry_after_s: int = 0
 ) -> Iterable[bytes]:
-    """Start an answer in JSON and return its body; see `send_answer`."""
+    """Start an answer in JSON and return its body; see `send_response`."""
     body = json.dumps(data).encode()
-    return send_answer(start, status, "application/json", body, retry_after_s)
+    return send_response(start, status, "application/json", body, retry_after_s)
--- a/plantainyard/entry/takeover.py
+++ b/plantainyard/entry/takeover.py
@@ -23,7 +23,7 @@
 from plantainyard.entry.layout import find_unit
 from plantainyard.entry.topics import PRODUCER, PROGRESS
 from plantainyard.entry.unit import UnitActor, UnitWorld, append_until_known
-from plantainyard.entry.wall import read_wall_ms
+from plantainyard.entry.wall_clock import read_wall_clock_ms
 from plantainyard.platform.store import Append, Record
 
 __all__ = [
@@ -63,13 +63,15 @@
     """Return a dispatcher that goes on where a unit's stored records end."""
     settings = instance.settings
     limits = Limits(
-        lease_s=choose_lease(settings.longest_lease_s, settings.cancelled_s),
+        lease_s=choose_lease(settings.longest_lease_s, settings.cancel_deadline_s),
         longest_lease_s=settings.longest_lease_s,
-        harm_s=settings.harm_s,
+        harm_s=settings.max_target_violation_s,
         remote_factor=settings.remote_factor,
     )
     now = read_clock()
-    return restore_dispatcher(copy.replica, limits, now, read_wall_ms(), fenced_at)
+    return restore_dispatcher(
+        copy.replica, limits, now, read_wall_clock_ms(), fenced_at
+    )
 
 
 @contextlib.contextmanager
@@ -99,9 +101,9 @@
     before there was an actor to tell. The dispatcher passes over what it knows.
     """
     for job_id, view in list(copy.replica.jobs.items()):
-        if view.ended or view.submission is None:
+        if view.final_state or view.submission is None:
             continue
-        if view.moved is None:
+        if view.handed_to is None:
             instance.tell(copy.unit, Submitted(view.submission))
         if view.cancelled:
             instance.tell(copy.unit, Cancelled(job_id))
--- a/plantainyard/entry/tests/site.py
+++ b/plantainyard/entry/tests/site.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable, Iterable, Iterator
 
 from plantainyard.clock import read_clock
+from plantainyard.entry.caller_api import serve_request
 from plantainyard.entry.eventlog import EventLog
-from plantainyard.entry.front import serve_request
 from plantainyard.entry.instance import Instance
 from plantainyard.entry.ownership import Ownership
 from plantainyard.entry.owning import Owners
--- a/plantainyard/entry/tests/test_front.py
+++ b/plantainyard/entry/tests/test_caller_api.py
@@ -5,7 +5,7 @@
 import pytest
 from prometheus_client import generate_latest
 
-from plantainyard.entry.front import build_front
+from plantainyard.entry.caller_api import build_caller_app
 from plantainyard.entry.instance import Instance
 from plantainyard.entry.peers import look_up
 from plantainyard.entry.tests.site import (
@@ -109,7 +109,7 @@
         "HTTP_HOST": "nony.example",
         "PATH_INFO": f"/jobs/{JOB}",
     }
-    build_front(instance)(environ, Mock())
+    build_caller_app(instance)(environ, Mock())
     return generate_latest(instance.meters.registry).decode()
 
 
--- a/plantainyard/entry/tests/test_candidacy.py
+++ b/plantainyard/entry/tests/test_candidacy.py
@@ -15,11 +15,11 @@
 from plantainyard.entry.tests.site import make_settings, run_instance, wait_until
 from plantainyard.entry.topics import GROUP, PROGRESS
 from plantainyard.errors import CallError, ErrorKind
-from plantainyard.platform.store import Holding
+from plantainyard.platform.store import PartitionOwner
 from standins.platform import StoreState
 
-STRONG = [Holding(PROGRESS, unit, f"strong-{unit}/1") for unit in range(4)]
-MIXED = [*STRONG[:3], Holding(PROGRESS, 3, "weak/1/reserve")]
+STRONG = [PartitionOwner(PROGRESS, unit, f"strong-{unit}/1") for unit in range(4)]
+MIXED = [*STRONG[:3], PartitionOwner(PROGRESS, 3, "weak/1/reserve")]
 
 
 def answer(unit: int) -> bool:
@@ -40,7 +40,7 @@
     weak = name_member("edge-1", strong=False)
     assert is_reserve(weak)
     assert not is_reserve(name_member("edge-1", strong=True))
-    assert needs_reserves([Holding(PROGRESS, 0, weak)], 1)
+    assert needs_reserves([PartitionOwner(PROGRESS, 0, weak)], 1)
 
 
 def test_a_reserve_waits_for_the_strong_and_goes_when_they_are_back():
@@ -49,7 +49,7 @@
     # lost its unit and got it again.
     reserve = Reserve(0.0)
 
-    def look(holdings: list[Holding], now: float) -> bool:
+    def look(holdings: list[PartitionOwner], now: float) -> bool:
         return watch_group(reserve, lambda: Ok(holdings), answer, 8, now)
 
     assert not look([], 0.1)
--- a/plantainyard/entry/tests/test_eventlog.py
+++ b/plantainyard/entry/tests/test_eventlog.py
@@ -6,7 +6,7 @@
 
 from plantainyard.batch.replica import Replica, apply_record
 from plantainyard.entry import eventlog
-from plantainyard.entry.eventlog import EventLog, keep_event_log
+from plantainyard.entry.eventlog import EventLog, open_event_log
 from plantainyard.entry.tests.site import PATIENCE_S, wait_until
 
 
@@ -30,7 +30,7 @@
     # An instance was stopped, and its log has a line `stopping` and none `stopped`: the
     # process had ended before the writer came to it. It looks like one that hung.
     stream = SlowReader()
-    with keep_event_log("edge-1", stream) as log:
+    with open_event_log("edge-1", stream) as log:
         log.write("stopping")
         log.write("stopped")
     assert '"stopped"' in stream.getvalue()
@@ -40,7 +40,7 @@
     # The reader of standard output has stopped. Waited for, it would keep the process
     # until it is killed.
     def run() -> None:
-        with keep_event_log("edge-1", StoppedReader()) as log:
+        with open_event_log("edge-1", StoppedReader()) as log:
             log.write("stopped")
 
     process = threading.Thread(target=run, daemon=True)
@@ -64,7 +64,7 @@
     deciding.start()
     deciding.join(PATIENCE_S)
     assert not deciding.is_alive()
-    assert log.lost >= eventlog.QUEUE_LINES - 1
+    assert log.lost_lines >= eventlog.QUEUE_LINES - 1
 
 
 def test_lines_that_come_together_are_written_together_and_in_order():
@@ -78,7 +78,7 @@
             return super().write(text)
 
     stream = Counting()
-    with keep_event_log("edge-1", stream) as log:
+    with open_event_log("edge-1", stream) as log:
         for number in range(40):
             log.write("accepted", number=number)
         wait_until(lambda: stream.getvalue().count("\n") == 40)
@@ -89,7 +89,7 @@
 
 def test_more_lines_than_are_written_at_once_all_come_out():
     stream = io.StringIO()
-    with keep_event_log("edge-1", stream) as log:
+    with open_event_log("edge-1", stream) as log:
         for number in range(4 * eventlog.BATCH_LINES):
             log.write(f"event-{number}")
         wait_until(lambda: stream.getvalue().count("\n") == 4 * eventlog.BATCH_LINES)
@@ -106,7 +106,7 @@
     # An instance of another version has stored a job in another form. Its caller waits
     # for ever, and the line that tells why went to standard error, which nobody keeps.
     stream = io.StringIO()
-    with keep_event_log("edge-1", stream):
+    with open_event_log("edge-1", stream):
         apply_record(Replica(), "j/5c0e", b"{")
         wait_until(lambda: "j/5c0e" in stream.getvalue())
 
--- a/plantainyard/entry/tests/test_owning.py
+++ b/plantainyard/entry/tests/test_owning.py
@@ -34,8 +34,8 @@
 )
 from plantainyard.entry.topics import INTAKE, PROGRESS
 from plantainyard.entry.unit import UnitActor, UnitWorld
-from plantainyard.platform.runners import Held, OrderOutcome, OrderResult
-from plantainyard.platform.store import Append, Appended, Record, build_store_calls
+from plantainyard.platform.runners import OrderOutcome, OrderResult, RunnerReport
+from plantainyard.platform.store import Append, AppendResult, Record, build_store_calls
 from standins.platform import RunnerState, StoreState
 
 
@@ -127,7 +127,7 @@
     # assigning tasks to runners that do nothing it says.
     store = StoreState()
     with run_instance(store, RunnerState("r0")) as instance:
-        held = Ok(Held(1000, None, [], []))
+        held = Ok(RunnerReport(1000, None, [], []))
         refused = OrderResult(OrderOutcome.FENCED)
         instance.runners.close()
         instance.runners = Mock()
@@ -221,7 +221,7 @@
     def answer_late(append, timeout_s):
         world.stopping.set()
         apply_record(replica, key, new)
-        return Ok(Appended(True, False, 1))
+        return Ok(AppendResult(True, False, 1))
 
     apply_record(replica, f"j/{JOB}", b"")
     store: Any = SimpleNamespace(append=answer_late)
--- a/plantainyard/entry/unit.py
+++ b/plantainyard/entry/unit.py
@@ -16,8 +16,8 @@
 from plantainyard.batch.replica import (
     Replica,
     apply_record,
-    note_begun,
-    note_delivered,
+    mark_job_started,
+    mark_jobs_delivered,
 )
 from plantainyard.batch.tasks import TaskKey
 from plantainyard.clock import read_clock
@@ -47,11 +47,11 @@
 from plantainyard.errors import CallError, ErrorKind
 from plantainyard.platform.entries import RunnerEntry
 from plantainyard.platform.runners import (
-    Held,
     Order,
     OrderOutcome,
     OrderResult,
     RunnerCalls,
+    RunnerReport,
 )
 from plantainyard.platform.store import Append, StoreCalls
 
@@ -174,7 +174,7 @@
     def _note_begun(self, action: Begun) -> None:
         self.world.meters.first_start.observe(action.waited_s)
         self.world.log.write("job_begun", job=action.job_id, waited_s=action.waited_s)
-        note_begun(self.world.replica, action.job_id)
+        mark_job_started(self.world.replica, action.job_id)
 
     def _log_ends(self, message: HoldAnswered) -> None:
         runner = self.dispatcher.runners.get(message.life)
@@ -188,7 +188,7 @@
                     task=end.task[1:],
                     run=end.run,
                     runner=message.life,
-                    how=end.how,
+                    how=end.outcome,
                 )
 
     def on_stop(self) -> None:
@@ -223,7 +223,7 @@
         elif isinstance(action, Begun):
             self._note_begun(action)
         elif isinstance(action, Delivered):
-            note_delivered(self.world.replica, action.job_ids)
+            mark_jobs_delivered(self.world.replica, action.job_ids)
         elif isinstance(action, Forward):
             self.forwards.submit(self._forward, action)
         else:
@@ -297,15 +297,15 @@
         entry = action.entry
         order = _address(entry, self.world.epoch, lease=action.lease_until_ms)
 
-        def take(answer: Result[Held, CallError]) -> None:
+        def take(answer: Result[RunnerReport, CallError]) -> None:
             self._tell(self._judge_report(entry.life, answer, sent_at))
 
-        self.world.runners.hold(
+        self.world.runners.renew_lease(
             order, action.last_seen, action.wait_s, HOLD_TIMEOUT_S, take
         )
 
     def _judge_report(
-        self, life: str, answer: Result[Held, CallError], sent_at: float
+        self, life: str, answer: Result[RunnerReport, CallError], sent_at: float
     ) -> HoldAnswered | HoldFailed:
         if isinstance(answer, Ok):
             return HoldAnswered(life, answer.ok_value, sent_at)
@@ -320,7 +320,7 @@
         sent_at = read_clock()
         order = Order(
             runner=action.entry.runner,
-            born_ms=action.entry.born_ms,
+            started_at_ms=action.entry.started_at_ms,
             address=action.entry.address,
             task=action.task,
             run=action.run,
@@ -373,7 +373,7 @@
     nothing = TaskKey("", 0, 0, 0)
     return Order(
         entry.runner,
-        entry.born_ms,
+        entry.started_at_ms,
         entry.address,
         nothing,
         0,
--- a/plantainyard/entry/wall.py
+++ b/plantainyard/entry/wall_clock.py
@@ -2,9 +2,9 @@
 
 import time
 
-__all__ = ["read_wall_ms"]
+__all__ = ["read_wall_clock_ms"]
 
 
-def read_wall_ms() -> float:
+def read_wall_clock_ms() -> float:
     """Return Unix milliseconds; may jump by seconds in either direction."""
     return time.time() * 1000
--- a/plantainyard/platform/__init__.py
+++ b/plantainyard/platform/__init__.py
@@ -12,19 +12,19 @@
 )
 from plantainyard.platform.entries import RunnerEntry, decode_entry
 from plantainyard.platform.runners import (
-    Held,
-    HeldRun,
     Order,
     OrderOutcome,
     OrderResult,
+    ReportedRun,
     RunEnd,
     RunnerCalls,
+    RunnerReport,
     build_runner_calls,
 )
 from plantainyard.platform.settings import InstanceSettings, load_instance_settings
 from plantainyard.platform.store import (
     Append,
-    Appended,
+    AppendResult,
     Membership,
     Page,
     Slice,
@@ -35,10 +35,10 @@
 
 __all__ = [
     "Append",
-    "Appended",
+    "AppendResult",
     "Configuration",
-    "Held",
-    "HeldRun",
+    "RunnerReport",
+    "ReportedRun",
     "InstanceSettings",
     "Membership",
     "Order",
--- a/plantainyard/platform/entries.py
+++ b/plantainyard/platform/entries.py
@@ -17,7 +17,7 @@
     ----------
     runner : str
         Its id, which a later life of it may have again.
-    born_ms : int
+    started_at_ms : int
         Start of this life in Unix milliseconds by the runner's clock; tells lives of
         one id apart.
     service, address, domain : str
@@ -35,7 +35,7 @@
     """
 
     runner: str
-    born_ms: int
+    started_at_ms: int
     service: str
     address: str
     domain: str
@@ -48,7 +48,7 @@
     @property
     def life(self) -> str:
         """Return the name of this life of the runner."""
-        return f"{self.runner}@{self.born_ms}"
+        return f"{self.runner}@{self.started_at_ms}"
 
     @property
     def rack(self) -> str:
@@ -71,7 +71,7 @@
         leaves = data.get("remainingMs")
         entry = RunnerEntry(
             runner=runner,
-            born_ms=_whole(data.get("born", 0)),
+            started_at_ms=_whole(data.get("born", 0)),
             service=_text(data["service"]),
             address=_text(data["address"]),
             domain=_text(data["zone"]),
--- a/plantainyard/platform/runners.py
+++ b/plantainyard/platform/runners.py
@@ -15,11 +15,11 @@
 from plantainyard.transport import HttpAnswer, Observer, ignore_call, name_result
 
 __all__ = [
-    "Held",
-    "HeldRun",
-    "HoldAnswer",
+    "RunnerReport",
+    "ReportedRun",
+    "ReportCallback",
     "Order",
-    "OrderAnswer",
+    "OrderCallback",
     "OrderOutcome",
     "OrderResult",
     "RunEnd",
@@ -33,7 +33,7 @@
 
     Attributes
     ----------
-    runner, born_ms, address : str, int, str
+    runner, started_at_ms, address : str, int, str
         The life it is meant for, and where to reach it.
     task : TaskKey
         The task.
@@ -52,7 +52,7 @@
     """
 
     runner: str
-    born_ms: int
+    started_at_ms: int
     address: str
     task: TaskKey
     run: int
@@ -72,15 +72,15 @@
         The runner has taken it.
     ``FENCED``
         The runner has seen a higher fencing token.
-    ``OLD``
+    ``STALE_RUN``
         A run with this number or a later one has ended there.
-    ``LATE``
+    ``LEASE_EXPIRED``
         The lease in the order is over already.
-    ``NO_ROOM``
+    ``NO_CAPACITY``
         The runner refuses what doesn't fit.
     ``REFUSED``
         It did nothing, for another reason.
-    ``OTHER_LIFE``
+    ``OTHER_INCARNATION``
         The life that was meant is over.
     ``UNKNOWN``
         No answer: it may be carried out at once, seconds later, or never.
@@ -88,30 +88,30 @@
 
     DONE = "done"
     FENCED = "fenced"
-    OLD = "old"
-    LATE = "late"
-    NO_ROOM = "no room"
+    STALE_RUN = "old"
+    LEASE_EXPIRED = "late"
+    NO_CAPACITY = "no room"
     REFUSED = "refused"
-    OTHER_LIFE = "other life"
+    OTHER_INCARNATION = "other life"
     UNKNOWN = "unknown"
 
 
 _OUTCOMES = {
     "fence": OrderOutcome.FENCED,
-    "old": OrderOutcome.OLD,
-    "late": OrderOutcome.LATE,
-    "room": OrderOutcome.NO_ROOM,
+    "old": OrderOutcome.STALE_RUN,
+    "late": OrderOutcome.LEASE_EXPIRED,
+    "room": OrderOutcome.NO_CAPACITY,
 }
 
 _ERROR_KINDS = {
     OrderOutcome.FENCED: ErrorKind.CONFLICT,
-    OrderOutcome.OTHER_LIFE: ErrorKind.OTHER_LIFE,
+    OrderOutcome.OTHER_INCARNATION: ErrorKind.OTHER_LIFE,
     OrderOutcome.UNKNOWN: ErrorKind.LOST,
 }
 
-OTHER_LIFE = 421
+MISDIRECTED_STATUS = 421
 
-KEPT_TASKS = 8192
+TASK_NAME_CACHE_SIZE = 8192
 """Parsed names of tasks that are kept: each is in one report after the other for as
 long as it runs, and an owner has a few thousand."""
 
@@ -134,7 +134,7 @@
     detail: str = ""
 
 
-class HeldRun(NamedTuple):
+class ReportedRun(NamedTuple):
     """A run that is at a runner.
 
     Attributes
@@ -166,7 +166,7 @@
         Rises by one within a life.
     task, run : TaskKey, int
         Which one.
-    how : str
+    outcome : str
         ``done``, ``failed``, ``stopped``, ``lapsed``, ``broken`` or ``alone``.
     checkpoint : str
         Newest one; empty for none.
@@ -175,35 +175,35 @@
     number: int
     task: TaskKey
     run: int
-    how: str
+    outcome: str
     checkpoint: str
 
 
-class Held(NamedTuple):
+class RunnerReport(NamedTuple):
     """A runner's report of all that runs and has ended there.
 
     Attributes
     ----------
     clock_ms : int
         The runner's clock.
-    born_ms : int or None
+    started_at_ms : int or None
         Life that answered, where it says so.
-    running : list of HeldRun
+    running : list of ReportedRun
         Everything that runs or is being stopped.
     ended : list of RunEnd
         Ends that weren't acknowledged yet.
     """
 
     clock_ms: int
-    born_ms: int | None
-    running: list[HeldRun]
+    started_at_ms: int | None
+    running: list[ReportedRun]
     ended: list[RunEnd]
 
 
-OrderAnswer = Callable[[OrderResult], None]
+OrderCallback = Callable[[OrderResult], None]
 """Told what became of an order."""
 
-HoldAnswer = Callable[[Result[Held, CallError]], None]
+ReportCallback = Callable[[Result[RunnerReport, CallError]], None]
 """Told a runner's report, or why there is none."""
 
 
@@ -225,7 +225,7 @@
     multiplexer: Multiplexer
     observe: Observer = ignore_call
 
-    def start(self, order: Order, timeout_s: float, answered: OrderAnswer) -> None:
+    def start(self, order: Order, timeout_s: float, answered: OrderCallback) -> None:
         """Order a run to start; a repeat of the same order does no harm."""
         body: dict[str, Any] = {
             "task": format_task(order.task),
@@ -238,12 +238,12 @@
             body["checkpoint"] = order.checkpoint
         self._order("run-start", order, body, timeout_s, answered)
 
-    def stop(self, order: Order, timeout_s: float, answered: OrderAnswer) -> None:
+    def stop(self, order: Order, timeout_s: float, answered: OrderCallback) -> None:
         """Order a run to stop; one that isn't there yet will be refused."""
         body = {"task": format_task(order.task), "run": order.run, "fence": order.fence}
         self._order("run-stop", order, body, timeout_s, answered)
 
-    def pace(self, order: Order, timeout_s: float, answered: OrderAnswer) -> None:
+    def pace(self, order: Order, timeout_s: float, answered: OrderCallback) -> None:
         """Let a run work at a share of its full speed."""
         body = {
             "task": format_task(order.task),
@@ -253,13 +253,13 @@
         }
         self._order("pace", order, body, timeout_s, answered)
 
-    def hold(
+    def renew_lease(
         self,
         order: Order,
         last_seen: int,
         wait_s: float,
         timeout_s: float,
-        answered: HoldAnswer,
+        answered: ReportCallback,
     ) -> None:
         """Renew the lease of all that runs at a runner, and read its report.
 
@@ -273,7 +273,7 @@
             The answer waits so long for an end that isn't acknowledged.
         timeout_s : float
             Longest time for the answer beyond `wait_s`.
-        answered : HoldAnswer
+        answered : ReportCallback
             Told the report, or why there is none.
         """
         body: dict[str, Any] = {"fence": order.fence, "lastSeen": last_seen}
@@ -283,7 +283,7 @@
             body["waitMs"] = round(wait_s * 1000)
 
         def take(answer: Result[HttpAnswer, CallError]) -> None:
-            answered(answer.and_then(lambda found: decode_held(found, order)))
+            answered(answer.and_then(lambda found: decode_report(found, order)))
 
         self._call("hold", order, body, timeout_s + wait_s, take)
 
@@ -297,7 +297,7 @@
         order: Order,
         body: dict[str, Any],
         timeout_s: float,
-        answered: OrderAnswer,
+        answered: OrderCallback,
     ) -> None:
         def take(answer: Result[HttpAnswer, CallError]) -> None:
             if isinstance(answer, Err):
@@ -349,14 +349,14 @@
     if answer.status == 409:
         outcome = _OUTCOMES.get(data.get("reason", ""), OrderOutcome.REFUSED)
         return OrderResult(outcome, clock_ms, detail)
-    if answer.status == OTHER_LIFE:
-        return OrderResult(OrderOutcome.OTHER_LIFE, None, detail)
+    if answer.status == MISDIRECTED_STATUS:
+        return OrderResult(OrderOutcome.OTHER_INCARNATION, None, detail)
     if 400 <= answer.status < 500 or answer.status == 503:
         return OrderResult(OrderOutcome.REFUSED, clock_ms, detail)
     return OrderResult(OrderOutcome.UNKNOWN, clock_ms, detail)
 
 
-def decode_held(answer: HttpAnswer, order: Order) -> Result[Held, CallError]:
+def decode_report(answer: HttpAnswer, order: Order) -> Result[RunnerReport, CallError]:
     """Return a runner's report, or why there is none.
 
     Notes
@@ -373,14 +373,14 @@
     try:
         running = [_decode_running(row) for row in data["running"]]
         ended = [_decode_end(row) for row in data["endedRuns"]]
-        return Ok(Held(int(data["clockMs"]), data.get("born"), running, ended))
+        return Ok(RunnerReport(int(data["clockMs"]), data.get("born"), running, ended))
     except (TypeError, KeyError, ValueError, IndexError) as error:
         return Err(CallError(ErrorKind.MALFORMED, step, peer, repr(error)))
 
 
-def _decode_running(row: list[Any]) -> HeldRun:
+def _decode_running(row: list[Any]) -> ReportedRun:
     load = float(row[4]) if len(row) > 4 and row[4] is not None else None
-    return HeldRun(parse_task(row[0]), row[1], row[2], row[3], load)
+    return ReportedRun(parse_task(row[0]), row[1], row[2], row[3], load)
 
 
 def _decode_end(row: list[Any]) -> RunEnd:
@@ -398,7 +398,7 @@
     return f"{task.job_id}.{task.occurrence}.{task.step}.{task.number}"
 
 
-@lru_cache(maxsize=KEPT_TASKS)
+@lru_cache(maxsize=TASK_NAME_CACHE_SIZE)
 def parse_task(name: str) -> TaskKey:
     """Return the task that `format_task` named; ValueError if it is no such name."""
     job_id, occurrence, step, index = name.split(".")
--- a/plantainyard/platform/settings.py
+++ b/plantainyard/platform/settings.py
@@ -54,11 +54,11 @@
         Shortest time to live that a group member may ask for.
     longest_lease_s : float
         Longest lease that a runner grants.
-    cancelled_s : float
+    cancel_deadline_s : float
         Time after a cancel was acknowledged in which all of the job's work must end.
     grace_s : float
         Time between the request to stop and the kill.
-    harm_s : float
+    max_target_violation_s : float
         Longest time for which a serving task may be over its target.
     remote_factor : float
         How many times as long tasks take away from their rack.
@@ -80,9 +80,9 @@
     store_partitions: int = 12
     shortest_ttl_s: float = 1.0
     longest_lease_s: float = 10.0
-    cancelled_s: float = 3.9
+    cancel_deadline_s: float = 3.9
     grace_s: float = 6.0
-    harm_s: float = 4.0
+    max_target_violation_s: float = 4.0
     remote_factor: float = 1.0
     link_mbps: float = 1000.0
     cores: float = 1.0
@@ -154,12 +154,12 @@
         shortest_ttl_s=_number(platform, "minTtlMs", 1000) / MS_IN_S,
         longest_lease_s=_number(bounds, "maxHoldMs", 10_000) / MS_IN_S,
         # Until the last start, and from there until the last stop has taken effect.
-        cancelled_s=(
+        cancel_deadline_s=(
             _number(bounds, "cancel_ms", 3000) + _number(bounds, "stopMs", 900)
         )
         / MS_IN_S,
         grace_s=_number(bounds, "graceS", defaults["grace_s"]),
-        harm_s=_number(bounds, "harmMs", 4000) / MS_IN_S,
+        max_target_violation_s=_number(bounds, "harmMs", 4000) / MS_IN_S,
         remote_factor=_number(bounds, "remoteFactor", 1.0),
         link_mbps=_number(limits, "linkMbps", 1000.0),
         # A share of one core, and how many times as fast that core is.
--- a/plantainyard/platform/store.py
+++ b/plantainyard/platform/store.py
@@ -17,9 +17,9 @@
 
 __all__ = [
     "Append",
-    "Appended",
+    "AppendResult",
     "Assignment",
-    "Holding",
+    "PartitionOwner",
     "Membership",
     "Page",
     "Record",
@@ -55,7 +55,7 @@
     producer, epoch, sequence
         Where `producer` isn't empty: the store takes the append only from the highest
         epoch it has seen, and once for each sequence number.
-    at : int or None
+    expected_end : int or None
         The store takes the append only if the partition ends there.
     """
 
@@ -65,10 +65,10 @@
     producer: str = ""
     epoch: int = 0
     sequence: int = 0
-    at: int | None = None
+    expected_end: int | None = None
 
 
-class Appended(NamedTuple):
+class AppendResult(NamedTuple):
     """What became of an append that was answered.
 
     Attributes
@@ -136,7 +136,7 @@
     partition: int
 
 
-class Holding(NamedTuple):
+class PartitionOwner(NamedTuple):
     """A partition and the group's member that has it; empty for nobody."""
 
     topic: str
@@ -168,12 +168,14 @@
     multiplexer: Multiplexer
     observe: Observer = ignore_call
 
-    def append(self, append: Append, timeout_s: float) -> Result[Appended, CallError]:
+    def append(
+        self, append: Append, timeout_s: float
+    ) -> Result[AppendResult, CallError]:
         """Append records.
 
         Returns
         -------
-        Result[Appended, CallError]
+        Result[AppendResult, CallError]
             ``REFUSED`` or ``UNREACHABLE`` means that nothing was and nothing will be
             done; after ``LOST`` the append may take effect even seconds later.
         """
@@ -182,8 +184,8 @@
             query["producer"] = append.producer
             query["epoch"] = append.epoch
             query["sequence"] = append.sequence
-        if append.at is not None:
-            query["at"] = append.at
+        if append.expected_end is not None:
+            query["at"] = append.expected_end
         body = b"".join(_pack_record(record) for record in append.records)
         answer = self._call("POST", "log-append", query, body, timeout_s)
         return answer.and_then(_decode_appended)
@@ -233,9 +235,9 @@
         answer = self._call("POST", "log-join", {}, encode_body(body), timeout_s)
         return answer.and_then(_decode_membership)
 
-    def read_holdings(
+    def read_partition_owners(
         self, group: str, timeout_s: float
-    ) -> Result[list[Holding], CallError]:
+    ) -> Result[list[PartitionOwner], CallError]:
         """Return which member of a group has which partition; anybody may ask."""
         query = {"group": group}
         answer = self._call("GET", "log-owners", query, None, timeout_s)
@@ -298,13 +300,13 @@
         return None
 
 
-def _decode_appended(answer: HttpAnswer) -> Result[Appended, CallError]:
+def _decode_appended(answer: HttpAnswer) -> Result[AppendResult, CallError]:
     if answer.status == 200:
-        return Ok(Appended(True, False, int(read_object(answer).get("end", 0))))
+        return Ok(AppendResult(True, False, int(read_object(answer).get("end", 0))))
     if answer.status == 409 and read_object(answer).get("reason") in ("fenced", "seq"):
-        return Ok(Appended(False, True, 0))
+        return Ok(AppendResult(False, True, 0))
     if answer.status == 412:
-        return Ok(Appended(False, False, int(read_object(answer).get("end", 0))))
+        return Ok(AppendResult(False, False, int(read_object(answer).get("end", 0))))
     return Err(_judge(answer, "store.append"))
 
 
@@ -364,14 +366,14 @@
         return Err(CallError(ErrorKind.MALFORMED, "store.join", "store", detail))
 
 
-def _decode_holdings(answer: HttpAnswer) -> Result[list[Holding], CallError]:
+def _decode_holdings(answer: HttpAnswer) -> Result[list[PartitionOwner], CallError]:
     if answer.status != 200:
         return Err(_judge(answer, "store.owners"))
     try:
         # The fourth column is a committed offset, which nothing here uses.
         rows = read_object(answer)["parts"]
         holdings = [
-            Holding(str(row[0]), int(row[1]), str(row[2] or "")) for row in rows
+            PartitionOwner(str(row[0]), int(row[1]), str(row[2] or "")) for row in rows
         ]
         return Ok(holdings)
     except (ValueError, TypeError, KeyError, IndexError) as error:
--- a/plantainyard/platform/tests/test_decoding.py
+++ b/plantainyard/platform/tests/test_decoding.py
@@ -10,7 +10,7 @@
 from plantainyard.errors import ErrorKind
 from plantainyard.platform.configuration import decode_configuration, find_queue
 from plantainyard.platform.entries import decode_entry
-from plantainyard.platform.runners import Order, decode_held, format_task, parse_task
+from plantainyard.platform.runners import Order, decode_report, format_task, parse_task
 from plantainyard.platform.settings import parse_instance_settings
 from plantainyard.platform.store import Record, _pack_record, _unpack_record
 from plantainyard.platform.submissions import decode_body
@@ -55,13 +55,13 @@
     assert found.instance == "edge-1"
     assert (found.peer_port, found.metrics_port) == (7720, 7735)
     assert found.longest_lease_s == 6.0
-    assert found.harm_s == 4.5
+    assert found.max_target_violation_s == 4.5
 
 
 def test_the_bound_on_cancelled_work_is_the_sum_of_two():
     bounds = "[bounds]\ncancel_ms = 4000\nstopMs = 200\n"
     found = parse_instance_settings(SETTINGS.replace("[bounds]\n", bounds)).unwrap()
-    assert found.cancelled_s == 4.2
+    assert found.cancel_deadline_s == 4.2
 
 
 @pytest.mark.parametrize(
@@ -178,5 +178,5 @@
     # token that it holds. Taken for a successor's, the owner of the unit gives it up.
     order = Order("r0", 1, "a:1", parse_task("a.0.0.0"), 0, 7)
     body = json.dumps({"reason": reason, "fence": 7, "clockMs": 5}).encode()
-    error = decode_held(HttpAnswer(status, {}, body), order).unwrap_err()
+    error = decode_report(HttpAnswer(status, {}, body), order).unwrap_err()
     assert error.kind == kind
--- a/standins/platform/samples.py
+++ b/standins/platform/samples.py
@@ -13,10 +13,10 @@
 from plantainyard.dispatch.events import OrderKind, SendHold, SendOrder
 from plantainyard.errors import CallError
 from plantainyard.platform.runners import (
-    Held,
     Order,
     OrderResult,
-    decode_held,
+    RunnerReport,
+    decode_report,
     decode_result,
     format_task,
 )
@@ -142,15 +142,17 @@
 
 def hold_runner(
     runner: RunnerState, hold: SendHold, fence: int, now: float
-) -> Result[Held, CallError]:
+) -> Result[RunnerReport, CallError]:
     """Ask a stand-in runner for its report and return it decoded."""
     body = {
         "fence": fence,
         "lastSeen": hold.last_seen,
         "untilMs": hold.lease_until_ms,
     }
-    about = Order(runner.runner, hold.entry.born_ms, "", TaskKey("", 0, 0, 0), 0, 0)
-    return decode_held(_call(runner, "hold", body, now), about)
+    about = Order(
+        runner.runner, hold.entry.started_at_ms, "", TaskKey("", 0, 0, 0), 0, 0
+    )
+    return decode_report(_call(runner, "hold", body, now), about)
 
 
 def _call(
