--- a/bench/dispatch/workers.py
+++ b/bench/dispatch/workers.py
@@ -298,7 +298,7 @@
         )
         for run in worker.runs.values()
     ]
-    return RunnerReport(round(at * 1000), worker.life, rows, list(worker.ends))
+    return RunnerReport(round(at * 1000), worker.incarnation, rows, list(worker.ends))
 
 
 def _find_percent(run: Run, at: float) -> int:
