--- a/plantainyard/configuration.py
+++ b/plantainyard/configuration.py
@@ -1,7 +1,7 @@
-"""The keys of the configuration that the log holds, and what each may be.
+"""The keys of the configuration that is stored in the log, and their valid values.
 
-Configuration belongs to the whole system, settings to one instance. A key is a
-dotted name and its value a number or a boolean.
+The configuration applies to the whole system, whereas settings apply to one instance.
+A key is a dotted name; its value is a number or a boolean.
 """
 
 import math
@@ -22,26 +22,26 @@
     "build_worker_draining_key",
 ]
 
-VARIABLE = "<name>"
+PLACEHOLDER = "<name>"
 NAME = "[A-Za-z0-9_-]+"
 DOTTED_NAME = r"[A-Za-z0-9_-][A-Za-z0-9_.-]*"
 
 
 class ConfigurationKey(NamedTuple):
-    """A kind of key.
+    """A key, or a family of keys with a placeholder for a name.
 
     Attributes
     ----------
     pattern : str
-        The key with ``<name>`` for its variable part.
+        The key, with ``<name>`` as the placeholder.
     accepts : callable
-        Tells whether a value will do.
+        Returns whether a value is valid.
     expected : str
-        What is expected, for errors and the reference page.
+        Description of valid values, for errors and the reference page.
     meaning : str
-        What the key does.
+        Effect of the key, for the reference page.
     name : str
-        Regular expression of the variable part.
+        Regular expression of the names that can replace the placeholder.
     """
 
     pattern: str
@@ -129,13 +129,13 @@
     ),
 )
 _MATCHERS = [
-    (re.compile(re.escape(key.pattern).replace(VARIABLE, key.name)), key)
+    (re.compile(re.escape(key.pattern).replace(PLACEHOLDER, key.name)), key)
     for key in KEYS
 ]
 
 
 def find_key(name: str) -> ConfigurationKey | None:
-    """Return the kind of the key `name`, or None for an unknown one.
+    """Return the definition of the key `name`, or None for an unknown key.
 
     Examples
     --------
@@ -146,14 +146,14 @@
 
 
 def check_change(name: str, value: Any) -> str | None:
-    """Return what is expected in place of a change, or None where it is sound.
+    """Return a description of what is expected, or None if the change is valid.
 
     Parameters
     ----------
     name : str
-        The whole key.
+        The complete key.
     value : JSON value
-        The new value; None takes the key away and is always sound.
+        The new value; None removes the key and is always valid.
     """
     key = find_key(name)
     if key is None:
@@ -162,7 +162,7 @@
 
 
 def flatten_changes(nested: Mapping[str, Any]) -> dict[str, Any]:
-    """Return changes by whole key from the nested tables of a TOML or JSON file.
+    """Return changes by complete key from the nested tables of a TOML or JSON file.
 
     Examples
     --------
@@ -181,17 +181,17 @@
 
 
 def build_quota_key(team: str, resource: str) -> str:
-    """Return the key of a team's quota of a resource.
+    """Return the key of a team's quota for a resource.
 
     Parameters
     ----------
     team : str
-        The team.
+        Name of the team.
     resource : str
         A field of `plantainyard.work.Size`.
     """
     if resource not in Size._fields:
-        raise ValueError(f"{resource} is no field of Size")
+        raise ValueError(f"{resource} is not a field of Size")
     return f"teams.{team}.{resource}"
 
 
--- a/plantainyard/daemon.py
+++ b/plantainyard/daemon.py
@@ -1,7 +1,7 @@
-"""The daemon ``plantainyardd``: one entry instance.
+"""The daemon ``plantainyardd``, which runs one entry instance.
 
-Its exit codes are 0 after a graceful shutdown, 1 where requests were cut off, 2 for
-settings that can't be used, 3 where a part of the process has died.
+Its exit codes are 0 after a graceful shutdown, 1 if requests were cut off, 2 for
+invalid settings or flags, and 3 if a component of the process has failed.
 """
 
 import contextlib
@@ -29,7 +29,7 @@
 EXIT_USAGE = 2
 EXIT_FAULT = 3
 
-_WATCH_S = 1.0
+_FAULT_CHECK_INTERVAL_S = 1.0
 _STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 _HELP = frozenset({"--help", "-h"})
 _USAGE = """\
@@ -53,7 +53,7 @@
 
 
 def run(settings: Settings) -> int:
-    """Run until the process is asked to stop, then stop gracefully.
+    """Run until a stop signal arrives, then stop gracefully.
 
     Returns
     -------
@@ -62,21 +62,21 @@
 
     Notes
     -----
-    Once both servers listen, one JSON line on standard output says where.
+    Once both servers listen, their addresses are printed as one JSON line.
 
     """
-    with _catch_stops() as stops, run_process(settings) as process:
+    with _catch_stop_signals() as stop_socket, run_process(settings) as process:
         ready = {
             "address": process.address,
             "control_address": process.control_address,
             "instance": settings.instance.id,
         }
         print(json.dumps(ready), flush=True)
-        while not select.select([stops], [], [], _WATCH_S)[0]:
+        while not select.select([stop_socket], [], [], _FAULT_CHECK_INTERVAL_S)[0]:
             faults = find_faults(process.node)
             if faults:
-                # A process whose actor died looks alive and does nothing; ended whole,
-                # its duties pass to others by the rules for a dead instance.
+                # A process with a dead actor looks alive but does no work. If it exits,
+                # other instances take over its duties as for any dead instance.
                 _logger.critical("%s", "; ".join(faults), extra={"step": "watch"})
                 return EXIT_FAULT
         drained = drain_process(process)
@@ -84,17 +84,18 @@
 
 
 @contextlib.contextmanager
-def _catch_stops() -> Iterator[socket.socket]:
-    """Yield a socket that can be read once the process is asked to stop.
+def _catch_stop_signals() -> Iterator[socket.socket]:
+    """Yield a socket that becomes readable once a stop signal has arrived.
 
     Notes
     -----
-    Guards against a stop that never ends, and one that ends at once. A handler that
-    sets an event can run while the main thread holds that event's lock, on its way to
-    wait; the process then ignores SIGTERM. Signals that are blocked and waited for go
-    to threads that libraries started at import, which don't block them; the process
-    then dies with its requests. The interpreter writes to a wakeup socket in whatever
-    thread the signal arrives, and takes no lock.
+    Guards against a process that ignores SIGTERM and against one that is killed by it.
+    A signal handler that sets an event can run while the main thread holds the event's
+    lock, just before it waits; the process then never stops. Signals that are blocked
+    and awaited with ``sigwait`` are delivered to threads that libraries started at
+    import and that don't block them; the process then dies with its requests in
+    progress. The interpreter writes to a wakeup socket in whichever thread the signal
+    arrives, without taking a lock.
     """
     receiver, sender = socket.socketpair()
     with receiver, sender:
@@ -129,7 +130,7 @@
     if _HELP.intersection(sys.argv[1:]):
         print(_USAGE)
         sys.exit(EXIT_OK)
-    # `app.run` would end with 1 for a wrong flag: "requests were cut off".
+    # `app.run` would exit with 1 for an invalid flag, which is `EXIT_CUT_OFF` here.
     try:
         arguments = flags.FLAGS(sys.argv)
     except flags.Error as error:
--- a/plantainyard/presence.py
+++ b/plantainyard/presence.py
@@ -1,4 +1,8 @@
-"""What a process tells others of itself, and its gateway of others."""
+"""Heartbeats of this process, and updates of its gateway about the other instances.
+
+One thread periodically collects the state that heartbeats report, and passes the live
+peers, the owners of racks and the stream roles to the gateway and the stream actors.
+"""
 
 import logging
 import time
@@ -48,95 +52,110 @@
 
 __all__ = [
     "LocalState",
-    "request_credits",
-    "refresh_local_state",
     "build_heartbeat",
+    "refresh_local_state",
+    "request_credits",
     "update_gateway",
 ]
 
 _QUERY_S = 5.0
-_ASK_TIMEOUT_S = 2.0
-_LONG_S = 1e9
-_LIST_BOUND_S = 30.0
+_PEER_TIMEOUT_S = 2.0
+_UNKNOWN_AGE_S = 1e9
+_LIST_PROPAGATION_S = 30.0
 
 _logger = logging.getLogger(__name__)
 
 
 class LocalState:
-    """What this process last knew of itself, for its heartbeats.
-
-    It is gathered by a thread of its own: a heartbeat that waited for a busy actor
-    would make peers think that the process has died.
+    """Latest collected state of this process, from which heartbeats are built.
+
+    A separate thread collects it: a heartbeat that waited for a busy actor would make
+    peers consider the process dead.
+
+    Attributes
+    ----------
+    incarnation : str
+        Name of this process; unique for each start.
+    node : Node or None
+        The process's components, once they are started.
+    epochs : dict
+        Epoch of each rack over which this instance has authority.
+    free_credits : dict
+        Free credits for each service.
+    known_racks : frozenset of str
+        Racks at the last update of the gateway.
+    authority_ends : dict
+        For each rack, the time at which the authority ends unless it is renewed.
     """
 
-    def __init__(self, settings: Settings, name: str) -> None:
+    def __init__(self, settings: Settings, incarnation: str) -> None:
         self.settings = settings
-        self.name = name
+        self.incarnation = incarnation
         self.node: Node | None = None
         self.address = ""
         self.control_address = ""
         self.epochs: dict[str, int] = {}
-        self.room: dict[str, int] = {}
+        self.free_credits: dict[str, int] = {}
         self.config: ConfigView | None = None
         self.ready = False
         self.draining = False
-        self.racks: frozenset[str] = frozenset()
-        self.untils: dict[str, float] = {}
+        self.known_racks: frozenset[str] = frozenset()
+        self.authority_ends: dict[str, float] = {}
 
 
-def build_heartbeat(own: LocalState, sequence: int) -> Heartbeat:
-    """Return this process's word about itself."""
-    instance, config = own.settings.instance, own.config
+def build_heartbeat(local: LocalState, sequence: int) -> Heartbeat:
+    """Return a heartbeat with the latest collected state of this process."""
+    instance, config = local.settings.instance, local.config
     return Heartbeat(
         instance.id,
         instance.domain,
         instance.region,
-        own.address,
-        own.control_address,
+        local.address,
+        local.control_address,
         sequence,
-        epochs=own.epochs,
+        epochs=local.epochs,
         config_version=config.version if config else -1,
-        room=own.room,
-        ready=own.ready,
-        draining=own.draining,
-        incarnation=own.name,
-        config_age_s=min(config.age_s, _LONG_S) if config else _LONG_S,
-        knows_config=config is not None and knows_newest(own.settings, config),
+        room=local.free_credits,
+        ready=local.ready,
+        draining=local.draining,
+        incarnation=local.incarnation,
+        config_age_s=min(config.age_s, _UNKNOWN_AGE_S) if config else _UNKNOWN_AGE_S,
+        knows_config=config is not None and knows_newest(local.settings, config),
     )
 
 
-def refresh_local_state(own: LocalState, node: Node) -> None:
-    """Ask the actors for what the next heartbeats say."""
-    own.epochs = ask_actor(node.domain, Query(count_epochs))
-    own.untils = ask_actor(node.domain, Query(find_untils))
-    own.config = cast(ConfigView, ask_actor(node.config, ReadConfig()))
-    node.domain.tell(ConfigKnown(read_clock() - own.config.age_s))
-    own.room = read_room(node.gateway)
-    own.ready = not find_waits(node)
-    own.draining = ask_actor(node.domain, Query(lambda actor, _: actor.node.stopping))
+def refresh_local_state(local: LocalState, node: Node) -> None:
+    """Collect from the actors the state that the next heartbeats report."""
+    local.epochs = ask_actor(node.domain, Query(count_epochs))
+    local.authority_ends = ask_actor(node.domain, Query(find_untils))
+    local.config = cast(ConfigView, ask_actor(node.config, ReadConfig()))
+    node.domain.tell(ConfigKnown(read_clock() - local.config.age_s))
+    local.free_credits = read_room(node.gateway)
+    local.ready = not find_waits(node)
+    local.draining = ask_actor(node.domain, Query(lambda actor, _: actor.node.stopping))
 
 
-def update_gateway(own: LocalState, node: Node) -> None:
-    """Tell the gateway and the streams who lives, owns and relays."""
+def update_gateway(local: LocalState, node: Node) -> None:
+    """Update the gateway's live peers and rack owners, and the streams' roles."""
     views: tuple[PeerView, ...] = ask_actor(node.peers, Query(read_peers))
     live = [view for view in views if view.is_live and view.heartbeat is not None]
-    tell_event(node.gateway, PeersChanged(tuple(_make_peer(v) for v in live)))
+    tell_event(node.gateway, PeersChanged(tuple(_build_peer_info(v) for v in live)))
     instances: tuple[Instance, ...] = ask_actor(
         node.peers, Query(lambda actor, _: actor.instances)
     )
-    owners = _find_owners(own, live, instances)
-    _watch_racks(own, node, owners)
+    owners = _find_owners(local, live, instances)
+    _restart_histories(local, node, owners)
     tell_event(node.gateway, OwnersChanged(owners))
-    _assign_roles(node, live)
+    _assign_stream_roles(node, live)
 
 
-def _assign_roles(node: Node, live: list[PeerView]) -> None:
-    """Say which streams this instance reads itself and to whom it hands them on."""
+def _assign_stream_roles(node: Node, live: list[PeerView]) -> None:
+    """Set which streams this instance reads and to which instances it relays them."""
     instance = node.settings.instance
-    relays = bool(ask_actor(node.peers, Query(lambda actor, _: actor.is_relay)))
-    near = [view for view in live if view.domain == instance.domain]
-    near_urls = tuple(make_url(view.control_address) for view in near)
-    others = [
+    is_relay = bool(ask_actor(node.peers, Query(lambda actor, _: actor.is_relay)))
+    same_domain = [view for view in live if view.domain == instance.domain]
+    domain_urls = tuple(make_url(view.control_address) for view in same_domain)
+    other_relays = [
         view
         for view in live
         if view.region == instance.region
@@ -144,64 +163,67 @@
         and view.heartbeat is not None
         and view.heartbeat.is_relay
     ]
-    # Of a region's relays one reads the configuration, so that its records cross the
-    # link between the regions once.
-    leads = relays and all(instance.domain < view.domain for view in others)
-    far_urls = tuple(make_url(view.control_address) for view in others)
-    node.domain.tell(StreamRole(relays, near_urls if relays else ()))
-    targets = near_urls + (far_urls if leads else ())
-    node.config.tell(StreamRole(leads, targets if relays else ()))
-
-
-def _make_peer(view: PeerView) -> Peer:
-    # A stopping instance is still asked about the ids that it judges, for nothing else.
-    usable = view.heartbeat is not None and not view.heartbeat.draining
-    room = view.heartbeat.room if view.heartbeat and usable else {}
+    # Only one of a region's relays reads the configuration, so that its records cross
+    # the link between regions once.
+    is_leader = is_relay and all(instance.domain < view.domain for view in other_relays)
+    relay_urls = tuple(make_url(view.control_address) for view in other_relays)
+    node.domain.tell(StreamRole(is_relay, domain_urls if is_relay else ()))
+    targets = domain_urls + (relay_urls if is_leader else ())
+    node.config.tell(StreamRole(is_leader, targets if is_relay else ()))
+
+
+def _build_peer_info(view: PeerView) -> Peer:
+    # A draining instance still arbitrates its request ids, but offers no capacity.
+    has_capacity = view.heartbeat is not None and not view.heartbeat.draining
+    room = view.heartbeat.room if view.heartbeat and has_capacity else {}
     return Peer(view.instance, view.domain, view.region, view.address, room)
 
 
-def _watch_racks(own: LocalState, node: Node, owners: dict[str, Owner]) -> None:
-    """Begin the histories of request ids anew when the set of racks changes.
+def _restart_histories(local: LocalState, node: Node, owners: dict[str, Owner]) -> None:
+    """Restart the histories of request ids when the set of racks changes.
 
     Notes
     -----
-    Guards against a second run of an id: with another set of racks it hashes to
-    another arbiter, which never heard of it, while instances with an older list still
-    go to the former one. Until all have read the list again, ids count as unknown.
+    Guards against a second run of a request id. With another set of racks, the id
+    hashes to another arbiter that has no record of it, while instances with an older
+    list still use the former arbiter. Until all instances have read the new list, ids
+    count as unknown.
     """
     racks = frozenset(owners)
-    if owners and racks != own.racks:
-        since = time.time() + _LIST_BOUND_S
-        for rack in own.epochs:
-            event = AuthorityChanged(rack, own.untils.get(rack, 0.0), True, since)
+    if owners and racks != local.known_racks:
+        since = time.time() + _LIST_PROPAGATION_S
+        for rack in local.epochs:
+            event = AuthorityChanged(
+                rack, local.authority_ends.get(rack, 0.0), True, since
+            )
             tell_event(node.gateway, event)
-    own.racks = racks
+    local.known_racks = racks
 
 
 def _find_owners(
-    own: LocalState, live: list[PeerView], instances: tuple[Instance, ...]
+    local: LocalState, live: list[PeerView], instances: tuple[Instance, ...]
 ) -> dict[str, Owner]:
-    """Return the owner of each rack that is listed, with an empty name for none.
+    """Return the owner of each listed rack, with an empty name if it has none.
 
     Notes
     -----
-    Racks without an owner stay in: an id that hashes to one must not go to another
+    Racks without an owner are included: an id that hashes to one must not go to another
     rack's arbiter meanwhile, which would let it run a second time.
     """
     if not instances:
-        # Over the few racks known so far an id would hash to a wrong arbiter.
+        # With only some of the racks known, an id would hash to a wrong arbiter.
         return {}
-    instance = own.settings.instance
+    instance = local.settings.instance
     listed = {
         i.worker.rack: (-1, Owner("", i.worker.domain, i.worker.region))
         for i in instances
         if i.worker is not None
     }
-    mine = {
+    owned = {
         rack: (epoch, Owner(instance.id, instance.domain, instance.region))
-        for rack, epoch in own.epochs.items()
+        for rack, epoch in local.epochs.items()
     }
-    found = {**listed, **mine}
+    found = {**listed, **owned}
     for view in live:
         for rack, epoch in (view.heartbeat.epochs if view.heartbeat else {}).items():
             if rack not in found or found[rack][0] < epoch:
@@ -210,9 +232,9 @@
     return {rack: owner for rack, (_, owner) in found.items()}
 
 
-def request_credits(own: LocalState, action: AskCredits) -> None:
-    """Ask a rack's owner for credits and hand its answer to the gateway."""
-    node = own.node
+def request_credits(local: LocalState, action: AskCredits) -> None:
+    """Request credits from a rack's owner and pass its answer to the gateway."""
+    node = local.node
     if node is None:
         return
     if action.owner == node.settings.instance.id:
@@ -224,8 +246,8 @@
         return
     target = build_peer(make_url(peer.control_address), node.pool)
     token = node.settings.security.token.reveal()
-    asked = ask_owner(target, token, action.ask, _ASK_TIMEOUT_S)
-    if isinstance(asked, Err):
-        log_call_error(_logger, asked.err_value, level=logging.DEBUG)
+    result = ask_owner(target, token, action.ask, _PEER_TIMEOUT_S)
+    if isinstance(result, Err):
+        log_call_error(_logger, result.err_value, level=logging.DEBUG)
         return
-    tell_event(node.gateway, CreditsAnswered(asked.ok_value))
+    tell_event(node.gateway, CreditsAnswered(result.ok_value))
--- a/plantainyard/process.py
+++ b/plantainyard/process.py
@@ -1,4 +1,4 @@
-"""One process: its actors, threads and servers, for the length of a context."""
+"""The components of one instance's process: its actors, threads and servers."""
 
 import contextlib
 import logging
@@ -83,22 +83,22 @@
 
 _LOG_THREADS = 6
 _CALL_THREADS = 24
-_POOLS = 512
+_MAX_PEER_POOLS = 512
 _QUERY_S = 5.0
-_ASK_TIMEOUT_S = 2.0
-_FLUSH_S = 1.0
-_POLL_S = 0.05
+_PEER_TIMEOUT_S = 2.0
+_METRICS_INTERVAL_S = 1.0
+_POLL_INTERVAL_S = 0.05
 
 _logger = logging.getLogger(__name__)
 
 
 class Process(NamedTuple):
-    """A running process.
+    """A running process and its addresses.
 
     Attributes
     ----------
     node : Node
-        Its parts.
+        Its components.
     address, control_address : str
         ``ip:port`` for callers, and for operators and other instances.
     """
@@ -108,8 +108,8 @@
     control_address: str
 
 
-class _Threads(NamedTuple):
-    """Threads on which calls wait; the log's long reads are apart from short calls."""
+class _Executors(NamedTuple):
+    """Threads for blocking calls; long reads of the log don't delay short calls."""
 
     log: ThreadPoolExecutor
     calls: ThreadPoolExecutor
@@ -118,50 +118,51 @@
 
 @contextlib.contextmanager
 def run_process(settings: Settings) -> Iterator[Process]:
-    """Run everything that one instance consists of.
+    """Run all components of one instance within the context.
 
     Parameters
     ----------
     settings : Settings
-        Checked settings.
+        Validated settings.
 
     Yields
     ------
     Process
-        Once both servers listen; it is ready only when `find_waits` is empty.
+        Available once both servers listen; it is ready for callers only when
+        `find_waits` returns an empty list.
     """
-    own = LocalState(settings, f"{settings.instance.id}.{uuid.uuid4().hex[:8]}")
+    local = LocalState(settings, f"{settings.instance.id}.{uuid.uuid4().hex[:8]}")
     with contextlib.ExitStack() as stack:
         meter = create_meter(settings.metrics)
-        pool = build_pool(_POOLS, _CALL_THREADS)
-        threads = _Threads(
+        pool = build_pool(_MAX_PEER_POOLS, _CALL_THREADS)
+        executors = _Executors(
             *(
-                _open_threads(stack, n)
+                _open_executor(stack, n)
                 for n in (_LOG_THREADS, _CALL_THREADS, _CALL_THREADS)
             )
         )
         gateway = stack.enter_context(
             run_gateway(
                 settings,
-                own.name,
-                lambda ask: threads.peers.submit(request_credits, own, ask),
+                local.incarnation,
+                lambda ask: executors.peers.submit(request_credits, local, ask),
             )
         )
-        node = _start_actors(stack, own, meter, pool, threads, gateway)
-        own.node = node
-        own.control_address = stack.enter_context(_serve_control(own, node))
-        own.address = stack.enter_context(serve_gateway(settings, gateway, meter))
-        _run_ticks(stack, own, node)
-        yield Process(node, own.address, own.control_address)
+        node = _start_actors(stack, local, meter, pool, executors, gateway)
+        local.node = node
+        local.control_address = stack.enter_context(_serve_control(local, node))
+        local.address = stack.enter_context(serve_gateway(settings, gateway, meter))
+        _start_timers(stack, local, node)
+        yield Process(node, local.address, local.control_address)
 
 
 def drain_process(process: Process) -> bool:
-    """Stop as planned: not ready, racks and credits handed over, requests finished.
+    """Stop gracefully: become unready, hand over racks and credits, finish requests.
 
     Returns
     -------
     bool
-        False where requests were still in progress when the time ran out.
+        False if requests were still in progress after ``intervals.stop_s``.
     """
     node = process.node
     stop_s = node.settings.intervals.stop_s
@@ -170,7 +171,7 @@
     drain_gateway(node.gateway, find_stop_grace(node.settings.intervals))
     drained = node.gateway.drained.wait(stop_s)
     while read_clock() < deadline and _owns_racks(node):
-        time.sleep(_POLL_S)
+        time.sleep(_POLL_INTERVAL_S)
     return drained
 
 
@@ -178,7 +179,7 @@
     return bool(ask_actor(node.domain, Query(lambda actor, _: bool(actor.node.terms))))
 
 
-def _open_threads(stack: contextlib.ExitStack, count: int) -> ThreadPoolExecutor:
+def _open_executor(stack: contextlib.ExitStack, count: int) -> ThreadPoolExecutor:
     executor = ThreadPoolExecutor(count)
     stack.callback(executor.shutdown, wait=False, cancel_futures=True)
     return executor
@@ -186,24 +187,24 @@
 
 def _start_actors(
     stack: contextlib.ExitStack,
-    own: LocalState,
+    local: LocalState,
     meter: Meter,
     pool: urllib3.PoolManager,
-    threads: _Threads,
+    executors: _Executors,
     gateway: Gateway,
 ) -> Node:
-    settings, name = own.settings, own.name
+    settings, name = local.settings, local.incarnation
     platform = settings.platform
     log = build_log_client(platform.log, pool, platform.timeout_s)
     snapshots = log_state.SnapshotSettings(platform.log_retention_s)
     rng = random.Random(name)
 
-    def hand_on(target: str, message: RecordsAnswer) -> None:
-        threads.peers.submit(_hand_on, settings, pool, target, message)
+    def relay_records(target: str, message: RecordsAnswer) -> None:
+        executors.peers.submit(_send_records, settings, pool, target, message)
 
     def make_io(deliver: Callable[[StreamEvent], object]) -> StreamIO:
         return StreamIO(
-            log, threads.log, deliver, hand_on, settings.intervals.log_wait_s
+            log, executors.log, deliver, relay_records, settings.intervals.log_wait_s
         )
 
     lender = _start(stack, LenderActor, build_routing_settings(settings))
@@ -215,8 +216,8 @@
         rng,
         snapshots,
         make_io,
-        WorkerCaller(pool, threads.calls, platform.timeout_s),
-        _make_lender_teller(lender, gateway),
+        WorkerCaller(pool, executors.calls, platform.timeout_s),
+        _build_domain_listener(lender, gateway),
     )
     config = _start(
         stack,
@@ -228,8 +229,8 @@
         lambda values: domain.tell(ConfigChanged(values)),
     )
 
-    def publish(news: InstancesListed | PeersHeard) -> None:
-        domain.tell(news)
+    def publish(update: InstancesListed | PeersHeard) -> None:
+        domain.tell(update)
 
     peers = _start(
         stack,
@@ -238,8 +239,8 @@
         name,
         rng,
         pool,
-        threads.peers,
-        lambda sequence: build_heartbeat(own, sequence),
+        executors.peers,
+        lambda sequence: build_heartbeat(local, sequence),
         publish,
     )
     return Node(
@@ -264,55 +265,56 @@
     return ref
 
 
-def _hand_on(
+def _send_records(
     settings: Settings, pool: urllib3.PoolManager, target: str, message: RecordsAnswer
 ) -> None:
-    # An answer that is lost does no harm: who is behind asks the log itself.
+    # The result is ignored: an instance that misses records reads them from the log.
     call_peer(
         build_peer(target, pool),
         settings.security.token.reveal(),
         RECORDS_PATH,
         message,
         RecordsAsk,
-        _ASK_TIMEOUT_S,
+        _PEER_TIMEOUT_S,
     )
 
 
-def _make_lender_teller(
+def _build_domain_listener(
     lender: pykka.ActorRef[Any], gateway: Gateway
 ) -> Callable[[Any], None]:
-    """Return what hands the domain's news to the lender and the gateway's arbiter."""
-    untils: dict[str, tuple[int, float]] = {}
+    """Return a function that passes the domain's updates to the lender and gateway."""
+    authorities: dict[str, tuple[int, float]] = {}
 
-    def tell(news: Any) -> None:
-        if not isinstance(news, RackAuthority):
-            lender.tell(news)
+    def notify(update: Any) -> None:
+        if not isinstance(update, RackAuthority):
+            lender.tell(update)
             return
-        epoch, until = untils.get(news.rack, (0, 0.0))
-        gained = news.epoch != epoch or read_clock() >= until
-        untils[news.rack] = (news.epoch, news.until)
-        if news.epoch:
-            lender.tell(news)
-            changed = AuthorityChanged(news.rack, news.until, gained, time.time())
+        epoch, until = authorities.get(update.rack, (0, 0.0))
+        gained = update.epoch != epoch or read_clock() >= until
+        authorities[update.rack] = (update.epoch, update.until)
+        if update.epoch:
+            lender.tell(update)
+            changed = AuthorityChanged(update.rack, update.until, gained, time.time())
             tell_event(gateway, changed)
         elif epoch:
-            # To be over before the answer: a successor may act at once.
-            ask_actor(lender, news)
-            lost = AuthorityChanged(news.rack, float("-inf"), False, time.time())
+            # Waits until both have stopped using the authority, because a successor
+            # may act as soon as this function returns.
+            ask_actor(lender, update)
+            lost = AuthorityChanged(update.rack, float("-inf"), False, time.time())
             ask_actor(gateway.ref, lost)
 
-    return tell
+    return notify
 
 
 @contextlib.contextmanager
-def _serve_control(own: LocalState, node: Node) -> Iterator[str]:
+def _serve_control(local: LocalState, node: Node) -> Iterator[str]:
     settings = node.settings
 
-    def hear(heartbeat: Heartbeat) -> Heartbeat:
+    def exchange_heartbeats(heartbeat: Heartbeat) -> Heartbeat:
         node.peers.tell(HeartbeatHeard(heartbeat))
-        return build_heartbeat(own, 0)
+        return build_heartbeat(local, 0)
 
-    def lend(ask: CreditAsk) -> Message:
+    def lend_credits(ask: CreditAsk) -> Message:
         return cast(Message, ask_actor(node.lender, ask))
 
     app = create_app(
@@ -325,10 +327,10 @@
         ),
         node.meter,
         build_peer_app(
-            hear,
-            lend,
+            exchange_heartbeats,
+            lend_credits,
             lambda ask: cast(Message, ask_actor(node.peers, ask)),
-            lambda records: _take_records(node, records),
+            lambda records: _receive_records(node, records),
         ),
     )
     with serve_app(
@@ -341,10 +343,10 @@
         yield address
 
 
-def _take_records(node: Node, message: RecordsAnswer) -> RecordsAsk:
-    """Hand a relay's records to the actor that folds their stream."""
-    own = name_stream(node.settings.instance.domain)
-    ref = {CONFIG_STREAM: node.config, own: node.domain}.get(message.stream)
+def _receive_records(node: Node, message: RecordsAnswer) -> RecordsAsk:
+    """Pass a relay's records to the actor that folds their stream."""
+    own_stream = name_stream(node.settings.instance.domain)
+    ref = {CONFIG_STREAM: node.config, own_stream: node.domain}.get(message.stream)
     if ref is not None:
         records = [log_state.LogRecord(*record) for record in message.records]
         event = log_state.Relayed(message.next, records)
@@ -352,25 +354,27 @@
     return RecordsAsk(message.stream, message.next)
 
 
-def _run_ticks(stack: contextlib.ExitStack, own: LocalState, node: Node) -> None:
+def _start_timers(stack: contextlib.ExitStack, local: LocalState, node: Node) -> None:
     intervals = node.settings.intervals
 
     def tick() -> None:
         for ref in (node.domain, node.config, node.peers):
             ref.tell(Tick())
 
-    def gather() -> None:
-        refresh_local_state(own, node)
-        update_gateway(own, node)
+    def refresh() -> None:
+        refresh_local_state(local, node)
+        update_gateway(local, node)
 
     stack.enter_context(run_every("ticks", intervals.tick_s, tick))
-    stack.enter_context(run_every("own", intervals.heartbeat_s / 2, gather))
-    stack.enter_context(run_every("metrics", _FLUSH_S, lambda: _send_metrics(node)))
+    stack.enter_context(run_every("own", intervals.heartbeat_s / 2, refresh))
+    stack.enter_context(
+        run_every("metrics", _METRICS_INTERVAL_S, lambda: _send_metrics(node))
+    )
 
 
 def _send_metrics(node: Node) -> None:
     record_process(node.meter)
-    told = tell_status(node, schema.StatusRequest())
-    if isinstance(told, Ok):
-        record_status(node.meter, told.ok_value)
+    status = tell_status(node, schema.StatusRequest())
+    if isinstance(status, Ok):
+        record_status(node.meter, status.ok_value)
     flush_meter(node.meter)
--- a/plantainyard/serving.py
+++ b/plantainyard/serving.py
@@ -1,4 +1,4 @@
-"""Serving a WSGI application from one thread's loop and a few workers."""
+"""HTTP server for a WSGI application: one I/O thread and a pool of worker threads."""
 
 import contextlib
 import threading
@@ -14,33 +14,34 @@
 __all__ = ["LOOP_THREAD_NAME", "serve_app"]
 
 LOOP_THREAD_NAME = "http-loop"
-"""Name of the thread that reads and writes for a server."""
+"""Name of a server's I/O thread."""
 
 IDLE_TIMEOUT_S = 30
 """Time after which a connection without requests is closed."""
 
-HEADER_BYTES = 16_384
-"""Longest header of a request."""
+MAX_HEADER_BYTES = 16_384
+"""Greatest length of a request's header."""
 
-BODY_SLACK = 2
-"""Bodies up to this many limits are read whole, so that the application can say that
-one is too long."""
+BODY_LIMIT_FACTOR = 2
+"""Bodies of up to this many times the limit are read completely, so that the
+application can respond that a body is too long."""
 
-LOOP_S = 5.0
-"""Longest sleep of the server's loop; whatever happens on a socket wakes it, and so do
-finished answers and the stop. What is left for it is to close idle connections."""
+POLL_TIMEOUT_S = 5.0
+"""Longest sleep of the server's loop. Socket events, finished responses and the stop
+wake it earlier; the timeout only serves to close idle connections."""
 
-FLUSH_S = 5.0
-"""Longest time for answers that are being written at the end."""
+FLUSH_TIMEOUT_S = 5.0
+"""Longest time for sending responses in progress when the server stops."""
 
-FLUSH_LOOP_S = 0.05
-"""Longest sleep of the loop while they are."""
+FLUSH_POLL_S = 0.05
+"""Longest sleep of the loop while these responses are sent."""
 
-JOIN_S = 5.0
-"""Longest time for the loop's thread to end."""
+JOIN_TIMEOUT_S = 5.0
+"""Longest time for the I/O thread to end after that."""
 
-OWN_SOCKETS = 2
-"""The listening socket and the loop's own, which count as connections."""
+INTERNAL_SOCKETS = 2
+"""The listening socket and the loop's wake-up socket, which waitress counts as
+connections."""
 
 
 @contextlib.contextmanager
@@ -50,41 +51,46 @@
     threads: int,
     connections: int,
     body_bytes: int,
-    flush_s: float = FLUSH_S,
+    flush_s: float = FLUSH_TIMEOUT_S,
 ) -> Iterator[str]:
-    """Serve a WSGI application for the length of the context.
+    """Serve a WSGI application within the context.
 
     Parameters
     ----------
     app : WSGIApplication
-        What to serve.
+        The application.
     address : str
-        ``ip:port``; port 0 lets the system choose.
+        ``ip:port``; with port 0 the system chooses one.
     threads, connections, body_bytes : int
-        Bounds.
+        Number of worker threads, and limits of connections and of a body's length.
     flush_s : float
-        Longest time for answers that are being written when the context ends.
+        Longest time for sending responses in progress when the context ends.
+
+    Yields
+    ------
+    str
+        The address on which the server listens, ``ip:port``.
 
     Notes
     -----
-    The server reads whole requests and writes whole answers in its own loop, so slow
-    callers hold a connection but no thread. Buffers stay in memory: instances have no
-    disk.
+    The I/O thread reads complete requests and writes complete responses, so a slow
+    caller occupies a connection but no worker thread. Buffers are kept in memory,
+    because instances have no disk.
     """
     sockets: dict[int, Any] = {}
-    buffered = BODY_SLACK * body_bytes
+    buffer_bytes = BODY_LIMIT_FACTOR * body_bytes
     server = waitress.create_server(
         app,
         map=sockets,
         listen=address,
         threads=threads,
-        connection_limit=connections + OWN_SOCKETS,
+        connection_limit=connections + INTERNAL_SOCKETS,
         channel_timeout=IDLE_TIMEOUT_S,
         cleanup_interval=IDLE_TIMEOUT_S // 3,
-        max_request_header_size=HEADER_BYTES,
-        max_request_body_size=buffered,
-        inbuf_overflow=buffered,
-        outbuf_overflow=buffered + HEADER_BYTES,
+        max_request_header_size=MAX_HEADER_BYTES,
+        max_request_body_size=buffer_bytes,
+        inbuf_overflow=buffer_bytes,
+        outbuf_overflow=buffer_bytes + MAX_HEADER_BYTES,
         clear_untrusted_proxy_headers=True,
         ident=None,
     )
@@ -99,23 +105,25 @@
     finally:
         stopping.set()
         server.pull_trigger()
-        thread.join(flush_s + JOIN_S)
+        thread.join(flush_s + JOIN_TIMEOUT_S)
 
 
 def _run_loop(
     server: Any, sockets: dict[int, Any], stopping: threading.Event, flush_s: float
 ) -> None:
     while not stopping.is_set():
-        wasyncore.loop(timeout=LOOP_S, map=sockets, use_poll=True, count=1)
-    _finish(server, sockets, flush_s)
+        wasyncore.loop(timeout=POLL_TIMEOUT_S, map=sockets, use_poll=True, count=1)
+    _shut_down(server, sockets, flush_s)
 
 
-def _finish(server: Any, sockets: dict[int, Any], flush_s: float) -> None:
-    """Take nothing new, write what is answered, then close."""
+def _shut_down(server: Any, sockets: dict[int, Any], flush_s: float) -> None:
+    """Stop accepting connections, send responses in progress, then close."""
     server.accepting = False
-    until = read_clock() + flush_s
-    while read_clock() < until and any(map(_is_busy, server.active_channels.values())):
-        wasyncore.loop(timeout=FLUSH_LOOP_S, map=sockets, use_poll=True, count=1)
+    deadline = read_clock() + flush_s
+    while read_clock() < deadline and any(
+        map(_is_busy, server.active_channels.values())
+    ):
+        wasyncore.loop(timeout=FLUSH_POLL_S, map=sockets, use_poll=True, count=1)
     server.task_dispatcher.shutdown(cancel_pending=True, timeout=1)
     wasyncore.close_all(sockets)
 
--- a/plantainyard/tests/test_configuration.py
+++ b/plantainyard/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration: only known keys with possible values pass."""
+"""Tests that only known configuration keys with valid values are accepted."""
 
 import math
 import tomllib
@@ -17,7 +17,7 @@
 from plantainyard.settings.tests.test_load import CONFIGURATION, EXAMPLES
 from plantainyard.work import Size
 
-GOOD = {
+VALID_CHANGES = {
     "weights.tail": 3,
     "weights.throughput": 1.0,
     "weights.evictions": 0,
@@ -34,21 +34,23 @@
     nested: dict = {}
     for key, value in changes.items():
         *path, last = key.split(".")
-        place = nested
+        table = nested
         for name in path:
-            place = place.setdefault(name, {})
-        place[last] = value
+            table = table.setdefault(name, {})
+        table[last] = value
     return nested
 
 
-def test_every_kind_of_key_is_reachable_and_flattens():
-    assert [find_key(key) for key in GOOD] == list(KEYS)
-    assert all(check_change(key, value) is None for key, value in GOOD.items())
-    assert all(check_change(key, None) is None for key in GOOD)
-    assert flatten_changes(nest(GOOD)) == GOOD
-    assert {build_quota_key("billing", name) for name in Size._fields} < GOOD.keys()
-    assert build_worker_draining_key("w-1") in GOOD
-    assert build_instance_draining_key("a_1") in GOOD
+def test_every_key_accepts_a_valid_change_and_flattens():
+    assert [find_key(key) for key in VALID_CHANGES] == list(KEYS)
+    assert all(check_change(key, value) is None for key, value in VALID_CHANGES.items())
+    assert all(check_change(key, None) is None for key in VALID_CHANGES)
+    assert flatten_changes(nest(VALID_CHANGES)) == VALID_CHANGES
+    assert {
+        build_quota_key("billing", name) for name in Size._fields
+    } < VALID_CHANGES.keys()
+    assert build_worker_draining_key("w-1") in VALID_CHANGES
+    assert build_instance_draining_key("a_1") in VALID_CHANGES
 
 
 @pytest.mark.parametrize(
@@ -68,16 +70,16 @@
         ("workers..fenced", True),
     ],
 )
-def test_impossible_change_is_told(key, value):
-    """An operator mistypes a key or a unit, and the change is accepted.
+def test_invalid_change_is_rejected(key, value):
+    """Guards against a mistyped key or value that takes effect without an error.
 
-    It is then in force everywhere, does nothing or lets a team take all, and nobody
-    is told.
+    The change would be in force everywhere, and would either do nothing or let a team
+    use all resources.
     """
     assert check_change(key, value)
 
 
-def test_examples_are_sound():
+def test_example_files_are_valid():
     paths = list(EXAMPLES.glob(f"*/{CONFIGURATION}"))
     assert len(paths) == 2
     for path in paths:
--- a/plantainyard/tests/test_docs.py
+++ b/plantainyard/tests/test_docs.py
@@ -1,4 +1,7 @@
-"""The operators' pages agree with the code: tables, commands, calls and links."""
+"""Tests that the operators' pages agree with the code.
+
+They compare tables, commands, calls and links.
+"""
 
 import io
 import itertools
@@ -46,7 +49,7 @@
     return f"`{value:g}`" if isinstance(value, float) else f"`{value}`"
 
 
-def test_settings_page_has_each_key():
+def test_settings_page_lists_each_key():
     sections = dict(
         re.findall(r"## \[(\w+)\]\n(.*?)(?=\n## |\Z)", read_page("settings"), re.S)
     )
@@ -124,16 +127,16 @@
     assert code in (0, 7), world.err.getvalue()  # type: ignore[attr-defined]
 
 
-def test_links_lead_somewhere():
+def test_links_point_to_existing_files():
     for page in PAGES:
         for target in re.findall(r"\]\(([^)#:]+)(?:#[^)]*)?\)", page.read_text()):
             assert os.path.exists(page.parent / target), f"{page}: {target}"
 
 
-def test_generated_code_is_that_of_the_schema():
-    """A field is added to the schema, and the generated code is not written anew.
+def test_generated_code_matches_the_schema():
+    """Guards against generated code that was not updated with the schema.
 
-    Tools made from the published schema then send a field that the daemon refuses.
+    Tools built from the published schema would send a field that the daemon rejects.
     """
     blocks = re.findall(r"^message (\w+) \{\n(.*?)^\}", SCHEMA.read_text(), re.M | re.S)
     field = r"^[^/\n]*?(\w+) = (\d+);"
@@ -147,7 +150,7 @@
 
 
 def test_each_field_of_the_schema_has_a_comment():
-    """A tool's author takes seconds for milliseconds, as no comment names the unit."""
+    """Guards against a tool that confuses units because no comment names them."""
     lines = SCHEMA.read_text().splitlines()
     for above, line in itertools.pairwise(lines):
         is_field = re.search(r"^ +[\w.<>, ]+ = \d+;", line)
--- a/plantainyard/tests/test_logs.py
+++ b/plantainyard/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs and metrics say what they must, and not what they must not."""
+"""Tests of log lines, of the redaction of the token, and of metrics."""
 
 import io
 import json
@@ -22,14 +22,13 @@
 from plantainyard.settings import Metrics, parse_settings
 from plantainyard.settings.tests.test_load import MINIMAL
 
-RECEIVE_LIMIT_S = 30
+RECEIVE_TIMEOUT_S = 30
 
 
-def test_line_has_the_named_fields_and_no_token():
-    """An operator sends logs to a colleague; the token must not be among them.
+def test_line_has_the_given_fields_and_not_the_token():
+    """Guards against a token that is disclosed in logs.
 
-    A library's exception quotes the request's headers, the text is logged, and the
-    token would stand in it.
+    The text of a library's exception quotes the request's headers and is then logged.
     """
     stream = io.StringIO()
     with configure_logging(parse_settings(MINIMAL, "x.toml").unwrap(), stream):
@@ -51,26 +50,26 @@
     )
 
 
-def test_logs_go_their_old_way_again_once_the_context_ends():
-    # Whoever runs in the same process afterwards listens at the root logger, and a
-    # warning doesn't reach it: the package's lines still went to the old stream.
-    heard: list[logging.LogRecord] = []
+def test_previous_logging_is_restored_after_the_context():
+    # Guards against lines that still go to the context's stream after its end, so that
+    # a handler of the root logger in the same process doesn't receive them.
+    records: list[logging.LogRecord] = []
     handler = logging.Handler()
-    handler.emit = heard.append  # type: ignore[assignment]
+    handler.emit = records.append  # type: ignore[assignment]
     with configure_logging(parse_settings(MINIMAL, "x.toml").unwrap(), io.StringIO()):
         pass
     logging.getLogger().addHandler(handler)
     try:
-        get_logger("test").warning("heard")
+        get_logger("test").warning("received")
     finally:
         logging.getLogger().removeHandler(handler)
-    assert [record.getMessage() for record in heard] == ["heard"]
+    assert [record.getMessage() for record in records] == ["received"]
 
 
-def test_meter_keeps_for_the_dump_and_sends():
+def test_meter_keeps_values_for_the_dump_and_sends_them():
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as server:
         server.bind(("127.0.0.1", 0))
-        server.settimeout(RECEIVE_LIMIT_S)
+        server.settimeout(RECEIVE_TIMEOUT_S)
         meter = create_meter(Metrics("127.0.0.1", server.getsockname()[1], "p"))
         add_count(meter, "jobs.accepted", 2)
         set_gauge(meter, "racks.owned", 3)
@@ -87,7 +86,7 @@
     assert described["timers"]["requests.latency"]["count"] == 1
 
 
-def test_status_and_process_become_gauges():
+def test_status_and_process_usage_are_recorded_as_gauges():
     meter = create_meter(Metrics())
     rack = schema.RackStatus(authority=True, tasks_waiting=3, workers_silent=1)
     peers = [schema.PeerStatus(state="live"), schema.PeerStatus(state="silent")]
@@ -107,7 +106,7 @@
     assert gauges["process.memory"] > 1_000_000
 
 
-def test_meter_without_server_only_keeps():
+def test_meter_without_server_keeps_values_and_rejects_unknown_names():
     meter = create_meter(Metrics())
     add_count(meter, "jobs.accepted")
     flush_meter(meter)
--- a/plantainyard/tests/test_multiplexer.py
+++ b/plantainyard/tests/test_multiplexer.py
@@ -1,4 +1,4 @@
-"""Calls to many peers from one thread, and what peers can do to them."""
+"""Tests of concurrent calls from one thread, with working and faulty peers."""
 
 import contextlib
 import queue
@@ -16,16 +16,16 @@
 from plantainyard.multiplexer import Multiplexer
 from plantainyard.transport import HttpResponse
 
-PATIENCE_S = 10.0
-CALLS = 40
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+TIMEOUT_S = 10.0
+CALL_COUNT = 40
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 Handler = Callable[[socket.socket], None]
 
 
 @contextlib.contextmanager
 def serve(handle: Handler) -> Iterator[str]:
-    """Accept connections, each handled on a thread; yield the address."""
+    """Accept connections, handle each on its own thread, and yield the address."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         accepted: list[socket.socket] = []
 
@@ -58,91 +58,91 @@
 
 
 class Caller:
-    """Calls through a multiplexer, and what came of them in order."""
+    """Makes calls through a multiplexer and queues their results in order."""
 
     def __init__(self, multiplexer: Multiplexer, address: str) -> None:
         self.multiplexer = multiplexer
         self.address = address
-        self.answers: queue.Queue[Result[HttpResponse, CallError]] = queue.Queue()
-        self.take: Callable[[Any], Any] = self.answers.put
+        self.results: queue.Queue[Result[HttpResponse, CallError]] = queue.Queue()
+        self.on_result: Callable[[Any], Any] = self.results.put
 
-    def send(self, timeout_s: float = PATIENCE_S) -> None:
+    def send(self, timeout_s: float = TIMEOUT_S) -> None:
         data = build_request("POST", "/reports", self.address, {}, b"{}")
         self.multiplexer.send(
-            Call("hold", "r0", self.address, data, timeout_s, self.take)
+            Call("hold", "r0", self.address, data, timeout_s, self.on_result)
         )
 
-    def call(self, timeout_s: float = PATIENCE_S) -> Result[HttpResponse, CallError]:
+    def call(self, timeout_s: float = TIMEOUT_S) -> Result[HttpResponse, CallError]:
         self.send(timeout_s)
-        return self.answers.get(timeout=2 * PATIENCE_S)
+        return self.results.get(timeout=2 * TIMEOUT_S)
 
 
-def answer_all(connection: socket.socket) -> None:
+def respond_to_all(connection: socket.socket) -> None:
     while connection.recv(65536):
-        connection.sendall(ANSWER)
+        connection.sendall(RESPONSE)
 
 
-def test_answers_come_over_a_kept_connection():
+def test_consecutive_calls_reuse_one_connection():
     accepted = []
 
     def handle(connection: socket.socket) -> None:
         accepted.append(connection)
-        answer_all(connection)
+        respond_to_all(connection)
 
     with serve(handle) as address, open_multiplexer() as multiplexer:
         caller = Caller(multiplexer, address)
-        answers = [caller.call().unwrap() for _ in range(3)]
-    assert {(a.status, a.body) for a in answers} == {(200, b"ok")}
+        responses = [caller.call().unwrap() for _ in range(3)]
+    assert {(a.status, a.body) for a in responses} == {(200, b"ok")}
     assert len(accepted) == 1
 
 
-def test_calls_that_wait_hold_nobody_up():
-    # Guards against reports that queue behind others that wait for an end.
+def test_waiting_calls_do_not_delay_others():
+    # Guards against reports that queue behind long polls.
     release = threading.Event()
 
     def handle(connection: socket.socket) -> None:
         connection.recv(65536)
-        release.wait(PATIENCE_S)
-        connection.sendall(ANSWER)
+        release.wait(TIMEOUT_S)
+        connection.sendall(RESPONSE)
 
     with (
         serve(handle) as slow,
-        serve(answer_all) as fast,
+        serve(respond_to_all) as fast,
         open_multiplexer() as multiplexer,
     ):
-        waiting = Caller(multiplexer, slow)
-        for _ in range(CALLS):
-            waiting.send()
+        slow_caller = Caller(multiplexer, slow)
+        for _ in range(CALL_COUNT):
+            slow_caller.send()
         assert Caller(multiplexer, fast).call().is_ok()
-        assert waiting.answers.empty()
+        assert slow_caller.results.empty()
         release.set()
-        for _ in range(CALLS):
-            assert waiting.answers.get(timeout=PATIENCE_S).is_ok()
+        for _ in range(CALL_COUNT):
+            assert slow_caller.results.get(timeout=TIMEOUT_S).is_ok()
 
 
-def test_an_answer_in_pieces_is_put_together():
+def test_a_response_that_arrives_in_pieces_is_reassembled():
     def handle(connection: socket.socket) -> None:
         connection.recv(65536)
-        for number in range(len(ANSWER)):
-            connection.sendall(ANSWER[number : number + 1])
+        for number in range(len(RESPONSE)):
+            connection.sendall(RESPONSE[number : number + 1])
             time.sleep(0.001)
 
     with serve(handle) as address, open_multiplexer() as multiplexer:
         assert Caller(multiplexer, address).call().unwrap().body == b"ok"
 
 
-def be_silent(connection: socket.socket) -> None:
+def never_respond(connection: socket.socket) -> None:
     connection.recv(65536)
-    threading.Event().wait(PATIENCE_S)
+    threading.Event().wait(TIMEOUT_S)
 
 
-def hang_up(connection: socket.socket) -> None:
+def close_early(connection: socket.socket) -> None:
     connection.recv(65536)
-    connection.sendall(ANSWER[:-1])
+    connection.sendall(RESPONSE[:-1])
     connection.close()
 
 
-def talk_nonsense(connection: socket.socket) -> None:
+def send_garbage(connection: socket.socket) -> None:
     connection.recv(65536)
     connection.sendall(b"nonsense\r\n\r\n")
 
@@ -150,12 +150,13 @@
 @pytest.mark.parametrize(
     ("handle", "kind"),
     [
-        (be_silent, ErrorKind.LOST),
-        (hang_up, ErrorKind.LOST),
-        (talk_nonsense, ErrorKind.MALFORMED),
+        (never_respond, ErrorKind.LOST),
+        (close_early, ErrorKind.LOST),
+        (send_garbage, ErrorKind.MALFORMED),
     ],
 )
-def test_a_call_that_was_sent_and_not_answered_may_have_been_executed(handle, kind):
+def test_a_failure_after_sending_is_not_reported_as_unreachable(handle, kind):
+    # Guards against a retry of a call that the peer may have executed.
     with serve(handle) as address, open_multiplexer() as multiplexer:
         error = Caller(multiplexer, address).call(timeout_s=0.3).unwrap_err()
     assert (error.kind, error.step, error.peer) == (kind, "hold", "r0")
@@ -165,39 +166,39 @@
     "address",
     ["127.0.0.1:1", "nowhere", "127.0.0.1:99999", "127.0.0.1:x", "a.host:80", ""],
 )
-def test_a_call_without_a_connection_was_not_sent(address):
-    # Guards against a runner's entry with a wrong address that ends all calls.
-    with serve(answer_all) as fine, open_multiplexer() as multiplexer:
+def test_a_call_without_a_connection_is_unreachable(address):
+    # Guards against an invalid address in a runner's entry that stops all calls.
+    with serve(respond_to_all) as working, open_multiplexer() as multiplexer:
         error = Caller(multiplexer, address).call().unwrap_err()
         assert error.kind == ErrorKind.UNREACHABLE
-        assert Caller(multiplexer, fine).call().is_ok()
+        assert Caller(multiplexer, working).call().is_ok()
 
 
-def test_a_fault_of_the_program_ends_one_call_only(monkeypatch, caplog):
-    # Guards against an instance all of whose calls stop.
+def test_an_unexpected_exception_fails_only_one_call(monkeypatch, caplog):
+    # Guards against an instance whose calls all stop.
     faults = [ValueError("a fault")]
-    push = Multiplexer._send_request
+    send_request = Multiplexer._send_request
 
     def fail_once(multiplexer: Multiplexer, connection: Connection) -> None:
         if faults:
             raise faults.pop()
-        push(multiplexer, connection)
+        send_request(multiplexer, connection)
 
     monkeypatch.setattr(Multiplexer, "_send_request", fail_once)
-    with serve(answer_all) as address, open_multiplexer() as multiplexer:
+    with serve(respond_to_all) as address, open_multiplexer() as multiplexer:
         caller = Caller(multiplexer, address)
         assert caller.call().unwrap_err().kind == ErrorKind.LOST
         assert caller.call().is_ok()
     assert "failed" in caplog.text
 
 
-def test_a_connection_that_its_peer_has_closed_is_not_used_again():
+def test_a_connection_that_its_peer_has_closed_is_not_reused():
     # Guards against calls that fail because a peer closes idle connections.
     closed = threading.Event()
 
     def handle(connection: socket.socket) -> None:
         connection.recv(65536)
-        connection.sendall(ANSWER)
+        connection.sendall(RESPONSE)
         connection.close()
         closed.set()
 
@@ -205,91 +206,93 @@
         caller = Caller(multiplexer, address)
         for _ in range(3):
             assert caller.call().is_ok()
-            assert closed.wait(PATIENCE_S)
+            assert closed.wait(TIMEOUT_S)
             closed.clear()
             time.sleep(0.05)
 
 
-def test_what_has_arrived_is_taken_in_before_a_call_counts_as_timed_out():
-    # Guards against a busy owner that takes its own lateness for a runner's silence.
-    with serve(answer_all) as address, open_multiplexer() as multiplexer:
+def test_available_data_is_processed_before_a_call_times_out():
+    # Guards against a busy owner that mistakes its own delay for a silent runner.
+    with serve(respond_to_all) as address, open_multiplexer() as multiplexer:
         caller = Caller(multiplexer, address)
         assert caller.call().is_ok()
         blocker = Caller(multiplexer, address)
-        blocker.take = lambda _: time.sleep(0.5)
+        blocker.on_result = lambda _: time.sleep(0.5)
         blocker.send()
         caller.send(timeout_s=0.2)
         caller.send(timeout_s=0.2)
-        assert caller.answers.get(timeout=PATIENCE_S).is_ok()
-        assert caller.answers.get(timeout=PATIENCE_S).is_ok()
+        assert caller.results.get(timeout=TIMEOUT_S).is_ok()
+        assert caller.results.get(timeout=TIMEOUT_S).is_ok()
 
 
-def test_an_answer_that_came_while_the_caller_was_held_up_counts():
-    # Guards against runners that are called silent by an owner without processor time.
-    def answer_soon(connection: socket.socket) -> None:
+def test_a_response_that_arrived_while_the_caller_was_delayed_is_accepted():
+    # Guards against runners that count as silent because their owner had no processor
+    # time.
+    def respond_after_delay(connection: socket.socket) -> None:
         connection.recv(65536)
         time.sleep(0.1)
-        connection.sendall(ANSWER)
+        connection.sendall(RESPONSE)
 
     with (
-        serve(answer_soon) as soon,
-        serve(answer_all) as at_once,
+        serve(respond_after_delay) as soon,
+        serve(respond_to_all) as at_once,
         open_multiplexer() as multiplexer,
     ):
         blocker = Caller(multiplexer, at_once)
         assert blocker.call().is_ok()
         caller = Caller(multiplexer, soon)
         caller.send(timeout_s=0.3)
-        blocker.take = lambda _: time.sleep(0.6)
+        blocker.on_result = lambda _: time.sleep(0.6)
         blocker.send()
-        assert caller.answers.get(timeout=PATIENCE_S).is_ok()
+        assert caller.results.get(timeout=TIMEOUT_S).is_ok()
 
 
-def test_a_function_that_fails_ends_no_other_call(caplog):
-    # Guards against an owner whose calls all stop after one faulty answer.
+def test_a_failing_callback_ends_no_other_call(caplog):
+    # Guards against an owner whose calls all stop after a callback has failed.
     def fail(_: object) -> None:
-        raise ValueError("a fault of the program")
+        raise ValueError("a fault")
 
-    with serve(answer_all) as address, open_multiplexer() as multiplexer:
+    with serve(respond_to_all) as address, open_multiplexer() as multiplexer:
         caller = Caller(multiplexer, address)
         faulty = Caller(multiplexer, address)
-        faulty.take = fail
+        faulty.on_result = fail
         faulty.send()
         assert caller.call().is_ok()
         assert caller.call().is_ok()
     assert "result callback of step hold failed" in caplog.text
 
 
-def test_calls_fail_once_all_is_closed():
-    # Guards against a stop that waits for answers which nobody takes in any more.
-    with serve(be_silent) as address:
+def test_calls_fail_after_close():
+    # Guards against a stop that waits for responses that are no longer received.
+    with serve(never_respond) as address:
         multiplexer = Multiplexer()
         caller = Caller(multiplexer, address)
         caller.send()
         time.sleep(0.1)
         multiplexer.close()
-        assert caller.answers.get(timeout=PATIENCE_S).unwrap_err().detail == "closed"
-        late = multiplexer.call("hold", "r0", address, b"", PATIENCE_S)
-        assert late.unwrap_err().kind == ErrorKind.UNREACHABLE
+        assert caller.results.get(timeout=TIMEOUT_S).unwrap_err().detail == "closed"
+        rejected = multiplexer.call("hold", "r0", address, b"", TIMEOUT_S)
+        assert rejected.unwrap_err().kind == ErrorKind.UNREACHABLE
 
 
-def test_connections_that_carry_nothing_are_closed(monkeypatch):
-    # Guards against descriptors that run out as runners are lost without a word.
+def test_idle_connections_are_closed(monkeypatch):
+    # Guards against file descriptors that run out because failed runners don't close
+    # their connections.
     monkeypatch.setattr("plantainyard.multiplexer.IDLE_TIMEOUT_S", 0.05)
     monkeypatch.setattr("plantainyard.multiplexer.SWEEP_INTERVAL_S", 0.0)
     ended = threading.Event()
 
     def handle(connection: socket.socket) -> None:
-        answer_all(connection)
+        respond_to_all(connection)
         ended.set()
 
     with (
         serve(handle) as lost,
-        serve(answer_all) as busy,
+        serve(respond_to_all) as busy,
         open_multiplexer() as multiplexer,
     ):
         assert Caller(multiplexer, lost).call().is_ok()
-        until = time.monotonic() + PATIENCE_S
+        deadline = time.monotonic() + TIMEOUT_S
         while not ended.wait(0.02):
-            assert time.monotonic() < until, "still open"
+            assert time.monotonic() < deadline, "still open"
             assert Caller(multiplexer, busy).call().is_ok()
--- a/plantainyard/tests/test_serving.py
+++ b/plantainyard/tests/test_serving.py
@@ -1,3 +1,5 @@
+"""Tests of the HTTP server: its stop and its idle loop."""
+
 import socket
 import threading
 import time
@@ -9,11 +11,11 @@
 BODY = b"x" * 8_000_000
 
 
-def test_a_stopping_server_finishes_the_answers_it_is_writing():
-    """A slow caller's answer is whole although the server stops meanwhile.
+def test_a_stopping_server_finishes_the_responses_in_progress():
+    """Guards against a truncated response when the server stops.
 
-    A caller on a phone reads slowly; the instance is replaced while half of the
-    answer is still in the server's buffers, and the caller gets the other half never.
+    A caller on a slow link is still reading while the instance is replaced; half of
+    the response is then in the server's buffers.
     """
     called = threading.Event()
 
@@ -40,22 +42,22 @@
         received += chunk
 
 
-def test_a_server_that_nobody_calls_sleeps_until_it_is_stopped(monkeypatch):
-    # Guards against instances that do nothing and are woken by their own servers, and
-    # against a stop that waits for the end of such a sleep.
-    monkeypatch.setattr(serving, "LOOP_S", 3600.0)
+def test_an_idle_server_sleeps_until_it_is_stopped(monkeypatch):
+    # Guards against idle instances that are woken periodically by their own servers,
+    # and against a stop that waits until the loop's sleep times out.
+    monkeypatch.setattr(serving, "POLL_TIMEOUT_S", 3600.0)
     with serve_app(lambda *_: [], "127.0.0.1:0", 1, 10, 100):
-        loops = [
+        io_threads = [
             thread
             for thread in threading.enumerate()
             if thread.name == LOOP_THREAD_NAME
         ]
-        assert loops
+        assert io_threads
         time.sleep(0.2)
-        before = [count_wake_ups(thread) for thread in loops]
+        before = [count_wake_ups(thread) for thread in io_threads]
         time.sleep(2.2)
-        assert [count_wake_ups(thread) for thread in loops] == before
-    assert not any(thread.is_alive() for thread in loops)
+        assert [count_wake_ups(thread) for thread in io_threads] == before
+    assert not any(thread.is_alive() for thread in io_threads)
 
 
 def count_wake_ups(thread: threading.Thread) -> int:
--- a/plantainyard/tests/test_transport.py
+++ b/plantainyard/tests/test_transport.py
@@ -1,3 +1,5 @@
+"""Tests of how failures of HTTP calls are classified."""
+
 import socket
 
 import pytest
@@ -8,8 +10,8 @@
 from plantainyard.transport import build_peer, call_json
 
 TRUNCATED = b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{}"
-FINE = format_answer(b"{}")
-MINE = format_answer(b"mine", "200 OK", "Request-Id: r2")
+VALID_JSON = format_answer(b"{}")
+OWN_RESPONSE = format_answer(b"mine", "200 OK", "Request-Id: r2")
 
 
 @pytest.mark.parametrize(
@@ -27,7 +29,7 @@
         (b"", ErrorKind.LOST, 0),
     ],
 )
-def test_each_failure_has_its_kind(raw, kind, retry_after_s):
+def test_each_failure_has_the_expected_kind(raw, kind, retry_after_s):
     with serve_raw([raw]) as (address, _):
         error = call_json(build_peer(address, timeout_s=0.5), "step", "GET", "/").err()
     assert error is not None
@@ -43,7 +45,7 @@
     assert error.kind == ErrorKind.UNREACHABLE
 
 
-def test_too_long_answer_is_dropped():
+def test_response_over_the_body_limit_is_rejected():
     body = b'{"x": "' + b"x" * 100_000 + b'"}'
     with serve_raw([format_answer(body)]) as (address, _):
         peer = build_peer(address)._replace(body_limit=1000)
@@ -60,13 +62,13 @@
         format_answer(b"", "200 OK"),
     ],
 )
-def test_connection_out_of_step_is_not_reused(first):
-    """A caller gets another caller's answer.
+def test_desynchronized_connection_is_not_reused(first):
+    """Guards against a caller that receives another caller's response.
 
-    The runner answers request r2 late or with the answer to r1. The gateway puts
-    the connection back; the next request on it reads what was left over.
+    The runner responds to request r2 late or with the response to r1. If the connection
+    is returned to the pool, the next request on it reads the rest of that response.
     """
-    with serve_raw([first, MINE, MINE]) as (address, seen):
+    with serve_raw([first, OWN_RESPONSE, OWN_RESPONSE]) as (address, seen):
         client = build_runner_client(address)
         lost = run_request(client, b"", "r2", 0.5)
         answered = [run_request(client, b"", "r2", 5.0) for _ in range(2)]
@@ -76,13 +78,13 @@
     assert seen == [0, 1, 1]
 
 
-def test_lost_answer_is_not_sent_again():
-    """A charge runs twice.
+def test_request_without_response_is_not_retried():
+    """Guards against a charge that is executed twice.
 
-    The runner takes the charge and dies before it answers; a caller that repeats by
-    itself sends it to the restarted runner.
+    The runner accepts the charge and dies before it responds; an automatic retry would
+    send the charge to the restarted runner.
     """
-    with serve_raw([b"", MINE]) as (address, seen):
+    with serve_raw([b"", OWN_RESPONSE]) as (address, seen):
         answer = run_request(build_runner_client(address), b"", "r2", 2.0)
     assert answer.outcome == RunnerOutcome.LOST
     assert len(seen) == 1
@@ -96,7 +98,7 @@
         ("500 Oops", "Not-Run: true", RunnerOutcome.ANSWERED),
     ],
 )
-def test_not_run_only_on_the_runners_word(status, header, outcome):
+def test_not_run_only_if_the_runner_declares_it(status, header, outcome):
     raw = format_answer(b"", status, "Request-Id: r", header)
     with serve_raw([raw]) as (address, _):
         answer = run_request(build_runner_client(address), b"", "r", 2.0)
--- a/plantainyard/work.py
+++ b/plantainyard/work.py
@@ -1,8 +1,7 @@
-"""What operators declare: sizes, constraints, jobs and services.
+"""Value types of declared work: sizes, constraints, jobs and services.
 
-These are the shared value types of every package. All are immutable and turn to
-and from JSON objects with `encode_job` and `decode_job`. Sizes are in cores and
-gigabytes, times in seconds.
+All packages share these immutable types. `encode_job` and `decode_job` convert jobs to
+and from JSON objects. Sizes are in cores and gigabytes, times in seconds.
 """
 
 from typing import Any, NamedTuple
@@ -29,7 +28,7 @@
 
 
 class Constraints(NamedTuple):
-    """Where a task may run; an empty field allows everything."""
+    """Restrictions on where a task may run; an empty field allows everything."""
 
     regions: tuple[str, ...] = ()
     domains: tuple[str, ...] = ()
@@ -37,34 +36,35 @@
 
 
 class Job(NamedTuple):
-    """A batch job, or one domain's part of a service.
+    """A batch job, or the part of a service in one failure domain.
 
     Attributes
     ----------
     id : str
-        Unique; derived from the request id of the accepting call.
+        Unique; derived from the request id of the call that created the job.
     name, team : str
-        Given by the operator; the team's quota is charged.
+        Given by the operator; the job counts against the team's quota.
     latency_critical : bool
-        True for a service, whose tasks are runners that never end by themselves.
+        True for a service, whose tasks are runners that don't end by themselves.
     task_count : int
         Number of tasks, numbered from zero.
     size : Size
-        Declared size of one task. Often far off.
+        Declared size of one task; often very inaccurate.
     run_s : float
         Declared run time of one task in seconds; zero for a service.
     constraints : Constraints
-        Hard filters, checked again at the moment of starting.
+        Hard constraints, checked again when a task starts.
     workload : str
-        Kind of task; harm between tasks is learnt for each pair of workloads.
+        Kind of task; interference is estimated for each pair of workloads.
     urgent : bool
-        Starts within the urgent bound, ahead of other work.
+        Whether the job starts within the urgent bound, ahead of other jobs.
     gang : bool
-        All tasks start together or none does.
+        Whether all tasks start together or not at all.
     slots, connections : int
-        For a service: requests in progress and connections a runner can hold.
+        For a service: the greatest numbers of requests in progress and of connections
+        at one runner.
     payload : str
-        Opaque to the scheduler; handed to the worker with each start.
+        Opaque to the scheduler; passed to the worker with each start.
     """
 
     id: str
@@ -104,7 +104,7 @@
 
 
 def format_task(task: TaskKey) -> str:
-    """Return the text form of `task`, ``job/number``.
+    """Return `task` as text, ``job/number``.
 
     Examples
     --------
@@ -115,7 +115,7 @@
 
 
 def parse_task(text: str) -> TaskKey:
-    """Return the task that `format_task` wrote.
+    """Return the task whose text, as written by `format_task`, is `text`.
 
     Raises
     ------
@@ -141,7 +141,7 @@
 
 
 def decode_job(data: dict[str, Any]) -> Job:
-    """Return the job that `encode_job` wrote.
+    """Return the job that `encode_job` encoded as `data`.
 
     Raises
     ------
