--- a/bench/dispatch/oracle.py
+++ b/bench/dispatch/oracle.py
@@ -29,6 +29,6 @@
     return _weights.get((serving, image), 0.0)
 
 
-def find_true_weight_at_worst(harms: Any, serving: str, image: str) -> float:
+def find_true_weight_at_worst(interference: Any, serving: str, image: str) -> float:
     """Return a weight that the true one isn't above."""
-    return max(LEAST_WEIGHT, CAUTION * find_true_weight(harms, serving, image))
+    return max(LEAST_WEIGHT, CAUTION * find_true_weight(interference, serving, image))
--- a/bench/dispatch/tests/test_play.py
+++ b/bench/dispatch/tests/test_play.py
@@ -25,7 +25,7 @@
 
 def test_jobs_dont_depend_on_the_policy():
     jobs = draw_day(CUSTOMERS["tanks"], SHORT, 2)
-    restore = apply_switches({"LEAST_SPEED": 0.0})
+    restore = apply_switches({"MIN_SPEED": 0.0})
     try:
         assert draw_day(CUSTOMERS["tanks"], SHORT, 2) == jobs
     finally:
@@ -33,21 +33,21 @@
 
 
 def test_a_switch_holds_in_every_module_and_is_undone():
-    before = placing.find_least_speed
-    restore = apply_switches({"find_least_speed": max})
-    assert placing.find_least_speed is max
-    assert planning.find_least_speed is max
+    before = placing.find_min_speed
+    restore = apply_switches({"find_min_speed": max})
+    assert placing.find_min_speed is max
+    assert planning.find_min_speed is max
     restore()
-    assert placing.find_least_speed is planning.find_least_speed is before
+    assert placing.find_min_speed is planning.find_min_speed is before
 
 
 def test_variants_are_named_or_spelled():
-    assert parse_variant("LEAST_SPEED=0.5,NOISE=1")[1] == {
-        "LEAST_SPEED": 0.5,
-        "NOISE": 1.0,
+    assert parse_variant("MIN_SPEED=0.5,MODEL_VARIANCE=1")[1] == {
+        "MIN_SPEED": 0.5,
+        "MODEL_VARIANCE": 1.0,
     }
     with pytest.raises(SwitchError):
-        parse_variant("LEAST_SPEED")
+        parse_variant("MIN_SPEED")
 
 
 def test_drawn_customers_differ_and_repeat():
--- a/plantainyard/batch/replica.py
+++ b/plantainyard/batch/replica.py
@@ -14,7 +14,7 @@
 from plantainyard.batch.values import JobState, StepProgress, Submission
 
 __all__ = [
-    "HARMS_KEY",
+    "INTERFERENCE_KEY",
     "OWNER_KEY",
     "JobView",
     "Replica",
@@ -28,7 +28,7 @@
 OWNER_KEY = "owner"
 """Key of the address of a unit's owner; writing it fences the owners before."""
 
-HARMS_KEY = "harms"
+INTERFERENCE_KEY = "harms"
 """Key of what owners have learnt of interference."""
 
 _logger = logging.getLogger(__name__)
@@ -73,12 +73,12 @@
     ----------
     jobs : dict
         Jobs by id.
-    harms : bytes
+    interference : bytes
         What owners have learnt of interference.
     """
 
     jobs: dict[str, JobView] = field(default_factory=dict)
-    harms: bytes = b""
+    interference: bytes = b""
 
 
 def apply_record(replica: Replica, key: str, value: bytes) -> str:
@@ -89,7 +89,8 @@
     replica : Replica
         Changed in place.
     key : str
-        One of the keys of `plantainyard.batch.records`, `OWNER_KEY` or `HARMS_KEY`.
+        One of the keys of `plantainyard.batch.records`, `OWNER_KEY` or
+        `INTERFERENCE_KEY`.
     value : bytes
         Empty where the key was dropped.
 
@@ -105,8 +106,8 @@
     """
     if key == OWNER_KEY:
         return ""
-    if key == HARMS_KEY:
-        replica.harms = value
+    if key == INTERFERENCE_KEY:
+        replica.interference = value
         return ""
     try:
         found = parse_key(key)
--- a/plantainyard/dispatch/__init__.py
+++ b/plantainyard/dispatch/__init__.py
@@ -31,12 +31,12 @@
 )
 from plantainyard.dispatch.forwarding import list_arrived
 from plantainyard.dispatch.limits import Limits, choose_lease
-from plantainyard.dispatch.load import EMPTY_LOAD, Load
+from plantainyard.dispatch.load import NO_RUNNERS_LOAD, Load
 from plantainyard.dispatch.state import EMPTY_COUNTS, Counts, count_state
 
 __all__ = [
     "EMPTY_COUNTS",
-    "EMPTY_LOAD",
+    "NO_RUNNERS_LOAD",
     "Counts",
     "count_state",
     "Action",
--- a/plantainyard/dispatch/crowding.py
+++ b/plantainyard/dispatch/balancing.py
@@ -13,15 +13,20 @@
 from plantainyard.batch.values import Step
 from plantainyard.dispatch.load import SLOT_SIZES, Load
 from plantainyard.dispatch.model import Job, Phase, Runner
-from plantainyard.dispatch.placing import takes_work
+from plantainyard.dispatch.placing import accepts_tasks
 from plantainyard.dispatch.state import Dispatcher
 
-__all__ = ["count_slots", "find_roomier_unit", "measure_ending", "move_ending"]
+__all__ = [
+    "count_slots",
+    "find_less_utilized_unit",
+    "measure_finite_demand",
+    "add_finite_demand",
+]
 
-CROWDED = 1.0
+MAX_UTILIZATION = 1.0
 """Work that ends, as a part of the room for it, above which tasks wait for room."""
 
-LEAST_RELIEF = 0.7
+MAX_RELATIVE_UTILIZATION = 0.7
 """Part of the own unit's crowding that another one may have to be worth the move: what
 it told is up to a second old, and the move takes a tenth."""
 
@@ -31,7 +36,7 @@
     rooms = [
         _find_lasting_room(runner)
         for runner in state.runners.values()
-        if takes_work(runner) and runner.quarantined_until <= now
+        if accepts_tasks(runner) and runner.quarantined_until <= now
     ]
     return tuple(sum(room // size for room in rooms) for size in SLOT_SIZES)
 
@@ -46,12 +51,12 @@
     return max(0, runner.entry.capacity.cpu - lasting)
 
 
-def measure_ending(state: Dispatcher, now: float) -> int:
+def measure_finite_demand(state: Dispatcher, now: float) -> int:
     """Return what counted jobs that end, and are of use, ask for at a time."""
     return sum(_measure_demand(j) for j in state.jobs.values() if now < j.useless_at)
 
 
-def find_roomier_unit(state: Dispatcher, job: Job) -> int | None:
+def find_less_utilized_unit(state: Dispatcher, job: Job) -> int | None:
     """Return the unit that is least crowded for a job, or None if it had better stay.
 
     Notes
@@ -65,7 +70,7 @@
         return None
     counted = job.taken_at < state.load_at
     here = _measure_crowding(state.load, need, 0 if counted else demand)
-    if here <= CROWDED:
+    if here <= MAX_UTILIZATION:
         return None
     others = {
         unit: _measure_crowding(load, need, demand)
@@ -75,10 +80,10 @@
     best = min(others, key=lambda unit: others[unit], default=None)
     if best is None or math.isinf(others[best]):
         return None
-    return best if others[best] < LEAST_RELIEF * here else None
+    return best if others[best] < MAX_RELATIVE_UTILIZATION * here else None
 
 
-def move_ending(state: Dispatcher, job: Job, unit: int) -> None:
+def add_finite_demand(state: Dispatcher, job: Job, unit: int) -> None:
     """Count what a job asks for in its new unit, until that is measured there."""
     load = state.loads[unit]
     state.loads[unit] = load._replace(ending=load.ending + _measure_demand(job))
--- a/plantainyard/dispatch/bases.py
+++ b/plantainyard/dispatch/baselines.py
@@ -8,45 +8,47 @@
 from collections.abc import Iterator
 
 from plantainyard.batch.tasks import TaskKey
-from plantainyard.dispatch.harms import Base, Harms, Track
+from plantainyard.dispatch.estimates import Baseline, InterferenceModel, Trend
 
 __all__ = [
-    "BASE_S",
-    "MARGIN_CEILING",
-    "MARGIN_FLOOR",
-    "estimate_base",
-    "forecast_margin",
-    "move_track",
-    "note_speed",
+    "BASELINE_MAX_AGE_S",
+    "MAX_MARGIN",
+    "MIN_MARGIN",
+    "estimate_baseline",
+    "forecast_baseline",
+    "update_trend",
+    "detect_slow_runner",
 ]
 
-DRIFT = 0.25
+MAX_DRIFT = 0.25
 """Most by which a base changes in a second, as a part of itself: loads that swing by
 half in 14 s change it so fast."""
 
-BASE_S = 2.0
+BASELINE_MAX_AGE_S = 2.0
 """Age up to which a reading counts for a base; it may be off by half by then."""
 
-SLOW_RATIO = 1.6
+SLOW_RUNNER_RATIO = 1.6
 """Margin of the job's other tasks, over that of a task without backfilling work beside
 it, from which its runner counts as slow by itself."""
 
-SLOW_S = 3.0
+SLOW_RUNNER_S = 3.0
 """Time for which nothing is learnt from such a runner; they turn slow for seconds."""
 
-FAST_S, SLOW_TRACK_S = 0.3, 1.0
+FAST_AVERAGE_S, SLOW_AVERAGE_S = 0.3, 1.0
 """Times of the two moving averages of a job's base whose difference is its trend."""
 
-MARGIN_FLOOR, MARGIN_CEILING = 0.02, 8.0
+MIN_MARGIN, MAX_MARGIN = 0.02, 8.0
 """Bounds of margins: tails of fifty targets and of an eighth of one."""
 
 
-def estimate_base(harms: Harms, task: TaskKey, life: str, now: float) -> Base | None:
+def estimate_baseline(
+    interference: InterferenceModel, task: TaskKey, life: str, now: float
+) -> Baseline | None:
     """Return a task's base as its job's other tasks show it, or None.
 
     Parameters
     ----------
-    harms : Harms
+    interference : InterferenceModel
         With the job's readings.
     task : TaskKey
         The task.
@@ -60,7 +62,7 @@
     -----
     The median by weight, so that one task on a slow runner doesn't count.
     """
-    bases = sorted(_list_bases(harms, task, life, now))
+    bases = sorted(_list_bases(interference, task, life, now))
     if not bases:
         return None
     total = sum(1 / base.variance for base in bases)
@@ -68,23 +70,29 @@
     for base in bases:
         passed += 1 / base.variance
         if passed >= total / 2:
-            return Base(base.value, 1 / total)
+            return Baseline(base.value, 1 / total)
     return None
 
 
-def _list_bases(harms: Harms, task: TaskKey, life: str, now: float) -> Iterator[Base]:
-    for reading in harms.readings.get(task.job_id, {}).values():
+def _list_bases(
+    interference: InterferenceModel, task: TaskKey, life: str, now: float
+) -> Iterator[Baseline]:
+    for reading in interference.readings.get(task.job_id, {}).values():
         age_s = now - reading.at
-        if age_s > BASE_S or (reading.life == life and not reading.clean):
+        if age_s > BASELINE_MAX_AGE_S or (reading.life == life and not reading.clean):
             continue
-        if harms.slow_until.get(reading.life, 0.0) > now:
+        if interference.slow_until.get(reading.life, 0.0) > now:
             continue
-        drift = DRIFT * age_s * reading.base.value
-        yield Base(reading.base.value, reading.base.variance + drift**2)
+        drift = MAX_DRIFT * age_s * reading.base.value
+        yield Baseline(reading.base.value, reading.base.variance + drift**2)
 
 
-def note_speed(
-    harms: Harms, life: str, margin: float, others: Base, now: float
+def detect_slow_runner(
+    interference: InterferenceModel,
+    life: str,
+    margin: float,
+    others: Baseline,
+    now: float,
 ) -> bool:
     """Take note of a runner that is slow by itself, and return whether it is.
 
@@ -93,32 +101,42 @@
     Guards against harmless work that takes the blame for a slow runner, and is then
     kept from all serving tasks: nothing is learnt there while the runner is slow.
     """
-    slow = others.value > SLOW_RATIO * margin
+    slow = others.value > SLOW_RUNNER_RATIO * margin
     if slow:
-        harms.slow_until[life] = now + SLOW_S
+        interference.slow_until[life] = now + SLOW_RUNNER_S
     return slow
 
 
-def move_track(harms: Harms, job_id: str, base: Base, now: float) -> None:
+def update_trend(
+    interference: InterferenceModel, job_id: str, base: Baseline, now: float
+) -> None:
     """Take a job's base of now into its moving averages."""
-    track = harms.tracks.get(job_id)
-    if track is None or now - track.at > BASE_S:
-        harms.tracks[job_id] = Track(base.value, base.value, now)
+    track = interference.tracks.get(job_id)
+    if track is None or now - track.at > BASELINE_MAX_AGE_S:
+        interference.tracks[job_id] = Trend(base.value, base.value, now)
         return
     elapsed_s = max(now - track.at, 0.01)
-    track.fast += (base.value - track.fast) * (1 - math.exp(-elapsed_s / FAST_S))
-    track.slow += (base.value - track.slow) * (1 - math.exp(-elapsed_s / SLOW_TRACK_S))
+    track.fast += (base.value - track.fast) * (
+        1 - math.exp(-elapsed_s / FAST_AVERAGE_S)
+    )
+    track.slow += (base.value - track.slow) * (
+        1 - math.exp(-elapsed_s / SLOW_AVERAGE_S)
+    )
     track.at = now
 
 
-def forecast_margin(
-    harms: Harms, job_id: str, own: float, ahead_s: float, default: float
+def forecast_baseline(
+    interference: InterferenceModel,
+    job_id: str,
+    own: float,
+    ahead_s: float,
+    default: float,
 ) -> float:
     """Return the margin that a job's tasks will have without backfilling work.
 
     Parameters
     ----------
-    harms : Harms
+    interference : InterferenceModel
         What is learnt.
     job_id : str
         The serving job.
@@ -129,11 +147,11 @@
     default : float
         Taken where the job has told nothing yet.
     """
-    track = harms.tracks.get(job_id)
+    track = interference.tracks.get(job_id)
     if track is None:
         return min(own, default)
-    trend = (track.fast - track.slow) / (SLOW_TRACK_S - FAST_S)
-    coming = track.fast + trend * (ahead_s + FAST_S)
-    least, most = (1 - DRIFT * ahead_s), (1 + DRIFT * ahead_s)
+    trend = (track.fast - track.slow) / (SLOW_AVERAGE_S - FAST_AVERAGE_S)
+    coming = track.fast + trend * (ahead_s + FAST_AVERAGE_S)
+    least, most = (1 - MAX_DRIFT * ahead_s), (1 + MAX_DRIFT * ahead_s)
     bounded = min(max(coming, track.fast * least), track.fast * most)
     return min(bounded, own * most)
--- a/plantainyard/dispatch/dispatcher.py
+++ b/plantainyard/dispatch/dispatcher.py
@@ -8,10 +8,11 @@
     make_handover_key,
     make_progress_key,
 )
-from plantainyard.batch.replica import HARMS_KEY, Replica
+from plantainyard.batch.replica import INTERFERENCE_KEY, Replica
 from plantainyard.batch.values import StepProgress, TaskProgress
 from plantainyard.dispatch import orders, reports, runs
-from plantainyard.dispatch.crowding import count_slots, measure_ending
+from plantainyard.dispatch.balancing import count_slots, measure_finite_demand
+from plantainyard.dispatch.estimates import InterferenceModel
 from plantainyard.dispatch.events import (
     Action,
     Cancelled,
@@ -44,8 +45,7 @@
     plan_handovers,
     plan_task_handovers,
 )
-from plantainyard.dispatch.harms import Harms
-from plantainyard.dispatch.interference import forget_unseen
+from plantainyard.dispatch.interference import expire_unobserved
 from plantainyard.dispatch.jobs import (
     add_job,
     cancel_job,
@@ -54,13 +54,17 @@
 )
 from plantainyard.dispatch.limits import Limits
 from plantainyard.dispatch.model import Job, Phase, StepRun
-from plantainyard.dispatch.placing import note_gaps
+from plantainyard.dispatch.placing import record_free_cpu
 from plantainyard.dispatch.planning import plan_moves, plan_starts
-from plantainyard.dispatch.queue import find_allowed_s
+from plantainyard.dispatch.queue import find_allowed_time_s
 from plantainyard.dispatch.restoring import restore_jobs
 from plantainyard.dispatch.state import Dispatcher
-from plantainyard.dispatch.timing import measure_times, summarize_times
-from plantainyard.dispatch.weights import decode_harms, encode_harms, merge_harms
+from plantainyard.dispatch.timing import add_elapsed_time, summarize_times
+from plantainyard.dispatch.weights import (
+    decode_interference,
+    encode_interference,
+    merge_interference,
+)
 from plantainyard.platform.store import Record
 
 _logger = logging.getLogger(__name__)
@@ -71,7 +75,7 @@
 FORGET_EVERY_S = 1.0
 """Time between looks at what wasn't seen; several reports of each runner."""
 
-HARMS_EVERY_S = 3.0
+INTERFERENCE_INTERVAL_S = 3.0
 """Time between stored copies of what is learnt of interference: a second of learning
 is lost by a change of owner on average, for a kilobyte each time."""
 
@@ -113,18 +117,18 @@
     state.began_at = now
     state.renewed_at = fenced_at
     restore_jobs(state, replica, now)
-    if replica.harms:
-        state.harms = _restore_harms(replica.harms)
+    if replica.interference:
+        state.interference = _restore_interference(replica.interference)
     return state
 
 
-def _restore_harms(value: bytes) -> Harms:
+def _restore_interference(value: bytes) -> InterferenceModel:
     try:
-        return decode_harms(value)
+        return decode_interference(value)
     except (ValueError, TypeError, AttributeError) as error:
         # Nothing but time is lost: it is learnt again.
         _logger.warning("unreadable record of harms: %r", error)
-        return Harms()
+        return InterferenceModel()
 
 
 def step(state: Dispatcher, event: Event, now: float) -> list[Action]:
@@ -141,7 +145,7 @@
     """
     _take(state, event, now)
     if isinstance(event, Tick):
-        note_gaps(state.runners.values())
+        record_free_cpu(state.runners.values())
         _measure_load(state, now)
         plan_handovers(state, state.jobs.values(), now)
         plan_task_handovers(state, now)
@@ -150,7 +154,7 @@
         reports.expire_leases(state, now)
         _plan_moves(state, now)
         _measure_times(state, now)
-        _forget_harms(state, now)
+        _expire_interference(state, now)
         settle_delivered(state, now)
         forget_arrived(state, now)
     state.plan_due |= _changes_plan(state, event)
@@ -194,7 +198,7 @@
 def _measure_load(state: Dispatcher, now: float) -> None:
     if now - state.load_at >= LOAD_EVERY_S:
         state.load = measure_load(state)._replace(
-            slots=count_slots(state, now), ending=measure_ending(state, now)
+            slots=count_slots(state, now), ending=measure_finite_demand(state, now)
         )
         state.lasting_room = measure_lasting_room(state)
         state.load_at = now
@@ -209,15 +213,15 @@
 def _measure_times(state: Dispatcher, now: float) -> None:
     elapsed_s = now - (state.timed_at or now)
     if not state.timed_at or elapsed_s >= TIMES_EVERY_S:
-        measure_times(state.jobs.values(), elapsed_s)
+        add_elapsed_time(state.jobs.values(), elapsed_s)
         state.timed_at = now
 
 
-def _forget_harms(state: Dispatcher, now: float) -> None:
-    elapsed_s = now - state.harms_forgotten_at
+def _expire_interference(state: Dispatcher, now: float) -> None:
+    elapsed_s = now - state.interference_expired_at
     if elapsed_s >= FORGET_EVERY_S:
-        forget_unseen(state.harms, min(elapsed_s, 2 * FORGET_EVERY_S), now)
-        state.harms_forgotten_at = now
+        expire_unobserved(state.interference, min(elapsed_s, 2 * FORGET_EVERY_S), now)
+        state.interference_expired_at = now
 
 
 def _take(state: Dispatcher, event: Event, now: float) -> None:
@@ -245,9 +249,9 @@
             end_cancelled(state)
         case LoadsTold(loads):
             state.loads = dict(loads)
-        case HarmsTold(harms):
-            for told in harms:
-                merge_harms(state.harms, _restore_harms(told))
+        case HarmsTold(interference):
+            for told in interference:
+                merge_interference(state.interference, _restore_interference(told))
         case EntryChanged(runner, entry):
             reports.take_entry(state, runner, entry, now)
 
@@ -278,10 +282,15 @@
         return
     records += _encode_begun(state)
     records += take_settled(state)
-    if state.harms.estimates and now - state.harms_stored_at > HARMS_EVERY_S:
+    if (
+        state.interference.estimates
+        and now - state.interference_stored_at > INTERFERENCE_INTERVAL_S
+    ):
         # With the records of others: a commit of its own would be one more call.
-        records.append(Record(HARMS_KEY, encode_harms(state.harms)))
-        state.harms_stored_at = now
+        records.append(
+            Record(INTERFERENCE_KEY, encode_interference(state.interference))
+        )
+        state.interference_stored_at = now
     state.commit_out = True
     state.committing_seen = seen
     state.committing_ends = list(state.ending)
@@ -305,7 +314,7 @@
 
 
 def _summarize(job: Job, now: float) -> JobSummary:
-    accepted_at = job.deadline - find_allowed_s(job.submission)
+    accepted_at = job.deadline - find_allowed_time_s(job.submission)
     return JobSummary(
         job.submission.record_id,
         job.ended,
--- a/plantainyard/dispatch/harms.py
+++ b/plantainyard/dispatch/estimates.py
@@ -7,16 +7,16 @@
 from plantainyard.dispatch.samples import Sample
 
 __all__ = [
-    "Base",
-    "Estimate",
-    "Harms",
+    "Baseline",
+    "WeightEstimate",
+    "InterferenceModel",
     "Reading",
-    "Track",
+    "Trend",
 ]
 
 
 @dataclass(slots=True, eq=False)
-class Estimate:
+class WeightEstimate:
     """What is learnt of one serving image, by recursive least squares.
 
     Attributes
@@ -30,11 +30,11 @@
     """
 
     weights: dict[str, float] = field(default_factory=dict)
-    doubts: dict[str, dict[str, float]] = field(default_factory=dict)
+    covariance: dict[str, dict[str, float]] = field(default_factory=dict)
     unseen_s: dict[str, float] = field(default_factory=dict)
 
 
-class Base(NamedTuple):
+class Baseline(NamedTuple):
     """A margin as it is, or would be, without backfilling work, and its variance."""
 
     value: float
@@ -44,14 +44,14 @@
 class Reading(NamedTuple):
     """What one report told of one task's base; `at` is the dispatcher's clock."""
 
-    base: Base
+    base: Baseline
     life: str
     at: float
     clean: bool
 
 
 @dataclass(slots=True, eq=False)
-class Track:
+class Trend:
     """Two moving averages of the base of a job, and when they were last moved."""
 
     fast: float
@@ -60,7 +60,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Harms:
+class InterferenceModel:
     """What is learnt of a fleet.
 
     Attributes
@@ -78,10 +78,10 @@
         Runners' lives that were slow by themselves, and until when they count as such.
     """
 
-    estimates: dict[str, Estimate] = field(default_factory=dict)
+    estimates: dict[str, WeightEstimate] = field(default_factory=dict)
     readings: dict[str, dict[tuple[TaskKey, bool], Reading]] = field(
         default_factory=dict
     )
-    tracks: dict[str, Track] = field(default_factory=dict)
+    tracks: dict[str, Trend] = field(default_factory=dict)
     last: dict[str, tuple[float, Sample]] = field(default_factory=dict)
     slow_until: dict[str, float] = field(default_factory=dict)
--- a/plantainyard/dispatch/handover.py
+++ b/plantainyard/dispatch/handover.py
@@ -10,11 +10,11 @@
 from collections.abc import Iterable
 
 from plantainyard.batch.values import Step
-from plantainyard.dispatch.crowding import find_roomier_unit, move_ending
+from plantainyard.dispatch.balancing import add_finite_demand, find_less_utilized_unit
 from plantainyard.dispatch.forwarding import find_piece, note_moved, pass_on
-from plantainyard.dispatch.load import EMPTY_LOAD, Load
+from plantainyard.dispatch.load import NO_RUNNERS_LOAD, Load
 from plantainyard.dispatch.model import Job, Phase, Runner, StepRun
-from plantainyard.dispatch.placing import find_reserved_cpu, takes_work
+from plantainyard.dispatch.placing import accepts_tasks, get_reserved_cpu
 from plantainyard.dispatch.state import Dispatcher, mark_dirty
 
 __all__ = [
@@ -69,10 +69,10 @@
 
 def measure_load(state: Dispatcher) -> Load:
     """Return how full the dispatcher's unit is; one pass over runners and jobs."""
-    usable = [r for r in state.runners.values() if takes_work(r)]
+    usable = [r for r in state.runners.values() if accepts_tasks(r)]
     total = _sum_cpu(usable)
     if not total:
-        return EMPTY_LOAD
+        return NO_RUNNERS_LOAD
     waiting = [0, 0]
     for job in state.jobs.values():
         for step in job.steps.values():
@@ -97,7 +97,7 @@
             if task.step.spec.long_running
         )
         for r in state.runners.values()
-        if r.entry is not None and takes_work(r)
+        if r.entry is not None and accepts_tasks(r)
     )
     return max(rooms, default=0)
 
@@ -157,7 +157,7 @@
         waits = task.phase == Phase.WAITING and task.waiting_since
         if not waits or now - task.waiting_since < TASK_WAIT_S:
             continue
-        need = find_reserved_cpu(step.spec)
+        need = get_reserved_cpu(step.spec)
         least = ANY_GAP if task.run else LEAST_GAP
         unit = _find_room(state, step.spec, need, least)
         if unit is None:
@@ -183,11 +183,11 @@
 def _choose_unit(state: Dispatcher, job: Job, now: float) -> int | None:
     submission = job.submission
     step = submission.steps[0]
-    needed = max(find_reserved_cpu(step) for step in submission.steps)
+    needed = max(get_reserved_cpu(step) for step in submission.steps)
     if any(step.long_running for step in submission.steps):
         return _find_room(state, step, needed, LASTING_GAP)
     if not any(step.requires for step in submission.steps):
-        roomier = find_roomier_unit(state, job)
+        roomier = find_less_utilized_unit(state, job)
         if roomier is not None:
             return roomier
     if needed > state.lasting_room:
@@ -235,7 +235,7 @@
     state.handing[submission.job_id] = pass_on(submission)
     first = submission.steps[0]
     _move_load(state, first, first.size, unit)
-    move_ending(state, job, unit)
+    add_finite_demand(state, job, unit)
 
 
 def _move_load(state: Dispatcher, step: Step, tasks: int, unit: int) -> None:
@@ -248,7 +248,7 @@
     seemed to be full with one job more. A unit is at least as large as the gap that
     it tells of.
     """
-    size = _sum_cpu(r for r in state.runners.values() if takes_work(r))
+    size = _sum_cpu(r for r in state.runners.values() if accepts_tasks(r))
     moved = tasks * step.resources.cpu
     there = state.loads[unit]
     share = moved / max(1, size, there.gap)
--- a/plantainyard/dispatch/interference.py
+++ b/plantainyard/dispatch/interference.py
@@ -19,56 +19,63 @@
 
 from collections.abc import Mapping
 
-from plantainyard.dispatch.bases import (
-    BASE_S,
-    MARGIN_CEILING,
-    MARGIN_FLOOR,
-    estimate_base,
-    move_track,
-    note_speed,
+from plantainyard.dispatch.baselines import (
+    BASELINE_MAX_AGE_S,
+    MAX_MARGIN,
+    MIN_MARGIN,
+    detect_slow_runner,
+    estimate_baseline,
+    update_trend,
+)
+from plantainyard.dispatch.estimates import (
+    Baseline,
+    InterferenceModel,
+    Reading,
+    WeightEstimate,
 )
-from plantainyard.dispatch.harms import Base, Estimate, Harms, Reading
 from plantainyard.dispatch.samples import (
     Sample,
     Tail,
     is_steady,
-    sharpen_tail,
+    undo_smoothing,
 )
 from plantainyard.dispatch.weights import (
     IDLE_TAIL,
     MARGIN_ERROR,
     add_images,
-    drop_image,
+    remove_image,
     update_estimate,
 )
 
 __all__ = [
-    "FORGET_S",
-    "forget_unseen",
-    "learn",
+    "RETENTION_S",
+    "expire_unobserved",
+    "learn_from_sample",
 ]
 
 UNSTEADY_ERROR = 0.25
 """Relative error of one reported margin while what works beside the task has just
 changed; `MARGIN_ERROR` else."""
 
-UNSTEADY_COUNT = 2
+UNSTEADY_DISCOUNT = 2
 """Reports beside loads that have just changed that tell as much as a steady one."""
 
-IDLE_LOAD = 0.01
+NEGLIGIBLE_LOAD = 0.01
 """Share of a runner's processors below which backfilling work counts as none."""
 
-FORGET_S = 60.0
+RETENTION_S = 60.0
 """Time after which a pair that isn't seen is forgotten: a weight that came out too high
 keeps its image from where it could be corrected."""
 
 
-def learn(harms: Harms, sample: Sample, now: float) -> dict[str, float]:
+def learn_from_sample(
+    interference: InterferenceModel, sample: Sample, now: float
+) -> dict[str, float]:
     """Take in a report, and return the bases of the runner's serving jobs.
 
     Parameters
     ----------
-    harms : Harms
+    interference : InterferenceModel
         Changed in place.
     sample : Sample
         The report.
@@ -85,49 +92,59 @@
     The cost is, for each serving task, a pass over its job's tasks and the square of
     the number of backfilling images.
     """
-    at, before = harms.last.get(sample.life, (now, Sample(sample.life)))
-    harms.last[sample.life] = (now, sample)
+    at, before = interference.last.get(sample.life, (now, Sample(sample.life)))
+    interference.last[sample.life] = (now, sample)
     steady = is_steady(before, sample)
     idle = steady and _is_idle(sample)
     tails = {tail.task: tail.value for tail in before.tails}
     bases: dict[str, float] = {}
     for tail in sample.tails:
-        sharp = sharpen_tail(tail.value, tails.get(tail.task, tail.value), now - at)
-        margin = min(MARGIN_CEILING, max(MARGIN_FLOOR, 1 / max(sharp, 1e-6)))
-        own = _learn_margin(harms, tail, margin, sample, steady, now)
+        sharp = undo_smoothing(tail.value, tails.get(tail.task, tail.value), now - at)
+        margin = min(MAX_MARGIN, max(MIN_MARGIN, 1 / max(sharp, 1e-6)))
+        own = _learn_margin(interference, tail, margin, sample, steady, now)
         reading = Reading(own, sample.life, now, idle)
-        readings = harms.readings.setdefault(tail.task.job_id, {})
+        readings = interference.readings.setdefault(tail.task.job_id, {})
         readings[tail.task, False] = reading
         if idle:
             readings[tail.task, True] = reading
         job_id = tail.task.job_id
-        bases[job_id] = min(bases.get(job_id, MARGIN_CEILING), own.value)
+        bases[job_id] = min(bases.get(job_id, MAX_MARGIN), own.value)
     return bases
 
 
 def _learn_margin(
-    harms: Harms, tail: Tail, margin: float, sample: Sample, steady: bool, now: float
-) -> Base:
+    interference: InterferenceModel,
+    tail: Tail,
+    margin: float,
+    sample: Sample,
+    steady: bool,
+    now: float,
+) -> Baseline:
     """Take in one margin and return its base as the weights show it."""
-    estimate = harms.estimates.setdefault(tail.image, Estimate())
+    estimate = interference.estimates.setdefault(tail.image, WeightEstimate())
     loads = sample.loads
     add_images(estimate, loads)
-    others = estimate_base(harms, tail.task, sample.life, now)
-    slow = harms.slow_until.get(sample.life, 0.0) > now
+    others = estimate_baseline(interference, tail.task, sample.life, now)
+    slow = interference.slow_until.get(sample.life, 0.0) > now
     if others is not None:
         idle = _is_idle(sample)
         if steady and idle:
-            slow |= note_speed(harms, sample.life, margin, others, now)
+            slow |= detect_slow_runner(interference, sample.life, margin, others, now)
         elif not slow and not idle:
-            _learn_weights(harms, tail, margin, sample, others, steady)
+            _learn_weights(interference, tail, margin, sample, others, steady)
     own = _undo_pressure(estimate, loads, margin, steady)
     if not slow:
-        move_track(harms, tail.task.job_id, others or own, now)
+        update_trend(interference, tail.task.job_id, others or own, now)
     return own
 
 
 def _learn_weights(
-    harms: Harms, tail: Tail, margin: float, sample: Sample, base: Base, steady: bool
+    interference: InterferenceModel,
+    tail: Tail,
+    margin: float,
+    sample: Sample,
+    base: Baseline,
+    steady: bool,
 ) -> None:
     """Take one margin beside backfilling work into the weights of its image.
 
@@ -140,28 +157,32 @@
     before the change.
     """
     alike = sum(other.image == tail.image for other in sample.tails)
-    count = 1 if steady else UNSTEADY_COUNT
-    estimate = harms.estimates[tail.image]
+    count = 1 if steady else UNSTEADY_DISCOUNT
+    estimate = interference.estimates[tail.image]
     update_estimate(estimate, sample.loads, margin, base, count * alike)
 
 
 def _is_idle(sample: Sample) -> bool:
     """Return whether no backfilling work is at work at the runner."""
-    return sum(sample.loads.values()) < IDLE_LOAD
+    return sum(sample.loads.values()) < NEGLIGIBLE_LOAD
 
 
 def _undo_pressure(
-    estimate: Estimate, loads: Mapping[str, float], margin: float, steady: bool
-) -> Base:
+    estimate: WeightEstimate, loads: Mapping[str, float], margin: float, steady: bool
+) -> Baseline:
     """Return the base that a margin shows, by the weights of what works beside it."""
     stretch = 1.0 + sum(estimate.weights[i] * load for i, load in loads.items() if load)
-    doubt = sum(estimate.doubts[i][i] * load**2 for i, load in loads.items() if load)
+    doubt = sum(
+        estimate.covariance[i][i] * load**2 for i, load in loads.items() if load
+    )
     base = margin + (1 - 1 / stretch) / IDLE_TAIL
     error = MARGIN_ERROR if steady else UNSTEADY_ERROR
-    return Base(base, doubt / (IDLE_TAIL * stretch**2) ** 2 + (error * margin) ** 2)
+    return Baseline(base, doubt / (IDLE_TAIL * stretch**2) ** 2 + (error * margin) ** 2)
 
 
-def forget_unseen(harms: Harms, seconds: float, now: float) -> None:
+def expire_unobserved(
+    interference: InterferenceModel, seconds: float, now: float
+) -> None:
     """Forget pairs that weren't seen together for long, and old readings.
 
     Notes
@@ -170,16 +191,20 @@
     runner that was slow for other reasons, keeps the image from where it could show
     that it is harmless. Forgotten, the pair is tried like one that was never seen.
     """
-    for estimate in harms.estimates.values():
+    for estimate in interference.estimates.values():
         for image in list(estimate.weights):
             estimate.unseen_s[image] = estimate.unseen_s.get(image, 0.0) + seconds
-            if estimate.unseen_s[image] > FORGET_S:
-                drop_image(estimate, image)
-    for job_id, readings in list(harms.readings.items()):
-        fresh = {k: r for k, r in readings.items() if now - r.at <= BASE_S}
-        harms.readings[job_id] = fresh
+            if estimate.unseen_s[image] > RETENTION_S:
+                remove_image(estimate, image)
+    for job_id, readings in list(interference.readings.items()):
+        fresh = {k: r for k, r in readings.items() if now - r.at <= BASELINE_MAX_AGE_S}
+        interference.readings[job_id] = fresh
         if not fresh:
-            del harms.readings[job_id]
-            harms.tracks.pop(job_id, None)
-    harms.last = {k: v for k, v in harms.last.items() if now - v[0] <= FORGET_S}
-    harms.slow_until = {k: at for k, at in harms.slow_until.items() if at > now}
+            del interference.readings[job_id]
+            interference.tracks.pop(job_id, None)
+    interference.last = {
+        k: v for k, v in interference.last.items() if now - v[0] <= RETENTION_S
+    }
+    interference.slow_until = {
+        k: at for k, at in interference.slow_until.items() if at > now
+    }
--- a/plantainyard/dispatch/jobs.py
+++ b/plantainyard/dispatch/jobs.py
@@ -9,7 +9,7 @@
 )
 from plantainyard.dispatch.model import Job, Phase, StepRun, Task
 from plantainyard.dispatch.orders import release_task, send_stop
-from plantainyard.dispatch.queue import find_chains_ms, set_deadlines
+from plantainyard.dispatch.queue import find_critical_paths_ms, set_deadlines
 from plantainyard.dispatch.state import Dispatcher, mark_dirty
 
 __all__ = [
@@ -28,7 +28,7 @@
     job_id = submission.record_id
     if job_id in state.jobs or job_id in state.ended or job_id in state.moved:
         return
-    chains_ms = find_chains_ms(submission.steps)
+    chains_ms = find_critical_paths_ms(submission.steps)
     job = Job(submission, 0.0, chains_ms, now)
     set_deadlines(job, now)
     state.jobs[job_id] = job
--- a/plantainyard/dispatch/leases.py
+++ b/plantainyard/dispatch/leases.py
@@ -3,16 +3,16 @@
 from plantainyard.dispatch.limits import Limits
 from plantainyard.dispatch.model import Runner
 
-__all__ = ["has_lapsed", "make_lease", "note_clock"]
+__all__ = ["has_lease_expired", "grant_lease", "record_clock"]
 
 
-def note_clock(runner: Runner, clock_ms: int, now: float) -> None:
+def record_clock(runner: Runner, clock_ms: int, now: float) -> None:
     """Take in the runner's clock from an answer that came at `now`."""
     runner.clock_ms = clock_ms
     runner.clock_at = now
 
 
-def make_lease(runner: Runner, limits: Limits, renewed_at: float, now: float) -> int:
+def grant_lease(runner: Runner, limits: Limits, renewed_at: float, now: float) -> int:
     """Return the time on the runner's clock until which a call grants a lease.
 
     Parameters
@@ -52,6 +52,6 @@
     return round(runner.clock_ms + (elapsed_s + length_s) * 1000)
 
 
-def has_lapsed(runner: Runner, now: float) -> bool:
+def has_lease_expired(runner: Runner, now: float) -> bool:
     """Return whether nothing that was ordered there can still be at work."""
     return now > runner.lease_bound
--- a/plantainyard/dispatch/limits.py
+++ b/plantainyard/dispatch/limits.py
@@ -4,11 +4,11 @@
 
 __all__ = ["Limits", "choose_lease"]
 
-LONGEST_S = 5.0
+MAX_LEASE_S = 5.0
 """Longest lease that an owner asks for, where the platform bounds it no shorter: the
 tasks of a runner that is cut off stay blocked so long."""
 
-SHORTEST_S = 2.8
+MIN_LEASE_S = 2.8
 """Shortest lease that is of use: a second between two renewals, 1.2 s until the group
 misses an owner, 0.3 s until the next one has taken over, and as much again."""
 
@@ -30,21 +30,21 @@
         How much slower a runner's clock may be; the platform says 2 %.
     lease_slack_s : float
         Added to bounds of leases for the time between a lapse and the last kill.
-    hold_wait_s : float
+    report_wait_s : float
         Longest wait of a report for an end; one renewal of the lease each.
-    watch_wait_s : float
+    watched_report_wait_s : float
         The same where a serving task shares its runner with backfilling ones: the
         platform's figures cover half a second, and harm must be seen twice within it.
-    idle_hold_s : float
+    idle_report_interval_s : float
         Time between looks at a runner that runs nothing: a runner that died is found
         before a task is sent there.
-    hold_retry_s : float
+    report_retry_s : float
         Time between attempts at a runner that doesn't answer.
     order_retry_s : float
         Time between repeats of an order that wasn't answered.
-    retry_s : float
+    refusal_pause_s : float
         Pause of a task after a runner refused it.
-    harm_s : float
+    missed_target_s : float
         A serving task may be over its target for so long.
     quarantine_s : float
         Time for which a runner that fails what it starts gets no tasks whose attempts
@@ -55,17 +55,17 @@
         How many times as long a task takes away from its rack.
     """
 
-    lease_s: float = LONGEST_S
+    lease_s: float = MAX_LEASE_S
     longest_lease_s: float = 10.0
     clock_drift: float = 0.025
     lease_slack_s: float = 0.1
-    hold_wait_s: float = 1.0
-    watch_wait_s: float = 0.25
-    idle_hold_s: float = 1.0
-    hold_retry_s: float = 0.25
+    report_wait_s: float = 1.0
+    watched_report_wait_s: float = 0.25
+    idle_report_interval_s: float = 1.0
+    report_retry_s: float = 0.25
     order_retry_s: float = 0.4
-    retry_s: float = 0.2
-    harm_s: float = 4.0
+    refusal_pause_s: float = 0.2
+    missed_target_s: float = 4.0
     quarantine_s: float = 4.0
     quarantine_after: float = 2.0
     remote_factor: float = 1.0
@@ -92,7 +92,7 @@
     stops what is there. Asked for just before the cut, it ends within the bound.
 
     Guards against work that ends with each change of owner: a bound so short that no
-    successor could renew the lease in time isn't followed below `SHORTEST_S`.
+    successor could renew the lease in time isn't followed below `MIN_LEASE_S`.
 
     Examples
     --------
@@ -103,5 +103,5 @@
     >>> choose_lease(10.0, 1.5)
     2.8
     """
-    wanted_s = max(SHORTEST_S, cancelled_s - CANCEL_MARGIN_S)
-    return min(LONGEST_S, longest_lease_s, wanted_s)
+    wanted_s = max(MIN_LEASE_S, cancelled_s - CANCEL_MARGIN_S)
+    return min(MAX_LEASE_S, longest_lease_s, wanted_s)
--- a/plantainyard/dispatch/load.py
+++ b/plantainyard/dispatch/load.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-__all__ = ["EMPTY_LOAD", "SLOT_SIZES", "Load"]
+__all__ = ["NO_RUNNERS_LOAD", "SLOT_SIZES", "Load"]
 
 SLOT_SIZES = (
     *(500, 1_000, 1_500, 2_000, 2_500, 3_000, 3_500, 4_000),
@@ -44,5 +44,5 @@
     ending: int = 0
 
 
-EMPTY_LOAD = Load(1.0, 1.0, 1.0, 1.0, 0)
+NO_RUNNERS_LOAD = Load(1.0, 1.0, 1.0, 1.0, 0)
 """Load of a unit without runners: nobody hands it anything."""
--- a/plantainyard/dispatch/orders.py
+++ b/plantainyard/dispatch/orders.py
@@ -1,10 +1,15 @@
 """Orders to runners: starts, stops and paces, and what is ordered again."""
 
 from plantainyard.dispatch.events import OrderKind, SendOrder
-from plantainyard.dispatch.leases import make_lease
+from plantainyard.dispatch.leases import grant_lease
 from plantainyard.dispatch.model import Phase, Runner, Task
-from plantainyard.dispatch.pacing import FULL, choose_paces, measure_rooms, pace_of
-from plantainyard.dispatch.placing import release_room
+from plantainyard.dispatch.pacing import (
+    FULL_PACE,
+    choose_paces,
+    get_pace,
+    update_headroom,
+)
+from plantainyard.dispatch.placing import release_resources
 from plantainyard.dispatch.state import Dispatcher
 
 __all__ = [
@@ -69,14 +74,14 @@
 def pace_backfill(state: Dispatcher, runner: Runner, now: float) -> None:
     """Choose the paces of the runner's backfilling tasks, and order what changes."""
     over_s = now - runner.harmed_since if runner.harmed_since else 0.0
-    if over_s > state.limits.harm_s * STOP_ALL:
+    if over_s > state.limits.missed_target_s * STOP_ALL:
         images = {t.step.spec.image for t in runner.tasks.values()}
         runner.paces = dict.fromkeys(images, 0)
     else:
-        runner.paces = choose_paces(runner, state.harms)
-    measure_rooms(runner, state.harms)
+        runner.paces = choose_paces(runner, state.interference)
+    update_headroom(runner, state.interference)
     for task in runner.tasks.values():
-        pace = pace_of(runner, task.step.spec.image)
+        pace = get_pace(runner, task.step.spec.image)
         if _needs_pace(task, pace):
             send_pace(state, task, runner, pace, now)
 
@@ -85,7 +90,7 @@
     if task.phase != Phase.RUNNING or not task.step.spec.backfill:
         return False
     least = RISE_STEP if pace > task.pace else PACE_STEP
-    small = abs(task.pace - pace) < least and 0 < pace < FULL
+    small = abs(task.pace - pace) < least and 0 < pace < FULL_PACE
     return task.pace != pace and not small
 
 
@@ -94,7 +99,7 @@
     task.order_out = True
     task.next_order_at = now + state.limits.order_retry_s
     starts = kind == OrderKind.START
-    lease_ms = make_lease(runner, state.limits, state.renewed_at, now) if starts else 0
+    lease_ms = grant_lease(runner, state.limits, state.renewed_at, now) if starts else 0
     task.starts_sent += starts
     order = SendOrder(
         kind,
@@ -138,7 +143,7 @@
     """Let a task wait again: its run is certainly nowhere."""
     runner = state.runners.get(task.life)
     if runner is not None:
-        release_room(runner, task)
+        release_resources(runner, task)
     task.phase = Phase.WAITING
     task.life = ""
     task.settled_at = None
--- a/plantainyard/dispatch/placing.py
+++ b/plantainyard/dispatch/placing.py
@@ -7,54 +7,56 @@
 from collections.abc import Iterable
 
 from plantainyard.batch.values import Step
-from plantainyard.dispatch.harms import Harms
+from plantainyard.dispatch.estimates import InterferenceModel
 from plantainyard.dispatch.model import Phase, Runner, Task
-from plantainyard.dispatch.pacing import SERVING_USE, find_spare
+from plantainyard.dispatch.pacing import SERVING_UTILIZATION, find_spare_load
 
 __all__ = [
     "can_start",
-    "expect_speed",
-    "find_least_speed",
-    "find_reserved_cpu",
-    "count_here",
-    "has_room",
-    "measure_unused",
-    "note_gaps",
-    "release_room",
-    "take_room",
-    "takes_work",
+    "estimate_speed",
+    "find_min_speed",
+    "get_reserved_cpu",
+    "count_step_tasks",
+    "has_capacity",
+    "measure_unused_cpu",
+    "record_free_cpu",
+    "release_resources",
+    "reserve_resources",
+    "accepts_tasks",
 ]
 
-LEAST_SPEED = 0.85
+MIN_SPEED = 0.85
 """Expected share of full speed below which a backfilling task isn't placed while it can
 wait: a slow one holds its memory for long and meets its neighbours' next peak."""
 
-LEAST_SPEED_LATE = 0.6
+MIN_SPEED_LATE = 0.6
 """The same once it has waited for long."""
 
-PATIENCE_S = 3.0
+MIN_SPEED_WAIT_S = 3.0
 """Time for which a backfilling task waits for a runner where it gets on well."""
 
-LONELY_S = 2.0
+UNSTARTED_WAIT_S = 2.0
 """Time after which any place will do for a job of which nothing runs, where less than
 half of the fleet is in use: the platform counts it as forgotten after three seconds."""
 
-LONELY_BUSY_S = 12.0
+UNSTARTED_WAIT_BUSY_S = 12.0
 """The same where more is in use: by then its callers have hardly use for it."""
 
 
-def find_least_speed(task: Task, now: float, idle: bool) -> float:
+def find_min_speed(task: Task, now: float, idle: bool) -> float:
     """Return the share of full speed that a place must promise.
 
     Notes
     -----
     Guards against a job that runs nowhere while most of the fleet is free, since no
-    place promises `LEAST_SPEED_LATE`.
+    place promises `MIN_SPEED_LATE`.
     """
     waited_s = now - task.waiting_since
-    if waited_s > (LONELY_S if idle else LONELY_BUSY_S) and not _is_begun(task):
+    if waited_s > (
+        UNSTARTED_WAIT_S if idle else UNSTARTED_WAIT_BUSY_S
+    ) and not _is_begun(task):
         return 0.0
-    return LEAST_SPEED if waited_s < PATIENCE_S else LEAST_SPEED_LATE
+    return MIN_SPEED if waited_s < MIN_SPEED_WAIT_S else MIN_SPEED_LATE
 
 
 def _is_begun(task: Task) -> bool:
@@ -63,7 +65,9 @@
     return any(other.phase in Phase.OUT for step in steps for other in step.tasks)
 
 
-def expect_speed(spec: Step, runner: Runner, harms: Harms) -> float:
+def estimate_speed(
+    spec: Step, runner: Runner, interference: InterferenceModel
+) -> float:
     """Return the share of full speed that one more backfilling task would get there.
 
     Notes
@@ -74,18 +78,20 @@
     assert runner.entry is not None
     cpu = max(1, runner.entry.capacity.cpu)
     more = max(1, spec.resources.cpu) / cpu
-    unused = max(0.0, measure_unused(runner)) / cpu
-    return min(1.0, unused / more, find_spare(runner, harms, spec.image) / more)
+    unused = max(0.0, measure_unused_cpu(runner)) / cpu
+    return min(
+        1.0, unused / more, find_spare_load(runner, interference, spec.image) / more
+    )
 
 
-def measure_unused(runner: Runner) -> float:
+def measure_unused_cpu(runner: Runner) -> float:
     """Return the processor time that further backfilling work would find unused."""
     assert runner.entry is not None
-    reserved = runner.cpu - (1 - SERVING_USE) * runner.serving_cpu
+    reserved = runner.cpu - (1 - SERVING_UTILIZATION) * runner.serving_cpu
     return runner.entry.capacity.cpu - reserved - runner.backfill_cpu
 
 
-def _is_gap_old(spec: Step, runner: Runner) -> bool:
+def _is_gap_lasting(spec: Step, runner: Runner) -> bool:
     """Return whether room for a long-running task has been free for some time.
 
     Notes
@@ -96,7 +102,7 @@
     return min(runner.recent_free, default=0) >= spec.resources.cpu
 
 
-def takes_work(runner: Runner) -> bool:
+def accepts_tasks(runner: Runner) -> bool:
     """Return whether tasks may start on the runner, for all that it and its entry tell.
 
     Notes
@@ -112,22 +118,22 @@
 def can_start(task: Task, runner: Runner, now: float) -> bool:
     """Return whether a task may start on the runner, if that has room for it."""
     entry = runner.entry
-    if entry is None or not takes_work(runner):
+    if entry is None or not accepts_tasks(runner):
         return False
     if entry.service != task.step.job.submission.service:
         return False
     spec = task.step.spec
-    if spec.long_running and not task.run and not _is_gap_old(spec, runner):
+    if spec.long_running and not task.run and not _is_gap_lasting(spec, runner):
         return False
     if spec.requires and spec.requires not in entry.labels:
         return False
     if not spec.long_running and runner.quarantined_until > now:
         return False
     most = spec.max_per_runner
-    return not most or count_here(task, runner) < most
+    return not most or count_step_tasks(task, runner) < most
 
 
-def count_here(task: Task, runner: Runner) -> int:
+def count_step_tasks(task: Task, runner: Runner) -> int:
     """Return how many tasks of the same step are on the runner.
 
     Notes
@@ -138,7 +144,7 @@
     return sum(1 for key in runner.tasks if key[:3] == step)
 
 
-def find_reserved_cpu(spec: Step) -> int:
+def get_reserved_cpu(spec: Step) -> int:
     """Return the processor time that a task of a step needs for itself.
 
     Notes
@@ -148,33 +154,33 @@
     return 0 if spec.backfill else spec.resources.cpu
 
 
-def has_room(spec: Step, runner: Runner) -> bool:
+def has_capacity(spec: Step, runner: Runner) -> bool:
     """Return whether a task of a step fits into what a runner has left."""
     assert runner.entry is not None
     capacity = runner.entry.capacity
     wanted = spec.resources
     return (
-        runner.cpu + find_reserved_cpu(spec) <= capacity.cpu
+        runner.cpu + get_reserved_cpu(spec) <= capacity.cpu
         and runner.memory + wanted.memory <= capacity.memory
         and runner.gpu + wanted.gpu <= capacity.gpu
     )
 
 
-def note_gaps(runners: Iterable[Runner]) -> None:
+def record_free_cpu(runners: Iterable[Runner]) -> None:
     """Take note of what is free at each runner; called with every tick."""
     for runner in runners:
         if runner.entry is not None:
             runner.recent_free.append(runner.entry.capacity.cpu - runner.cpu)
 
 
-def take_room(runner: Runner, task: Task) -> None:
+def reserve_resources(runner: Runner, task: Task) -> None:
     """Count a task's resources at the runner where its run is or may be."""
     _count_room(runner, task, 1)
     runner.tasks[task.key] = task
 
 
-def release_room(runner: Runner, task: Task) -> None:
-    """Stop counting a task that `take_room` counted."""
+def release_resources(runner: Runner, task: Task) -> None:
+    """Stop counting a task that `reserve_resources` counted."""
     if runner.tasks.pop(task.key, None) is not None:
         _count_room(runner, task, -1)
 
--- a/plantainyard/dispatch/planning.py
+++ b/plantainyard/dispatch/planning.py
@@ -6,10 +6,14 @@
 from plantainyard.batch.values import Resources
 from plantainyard.dispatch.model import Job, Phase, Runner, StepRun, Task
 from plantainyard.dispatch.orders import pace_backfill, send_stop
-from plantainyard.dispatch.placing import find_least_speed, release_room, take_room
-from plantainyard.dispatch.queue import has_waiting, order_steps
+from plantainyard.dispatch.placing import (
+    find_min_speed,
+    release_resources,
+    reserve_resources,
+)
+from plantainyard.dispatch.queue import has_waiting_tasks, order_steps
 from plantainyard.dispatch.ranking import (
-    Ranked,
+    RankedPlaces,
     choose_place,
     choose_runner,
     rank_places,
@@ -23,24 +27,24 @@
 SLOW_PACE = 30
 """Share of full speed below which a task is better off elsewhere."""
 
-SLOW_S = 0.8
+SLOW_PERIOD_S = 0.8
 """Time at such a pace after which it moves; a swing of load is often over sooner."""
 
-SAVED_PERCENT = 40
+MAX_LOST_PERCENT = 40
 """Progress up to which a task without checkpoints is moved: it starts anew."""
 
 STALL_S = 2.0
 """Time without progress after which a task counts as standing still; one that takes a
 minute moves by a percent in 0.6 s."""
 
-HALF = 0.55
+IDLE_FLEET_SHARE = 0.55
 """Part of the processors that is reserved below which the fleet counts as idle: half,
 and what the measure may be behind."""
 
-MOST_MOVES = 8
+MAX_MOVES = 8
 """Tasks moved at a time: each changes what is expected of its new place."""
 
-MOST_STARTS = 200
+MAX_STARTS = 200
 """Tasks assigned with one commit: bounds its size and the time until the first of
 them starts."""
 
@@ -82,7 +86,7 @@
     state.search_all = False
     unplaced: _Unplaced = {}
     for step in order_steps(ready, now):
-        if len(state.assigned) >= MOST_STARTS:
+        if len(state.assigned) >= MAX_STARTS:
             # What wasn't looked at must not be taken for what found no place.
             state.search_all = True
             return
@@ -115,12 +119,15 @@
         for task in runner.tasks.values()
         if task.phase == Phase.RUNNING and _should_move(runner, task, now)
     ]
-    for runner, task in moving[:MOST_MOVES]:
+    for runner, task in moving[:MAX_MOVES]:
         if _is_stalled(task, now):
             _blame_for_stall(state, runner, task, now)
         others = [other for other in runners if other is not runner]
         task.waiting_since = now
-        if choose_runner(task, others, state.limits, state.harms, now) is not None:
+        if (
+            choose_runner(task, others, state.limits, state.interference, now)
+            is not None
+        ):
             send_stop(state, task, now)
 
 
@@ -131,9 +138,9 @@
 
 
 def _is_stuck(task: Task, now: float) -> bool:
-    cheap = task.step.spec.saves_progress or task.percent < SAVED_PERCENT
+    cheap = task.step.spec.saves_progress or task.percent < MAX_LOST_PERCENT
     slow = task.step.spec.backfill and task.pace < SLOW_PACE
-    return slow and cheap and now - task.slowed_at > SLOW_S
+    return slow and cheap and now - task.slowed_at > SLOW_PERIOD_S
 
 
 def _must_leave(runner: Runner, task: Task, now: float) -> bool:
@@ -170,7 +177,7 @@
         for step in job.steps.values()
         if step.done < len(step.tasks)
         and all(_is_done(job, step.occurrence, n) for n in step.spec.after)
-        and has_waiting(step)
+        and has_waiting_tasks(step)
     ]
 
 
@@ -189,7 +196,7 @@
 ) -> None:
     """Place what waits of a step; `again` where some runners only are looked at."""
     allowed = _narrow_to_rack(step, runners)
-    ranked: dict[bool, Ranked] = {}
+    ranked: dict[bool, RankedPlaces] = {}
     assigned: list[Runner] = []
     for task in _begin_waiting(step, now):
         kind = _find_kind(state, task, now)
@@ -198,11 +205,11 @@
             return
         has_run = task.run > 0
         if has_run not in ranked:
-            ranked[has_run] = rank_places(task, allowed, state.harms, now)
+            ranked[has_run] = rank_places(task, allowed, state.interference, now)
         places = ranked[has_run]
-        refresh_places(places, task, assigned, state.harms, now)
+        refresh_places(places, task, assigned, state.interference, now)
         idle = _is_idle(state)
-        runner = choose_place(task, places, state.limits, state.harms, now, idle)
+        runner = choose_place(task, places, state.limits, state.interference, now, idle)
         if runner is None:
             if allowed is runners and not again and not step.spec.max_per_runner:
                 unplaced.setdefault(kind, []).append(step.spec.resources)
@@ -222,7 +229,7 @@
 
 def _find_kind(state: Dispatcher, task: Task, now: float) -> _Kind:
     spec = task.step.spec
-    least = find_least_speed(task, now, _is_idle(state)) if spec.backfill else 0.0
+    least = find_min_speed(task, now, _is_idle(state)) if spec.backfill else 0.0
     return _Kind(
         task.step.job.submission.service,
         spec.image if spec.backfill else "",
@@ -268,11 +275,11 @@
     state: Dispatcher, task: Task, runners: list[Runner], now: float
 ) -> Runner | None:
     idle = _is_idle(state)
-    return choose_runner(task, runners, state.limits, state.harms, now, idle)
+    return choose_runner(task, runners, state.limits, state.interference, now, idle)
 
 
 def _is_idle(state: Dispatcher) -> bool:
-    return state.load.reserved < HALF
+    return state.load.reserved < IDLE_FLEET_SHARE
 
 
 def _place_gang(
@@ -300,10 +307,10 @@
         runner = _choose(state, task, runners, now)
         if runner is None:
             break
-        take_room(runner, task)
+        reserve_resources(runner, task)
         placed.append((task, runner))
     for task, runner in placed:
-        release_room(runner, task)
+        release_resources(runner, task)
     return placed if len(placed) == len(step.tasks) else []
 
 
@@ -339,7 +346,7 @@
     task.waiting_since = 0.0
     task.step.waits_for = ""
     task.step.searched = False
-    take_room(runner, task)
+    reserve_resources(runner, task)
     if task.step.spec.backfill or task.step.spec.target_ms:
         # What is there already is slowed before the newcomer adds to the harm.
         pace_backfill(state, runner, now)
--- a/plantainyard/dispatch/queue.py
+++ b/plantainyard/dispatch/queue.py
@@ -11,17 +11,17 @@
 from plantainyard.dispatch.model import Job, Phase, StepRun
 
 __all__ = [
-    "find_allowed_s",
-    "find_chains_ms",
+    "find_allowed_time_s",
+    "find_critical_paths_ms",
     "find_deadline",
-    "has_waiting",
-    "measure_work",
+    "has_waiting_tasks",
+    "measure_remaining_work",
     "order_steps",
     "set_deadlines",
 ]
 
 
-OPTIMISM = 0.7
+CERTAIN_SHARE = 0.7
 """Part of the estimated remaining time that is taken for certain when a job is judged
 to be late: estimates are off by half in either direction."""
 
@@ -85,14 +85,14 @@
         _find_turn(step, delay),
         delay,
         job.submission.priority,
-        0.0 if delay == _Delay.OF_NO_USE else measure_work(job),
+        0.0 if delay == _Delay.OF_NO_USE else measure_remaining_work(job),
         job.deadline,
     )
 
 
 def _find_delay(step: StepRun, now: float) -> int:
     job = step.job
-    ends_at = now + OPTIMISM * job.left_ms[step.number] / 1000
+    ends_at = now + CERTAIN_SHARE * job.left_ms[step.number] / 1000
     if ends_at <= job.deadline:
         return _Delay.NONE
     return _Delay.LATE if ends_at <= job.useless_at else _Delay.OF_NO_USE
@@ -108,7 +108,7 @@
     return _Turn.COUNTED_LATE if delay else _Turn.COUNTED_IN_TIME
 
 
-def measure_work(job: Job) -> float:
+def measure_remaining_work(job: Job) -> float:
     """Return the estimated work that is left of a job's open steps, in core-seconds."""
     return sum(
         (len(step.tasks) - step.done)
@@ -119,13 +119,14 @@
     )
 
 
-def find_chains_ms(steps: tuple[Step, ...]) -> tuple[float, ...]:
+def find_critical_paths_ms(steps: tuple[Step, ...]) -> tuple[float, ...]:
     """Return, for each step, the estimated time from its start to the job's end in ms.
 
     Examples
     --------
     >>> from plantainyard.batch.values import Step
-    >>> find_chains_ms((Step(1, estimate_ms=5), Step(1, estimate_ms=7, after=(0,))))
+    >>> steps = Step(1, estimate_ms=5), Step(1, estimate_ms=7, after=(0,))
+    >>> find_critical_paths_ms(steps)
     (12, 7)
     """
     chains: dict[int, float] = {}
@@ -159,12 +160,12 @@
     factor : float
         Multiple of the objective.
     """
-    return accepted + factor * find_allowed_s(submission)
+    return accepted + factor * find_allowed_time_s(submission)
 
 
-def find_allowed_s(submission: Submission) -> float:
+def find_allowed_time_s(submission: Submission) -> float:
     """Return the time that a job may take by its own estimates, in seconds."""
-    chain_ms = max(find_chains_ms(submission.steps))
+    chain_ms = max(find_critical_paths_ms(submission.steps))
     allowed_ms = submission.stretch * chain_ms + submission.target_latency_ms
     return allowed_ms / 1000
 
@@ -175,6 +176,6 @@
     job.useless_at = find_deadline(job.submission, accepted, LATE_FACTOR)
 
 
-def has_waiting(step: StepRun) -> bool:
+def has_waiting_tasks(step: StepRun) -> bool:
     """Return whether a task of the step waits for a runner."""
     return any(task.phase == Phase.WAITING for task in step.tasks)
--- a/plantainyard/dispatch/ranking.py
+++ b/plantainyard/dispatch/ranking.py
@@ -9,22 +9,22 @@
 from dataclasses import dataclass
 
 from plantainyard.batch.values import Step
-from plantainyard.dispatch.harms import Harms
+from plantainyard.dispatch.estimates import InterferenceModel
 from plantainyard.dispatch.limits import Limits
 from plantainyard.dispatch.model import Runner, Task
 from plantainyard.dispatch.placing import (
     can_start,
-    count_here,
-    expect_speed,
-    find_least_speed,
-    has_room,
-    measure_unused,
+    count_step_tasks,
+    estimate_speed,
+    find_min_speed,
+    has_capacity,
+    measure_unused_cpu,
 )
-from plantainyard.dispatch.weights import find_weight, list_images
+from plantainyard.dispatch.weights import find_weight, list_known_images
 
 __all__ = [
     "Place",
-    "Ranked",
+    "RankedPlaces",
     "choose_place",
     "choose_runner",
     "rank_places",
@@ -38,7 +38,7 @@
 SPEED_GAIN = 100.0
 """Weight of full speed against a stop."""
 
-EMPTY_GAIN = 20.0
+UNUSED_CPU_GAIN = 20.0
 """Weight of a runner whose processors are all unused against one where none are."""
 
 SAME_IMAGE_BONUS = 100.0
@@ -53,16 +53,16 @@
 OTHER_IMAGE_COST = 200.0
 """Weight of each other serving image on the runner."""
 
-FREEDOM_COST = 40.0
+TOLERANCE_COST = 40.0
 """Weight of a runner where all backfilling images are harmless against one where none
 is: work that many runners can take leaves the tolerant ones to work that can't go
 elsewhere."""
 
-HARMLESS = 0.7
+HARMLESS_WEIGHT = 0.7
 """Weight of a pair below which it counts as harmless: a task of a tenth of the runner
 stretches the serving tasks' work by 7 %."""
 
-BAD_COST = 50.0
+FAILURE_COST = 50.0
 """Weight of a failure: a runner that failed something lately is a worse bet than a
 fuller one."""
 
@@ -87,7 +87,7 @@
 
 
 @dataclass(slots=True)
-class Ranked:
+class RankedPlaces:
     """The runners where the tasks of a step may start.
 
     Attributes
@@ -106,7 +106,7 @@
     task: Task,
     runners: Iterable[Runner],
     limits: Limits,
-    harms: Harms,
+    interference: InterferenceModel,
     now: float,
     idle: bool = False,
 ) -> Runner | None:
@@ -120,20 +120,20 @@
         Runners of the job's service.
     limits : Limits
         For the cost of being away from the data.
-    harms : Harms
+    interference : InterferenceModel
         What is learnt of interference.
     now : float
         The dispatcher's clock.
     idle : bool
         Less than half of the fleet's processors are reserved.
     """
-    ranked = rank_places(task, runners, harms, now)
-    return choose_place(task, ranked, limits, harms, now, idle)
+    ranked = rank_places(task, runners, interference, now)
+    return choose_place(task, ranked, limits, interference, now, idle)
 
 
 def rank_places(
-    task: Task, runners: Iterable[Runner], harms: Harms, now: float
-) -> Ranked:
+    task: Task, runners: Iterable[Runner], interference: InterferenceModel, now: float
+) -> RankedPlaces:
     """Return the runners where a task may start.
 
     Notes
@@ -142,16 +142,22 @@
     that have run before, or for all that haven't, until something is assigned to a
     runner; `refresh_places` then looks at that one only.
     """
-    found = ((runner, _find_place(task, runner, harms, now)) for runner in runners)
-    return Ranked({runner.life: place for runner, place in found if place})
+    found = (
+        (runner, _find_place(task, runner, interference, now)) for runner in runners
+    )
+    return RankedPlaces({runner.life: place for runner, place in found if place})
 
 
 def refresh_places(
-    ranked: Ranked, task: Task, assigned: list[Runner], harms: Harms, now: float
+    ranked: RankedPlaces,
+    task: Task,
+    assigned: list[Runner],
+    interference: InterferenceModel,
+    now: float,
 ) -> None:
     """Look again at the runners to which something was assigned since the last look."""
     for runner in assigned[ranked.seen :]:
-        place = _find_place(task, runner, harms, now)
+        place = _find_place(task, runner, interference, now)
         if place is None:
             ranked.places.pop(runner.life, None)
         else:
@@ -159,15 +165,24 @@
     ranked.seen = len(assigned)
 
 
-def _find_place(task: Task, runner: Runner, harms: Harms, now: float) -> Place | None:
+def _find_place(
+    task: Task, runner: Runner, interference: InterferenceModel, now: float
+) -> Place | None:
     spec = task.step.spec
-    if not can_start(task, runner, now) or not has_room(spec, runner):
+    if not can_start(task, runner, now) or not has_capacity(spec, runner):
         return None
-    return Place(runner, expect_speed(spec, runner, harms) if spec.backfill else 1.0)
+    return Place(
+        runner, estimate_speed(spec, runner, interference) if spec.backfill else 1.0
+    )
 
 
 def choose_place(
-    task: Task, ranked: Ranked, limits: Limits, harms: Harms, now: float, idle: bool
+    task: Task,
+    ranked: RankedPlaces,
+    limits: Limits,
+    interference: InterferenceModel,
+    now: float,
+    idle: bool,
 ) -> Runner | None:
     """Return the best place of a task, or None where it had better wait.
 
@@ -182,11 +197,11 @@
         fresh = [p for p in usable if not _is_avoided(task, p.runner)]
         usable = fresh or usable
     if task.step.spec.backfill:
-        least = find_least_speed(task, now, idle)
+        least = find_min_speed(task, now, idle)
         usable = [place for place in usable if place.speed >= least]
     for place in usable:
         if place.score is None:
-            place.score = _score_place(task, place, limits, harms)
+            place.score = _score_place(task, place, limits, interference)
     best = max(usable, key=_get_score, default=None)
     return None if best is None else best.runner
 
@@ -200,9 +215,11 @@
     return place.score
 
 
-def _score_place(task: Task, place: Place, limits: Limits, harms: Harms) -> float:
+def _score_place(
+    task: Task, place: Place, limits: Limits, interference: InterferenceModel
+) -> float:
     if task.step.spec.backfill:
-        return _score_backfill(task, place.runner, limits, harms, place.speed)
+        return _score_backfill(task, place.runner, limits, interference, place.speed)
     return _score(task, place.runner, limits)
 
 
@@ -218,13 +235,17 @@
 
 
 def _score_backfill(
-    task: Task, runner: Runner, limits: Limits, harms: Harms, speed: float
+    task: Task,
+    runner: Runner,
+    limits: Limits,
+    interference: InterferenceModel,
+    speed: float,
 ) -> float:
     assert runner.entry is not None
     score = _score_runner(task.step.spec, runner, limits)
     score += SPEED_GAIN * speed
-    score += measure_unused(runner) / runner.entry.capacity.cpu * EMPTY_GAIN
-    return score - FREEDOM_COST * _measure_freedom(runner, harms)
+    score += measure_unused_cpu(runner) / runner.entry.capacity.cpu * UNUSED_CPU_GAIN
+    return score - TOLERANCE_COST * _measure_freedom(runner, interference)
 
 
 def _score_runner(spec: Step, runner: Runner, limits: Limits) -> float:
@@ -232,16 +253,19 @@
     assert runner.entry is not None
     near = runner.entry.rack == spec.preferred_rack and spec.preferred_rack != ""
     score = RACK_BONUS if near and limits.remote_factor > 1 else 0.0
-    return score - BAD_COST * runner.bad
+    return score - FAILURE_COST * runner.bad
 
 
-def _measure_freedom(runner: Runner, harms: Harms) -> float:
+def _measure_freedom(runner: Runner, interference: InterferenceModel) -> float:
     """Return the share of known backfilling images that do no harm on the runner."""
-    images = list_images(harms)
+    images = list_known_images(interference)
     if not images:
         return 0.0
     harmless = sum(
-        all(find_weight(harms, serving, image) < HARMLESS for serving in runner.rooms)
+        all(
+            find_weight(interference, serving, image) < HARMLESS_WEIGHT
+            for serving in runner.rooms
+        )
         for image in images
     )
     return harmless / len(images)
@@ -251,5 +275,5 @@
     image = task.step.spec.image
     images = {t.step.spec.image for t in runner.tasks.values() if t.step.spec.target_ms}
     same = SAME_IMAGE_BONUS if images == {image} else 0.0
-    same += SAME_JOB_BONUS if count_here(task, runner) else 0.0
+    same += SAME_JOB_BONUS if count_step_tasks(task, runner) else 0.0
     return same - OTHER_IMAGE_COST * len(images - {image})
--- a/plantainyard/dispatch/reports.py
+++ b/plantainyard/dispatch/reports.py
@@ -9,11 +9,11 @@
     SendHold,
     SendOrder,
 )
-from plantainyard.dispatch.interference import learn
-from plantainyard.dispatch.leases import has_lapsed, make_lease, note_clock
+from plantainyard.dispatch.interference import learn_from_sample
+from plantainyard.dispatch.leases import grant_lease, has_lease_expired, record_clock
 from plantainyard.dispatch.model import Phase, Runner
-from plantainyard.dispatch.pacing import has_backfill, has_targets
-from plantainyard.dispatch.placing import release_room, take_room
+from plantainyard.dispatch.pacing import has_backfill_tasks, has_serving_tasks
+from plantainyard.dispatch.placing import release_resources, reserve_resources
 from plantainyard.dispatch.samples import read_sample
 from plantainyard.dispatch.state import Dispatcher
 from plantainyard.platform.entries import RunnerEntry
@@ -79,10 +79,10 @@
         if ended or task.phase == Phase.STORING:
             runs.free_task(state, task)
             continue
-        release_room(old, task)
+        release_resources(old, task)
         task.settled_at = None
         task.life = new.life
-        take_room(new, task)
+        reserve_resources(new, task)
         orders.send_stop(state, task, now)
     new.lease_bound = max(new.lease_bound, old.lease_bound)
     del state.runners[old.life]
@@ -98,10 +98,10 @@
     if held.born_ms is not None and held.born_ms != runner.entry.born_ms:
         _take_other_life(state, runner, now)
         return
-    note_clock(runner, held.clock_ms, now)
+    record_clock(runner, held.clock_ms, now)
     runner.answering = True
     runner.misses = 0
-    runner.hold_at = now + state.limits.idle_hold_s
+    runner.hold_at = now + state.limits.idle_report_interval_s
     _take_ends(state, runner, held, now)
     present = {
         row.task
@@ -172,7 +172,7 @@
     """
     runner.seen = runner.stored_seen = 0
     runner.answering = False
-    runner.hold_at = now + state.limits.hold_retry_s
+    runner.hold_at = now + state.limits.report_retry_s
 
 
 def take_silence(state: Dispatcher, event: HoldFailed, now: float) -> None:
@@ -192,14 +192,14 @@
     if runner.misses < SILENT_AFTER and not event.other_life:
         return
     runner.answering = False
-    runner.hold_at = now + state.limits.hold_retry_s
+    runner.hold_at = now + state.limits.report_retry_s
 
 
 def expire_leases(state: Dispatcher, now: float) -> None:
     """Free the tasks of silent runners whose leases have lapsed; forget dead lives."""
     for runner in list(state.runners.values()):
         silent = runner.entry is None or not runner.answering
-        if silent and has_lapsed(runner, now):
+        if silent and has_lease_expired(runner, now):
             for task in list(runner.tasks.values()):
                 if task.phase != Phase.STORING:
                     runs.free_task(state, task)
@@ -220,9 +220,9 @@
             if now >= runner.hold_at:
                 _ask(state, runner, now, 0.0, renew=False)
         elif runner.seen == runner.stored_seen:
-            watched = has_targets(runner) and has_backfill(runner)
+            watched = has_serving_tasks(runner) and has_backfill_tasks(runner)
             limits = state.limits
-            wait_s = limits.watch_wait_s if watched else limits.hold_wait_s
+            wait_s = limits.watched_report_wait_s if watched else limits.report_wait_s
             wait_s = 0.0 if runner.misses else wait_s
             _ask(state, runner, now, wait_s, renew=True)
         elif now >= runner.hold_at:
@@ -235,19 +235,19 @@
 ) -> None:
     assert runner.entry is not None
     runner.hold_out = True
-    until_ms = make_lease(runner, state.limits, state.renewed_at, now) if renew else 0
+    until_ms = grant_lease(runner, state.limits, state.renewed_at, now) if renew else 0
     state.actions.append(SendHold(runner.entry, runner.stored_seen, until_ms, wait_s))
 
 
 def _adjust_pace(state: Dispatcher, runner: Runner, held: Held, now: float) -> None:
     """Learn from the report, and slow what harms the runner's serving tasks."""
-    if not has_targets(runner):
+    if not has_serving_tasks(runner):
         runner.bases = {}
         runner.harmed_since = 0.0
-    elif now - runner.paced_at >= state.limits.watch_wait_s * 0.8:
+    elif now - runner.paced_at >= state.limits.watched_report_wait_s * 0.8:
         runner.paced_at = now
         sample = read_sample(runner, held.running)
-        runner.bases = learn(state.harms, sample, now)
+        runner.bases = learn_from_sample(state.interference, sample, now)
         _note_harm(runner, max((t.value for t in sample.tails), default=0.0), now)
     orders.pace_backfill(state, runner, now)
 
--- a/plantainyard/dispatch/restoring.py
+++ b/plantainyard/dispatch/restoring.py
@@ -18,7 +18,7 @@
     open_occurrence,
 )
 from plantainyard.dispatch.model import Phase, Runner, StepRun, Task
-from plantainyard.dispatch.placing import take_room
+from plantainyard.dispatch.placing import reserve_resources
 from plantainyard.dispatch.queue import set_deadlines
 from plantainyard.dispatch.state import Dispatcher
 
@@ -136,4 +136,4 @@
         runner.lease_bound = now + granted + limits.lease_slack_s
         state.runners[life] = runner
         state.lives[life.partition("@")[0]] = life
-    take_room(runner, task)
+    reserve_resources(runner, task)
--- a/plantainyard/dispatch/runs.py
+++ b/plantainyard/dispatch/runs.py
@@ -2,13 +2,13 @@
 
 from plantainyard.dispatch import jobs
 from plantainyard.dispatch.events import Begun, OrderAnswered, OrderKind
-from plantainyard.dispatch.leases import note_clock
+from plantainyard.dispatch.leases import record_clock
 from plantainyard.dispatch.model import Phase, Runner, StepRun, Task
 from plantainyard.dispatch.orders import release_task, send_pace, send_stop
-from plantainyard.dispatch.pacing import pace_of
-from plantainyard.dispatch.placing import release_room
+from plantainyard.dispatch.pacing import get_pace
+from plantainyard.dispatch.placing import release_resources
 from plantainyard.dispatch.state import Dispatcher, mark_dirty
-from plantainyard.dispatch.timing import note_lost
+from plantainyard.dispatch.timing import count_lost_run
 from plantainyard.platform.runners import OrderOutcome
 
 __all__ = ["end_run", "free_task", "note_begun", "take_answer"]
@@ -33,7 +33,7 @@
     if runner is None:
         return
     if event.result.clock_ms is not None:
-        note_clock(runner, event.result.clock_ms, now)
+        record_clock(runner, event.result.clock_ms, now)
     task = runner.tasks.get(event.task)
     if task is None or task.run != event.run or task.life != event.life:
         return
@@ -78,8 +78,8 @@
             task.phase = Phase.RUNNING
             task.moved_at = now
             spec = task.step.spec
-            if spec.backfill and pace_of(runner, spec.image) < task.pace:
-                send_pace(state, task, runner, pace_of(runner, spec.image), now)
+            if spec.backfill and get_pace(runner, spec.image) < task.pace:
+                send_pace(state, task, runner, get_pace(runner, spec.image), now)
         return
     if outcome == OrderOutcome.OLD:
         # The run has ended there or was stopped: the next report tells.
@@ -90,7 +90,7 @@
         if outcome == OrderOutcome.REFUSED and entry is not None:
             task.avoided.add(entry.runner)
             runner.bad += 0.5
-        task.not_before = now + state.limits.retry_s
+        task.not_before = now + state.limits.refusal_pause_s
         _settle_refusal(state, task, now)
 
 
@@ -122,7 +122,7 @@
     note_begun(state, task.step, now)
     if checkpoint:
         task.checkpoint = checkpoint
-    release_room(runner, task)
+    release_resources(runner, task)
     job = task.step.job
     lasting = task.step.spec.long_running
     if how == "done" and not lasting and not job.cancelled and not job.ended:
@@ -131,7 +131,7 @@
         jobs.finish_task(state, task)
         return
     if how != "done":
-        note_lost(job, how)
+        count_lost_run(job, how)
     if how == "failed":
         _note_failure(state, task, runner, now)
     free_task(state, task)
--- a/plantainyard/dispatch/samples.py
+++ b/plantainyard/dispatch/samples.py
@@ -13,30 +13,30 @@
 from plantainyard.platform.runners import HeldRun
 
 __all__ = [
-    "QUIET_PART",
+    "QUIET_WEIGHT",
     "SMOOTHING_S",
     "Sample",
     "Tail",
     "is_steady",
     "read_sample",
-    "sharpen_tail",
+    "undo_smoothing",
 ]
 
-QUIET_USE = 0.85
+QUIET_UTILIZATION = 0.85
 """Part of the processor time that a backfilling task may use at its pace, below which
 it is in a quiet phase: such phases last seconds and use 0.68 of it."""
 
-QUIET_PART = 0.25
+QUIET_WEIGHT = 0.25
 """Part of its usual weight that a task has in a quiet phase."""
 
-STEADY = 0.02
+STEADY_TOLERANCE = 0.02
 """Change of a load from one report to the next up to which it is steady."""
 
 SMOOTHING_S = 0.42
 """Time over which runners smooth the tails that they report: after a stop of what
 harmed, a tail falls by 40 to 50 % in 0.28 s."""
 
-JUMP = 0.15
+DESMOOTHING_THRESHOLD = 0.15
 """Change of a tail between two reports from which the smoothing is undone; a smaller
 one would only be made noisier."""
 
@@ -97,22 +97,23 @@
     its tasks were in quiet phases, and is let go just before they end.
     """
     pace = min(task.pace, task.pace_before) / 100
-    busy = used >= QUIET_USE * pace * task.step.spec.resources.cpu
-    return used if busy else QUIET_PART * used
+    busy = used >= QUIET_UTILIZATION * pace * task.step.spec.resources.cpu
+    return used if busy else QUIET_WEIGHT * used
 
 
 def is_steady(before: Sample, sample: Sample) -> bool:
     """Return whether the same loads work beside the tasks as at the last report."""
     images = before.loads.keys() | sample.loads.keys()
     return all(
-        abs(before.loads.get(image, 0.0) - sample.loads.get(image, 0.0)) < STEADY
+        abs(before.loads.get(image, 0.0) - sample.loads.get(image, 0.0))
+        < STEADY_TOLERANCE
         for image in images
     )
 
 
-def sharpen_tail(value: float, before: float, elapsed_s: float) -> float:
+def undo_smoothing(value: float, before: float, elapsed_s: float) -> float:
     """Return a tail as it was at the end of the time over which it was smoothed."""
-    if elapsed_s <= 0 or abs(value - before) < JUMP * value:
+    if elapsed_s <= 0 or abs(value - before) < DESMOOTHING_THRESHOLD * value:
         return value
     kept = math.exp(-elapsed_s / SMOOTHING_S)
     return max(value / 4, (value - kept * before) / (1 - kept))
--- a/plantainyard/dispatch/state.py
+++ b/plantainyard/dispatch/state.py
@@ -5,10 +5,10 @@
 from typing import NamedTuple
 
 from plantainyard.batch.values import Submission
+from plantainyard.dispatch.estimates import InterferenceModel
 from plantainyard.dispatch.events import Action
-from plantainyard.dispatch.harms import Harms
 from plantainyard.dispatch.limits import Limits
-from plantainyard.dispatch.load import EMPTY_LOAD, Load
+from plantainyard.dispatch.load import NO_RUNNERS_LOAD, Load
 from plantainyard.dispatch.model import Job, Runner, StepRun, Task
 
 __all__ = [
@@ -80,11 +80,11 @@
         When this owner took over.
     renewed_at : float
         When the last renewal of the ownership that succeeded was sent.
-    harms : Harms
+    interference : InterferenceModel
         What is learnt of interference.
-    harms_stored_at : float
+    interference_stored_at : float
         When that was last put into a commit.
-    harms_forgotten_at : float
+    interference_expired_at : float
         When it was last looked for pairs that weren't seen.
     load, load_at : Load, float
         How full the unit is, and when that was measured.
@@ -137,10 +137,10 @@
     actions: list[Action] = field(default_factory=list)
     began_at: float = 0.0
     renewed_at: float = 0.0
-    harms: Harms = field(default_factory=Harms)
-    harms_stored_at: float = 0.0
-    harms_forgotten_at: float = 0.0
-    load: Load = EMPTY_LOAD
+    interference: InterferenceModel = field(default_factory=InterferenceModel)
+    interference_stored_at: float = 0.0
+    interference_expired_at: float = 0.0
+    load: Load = NO_RUNNERS_LOAD
     load_at: float = 0.0
     lasting_room: int = 0
     loads: dict[int, Load] = field(default_factory=dict)
--- a/plantainyard/dispatch/tests/test_handover.py
+++ b/plantainyard/dispatch/tests/test_handover.py
@@ -9,7 +9,7 @@
 from plantainyard.dispatch import Load, LoadsTold
 from plantainyard.dispatch.forwarding import READ_S
 from plantainyard.dispatch.handover import measure_load
-from plantainyard.dispatch.load import EMPTY_LOAD
+from plantainyard.dispatch.load import NO_RUNNERS_LOAD
 from plantainyard.dispatch.tests.world import World, make_step
 from plantainyard.platform.store import Record
 from standins.platform import RunnerState
@@ -405,9 +405,9 @@
     # told all; counted as room, it draws jobs from other units that then wait.
     world = World(runners=1)
     (runner,) = world.state.runners.values()
-    assert measure_load(world.state) != EMPTY_LOAD
+    assert measure_load(world.state) != NO_RUNNERS_LOAD
     runner.known = False
-    assert measure_load(world.state) == EMPTY_LOAD
+    assert measure_load(world.state) == NO_RUNNERS_LOAD
 
 
 def test_tasks_that_go_one_by_one_stop_going_once_loads_are_even():
--- a/plantainyard/dispatch/tests/test_pacing.py
+++ b/plantainyard/dispatch/tests/test_pacing.py
@@ -6,15 +6,15 @@
 from plantainyard.batch.tasks import TaskKey
 from plantainyard.batch.values import Resources, Step, Submission
 from plantainyard.dispatch import orders
-from plantainyard.dispatch.harms import Harms, Track
-from plantainyard.dispatch.interference import learn
+from plantainyard.dispatch.estimates import InterferenceModel, Trend
+from plantainyard.dispatch.interference import learn_from_sample
 from plantainyard.dispatch.limits import Limits
 from plantainyard.dispatch.model import Job, Phase, Runner, StepRun, Task
 from plantainyard.dispatch.orders import pace_backfill
-from plantainyard.dispatch.pacing import choose_paces, measure_rooms, pace_of
-from plantainyard.dispatch.placing import take_room
+from plantainyard.dispatch.pacing import choose_paces, get_pace, update_headroom
+from plantainyard.dispatch.placing import reserve_resources
 from plantainyard.dispatch.ranking import choose_runner
-from plantainyard.dispatch.samples import QUIET_PART, SMOOTHING_S, read_sample
+from plantainyard.dispatch.samples import QUIET_WEIGHT, SMOOTHING_S, read_sample
 from plantainyard.dispatch.state import Dispatcher
 from plantainyard.dispatch.tests.test_interference import TRUE, find_tail, swing
 from plantainyard.dispatch.weights import find_weight
@@ -47,7 +47,7 @@
     job = Job(Submission(job_id, "q", "tollgate", "", (spec,)), 0.0, (0.0,))
     task = Task(TaskKey(job_id, 0, 0, next(_numbers)), StepRun(job, 0, 0, spec))
     task.phase = Phase.RUNNING
-    take_room(runner, task)
+    reserve_resources(runner, task)
     return task
 
 
@@ -70,7 +70,7 @@
 def report(runner: Runner, now: float) -> list[HeldRun]:
     """Return what the runner says after half a second at its paces of now."""
     loads = {
-        task.key: 7_000 * pace_of(runner, task.step.spec.image) / 100
+        task.key: 7_000 * get_pace(runner, task.step.spec.image) / 100
         for task in runner.tasks.values()
         if task.step.spec.backfill
     }
@@ -84,23 +84,23 @@
     ]
 
 
-def apply_paces(runner: Runner, harms: Harms) -> None:
+def apply_paces(runner: Runner, interference: InterferenceModel) -> None:
     """Choose paces and have them in force at once."""
-    runner.paces = choose_paces(runner, harms)
+    runner.paces = choose_paces(runner, interference)
     for task in runner.tasks.values():
         task.pace_before = task.pace
-        task.pace = pace_of(runner, task.step.spec.image)
+        task.pace = get_pace(runner, task.step.spec.image)
 
 
 def play(images: list[str]) -> tuple[float, float]:
     """Return the part of reports over the target, and the work done, of most."""
-    harms = Harms()
+    interference = InterferenceModel()
     full, other = make_runner("r0@1"), make_runner("r1@1")
     put(full, serving(), "web")
     put(other, serving(), "web")
     for image in images:
         put(full, filling(image))
-    apply_paces(full, harms)
+    apply_paces(full, interference)
     missed, done, reports = 0, 0.0, 240
     for number in range(reports):
         now = number * 0.25
@@ -108,10 +108,10 @@
             rows = report(runner, now)
             sample = read_sample(runner, rows)
             missed += any(tail.value > 1.0 for tail in sample.tails)
-            runner.bases = learn(harms, sample, now)
-        paces = [pace_of(full, image) / 100 for image in images]
+            runner.bases = learn_from_sample(interference, sample, now)
+        paces = [get_pace(full, image) / 100 for image in images]
         done += sum(paces) / len(paces)
-        apply_paces(full, harms)
+        apply_paces(full, interference)
     return missed / reports, done / reports
 
 
@@ -131,7 +131,7 @@
 
 
 def test_what_harms_most_is_slowed_first():
-    harms = Harms()
+    interference = InterferenceModel()
     runner, other = make_runner("r0@1"), make_runner("r1@1")
     put(runner, serving(), "web")
     put(other, serving(), "web")
@@ -139,60 +139,60 @@
         put(runner, filling(image))
     for number in range(60):
         now = number * 0.25
-        learn(harms, read_sample(other, report(other, now)), now)
+        learn_from_sample(interference, read_sample(other, report(other, now)), now)
         sample = read_sample(runner, report(runner, now))
-        runner.bases = learn(harms, sample, now)
-        apply_paces(runner, harms)
+        runner.bases = learn_from_sample(interference, sample, now)
+        apply_paces(runner, interference)
     runner.bases = {"web": 1.6}
-    harms.tracks.clear()
+    interference.tracks.clear()
     for _ in range(3):
-        apply_paces(runner, harms)
-    assert pace_of(runner, "heavy") < 40
-    assert pace_of(runner, "light") == 100
+        apply_paces(runner, interference)
+    assert get_pace(runner, "heavy") < 40
+    assert get_pace(runner, "light") == 100
 
 
 def test_work_goes_where_it_gets_on():
     # A harmful image finds one runner with a serving task at its peak and one at its
     # trough. Sent to the first it would be stopped there, and hold its memory.
-    harms = Harms()
-    play_harms(harms)
+    interference = InterferenceModel()
+    play_harms(interference)
     busy, calm = make_runner("r0@1"), make_runner("r1@1")
     for runner, base in ((busy, 1.6), (calm, 3.8)):
         task = put(runner, serving())
         runner.bases = {task.key.job_id: base}
-        harms.tracks[task.key.job_id] = Track(base, base, 0.0)
-        measure_rooms(runner, harms)
+        interference.tracks[task.key.job_id] = Trend(base, base, 0.0)
+        update_headroom(runner, interference)
     task = put(make_runner("r2@1"), filling("heavy"))
     task.phase = Phase.WAITING
-    chosen = choose_runner(task, [busy, calm], Limits(), harms, 0.0)
+    chosen = choose_runner(task, [busy, calm], Limits(), interference, 0.0)
     assert chosen is calm
-    assert choose_runner(task, [busy], Limits(), harms, 0.0) is None
+    assert choose_runner(task, [busy], Limits(), interference, 0.0) is None
 
 
 def test_harmless_work_is_let_in_beside_harmful_work_that_is_slowed():
     # One harmful task takes up all that a serving task leaves, and harmless jobs wait
     # for minutes while half of the processors are unused. A tenth of the harmful one's
     # pace makes room for a whole harmless one.
-    harms = Harms()
-    play_harms(harms)
+    interference = InterferenceModel()
+    play_harms(interference)
     runner = make_runner("r0@1")
     neighbour = put(runner, serving())
     put(runner, filling("heavy"))
     put(runner, filling("heavy"))
     runner.bases = {neighbour.key.job_id: 2.0}
-    harms.tracks[neighbour.key.job_id] = Track(2.0, 2.0, 0.0)
-    measure_rooms(runner, harms)
+    interference.tracks[neighbour.key.job_id] = Trend(2.0, 2.0, 0.0)
+    update_headroom(runner, interference)
 
     def choose(image: str) -> Runner | None:
         task = put(make_runner("r2@1"), filling(image))
         task.phase = Phase.WAITING
-        return choose_runner(task, [runner], Limits(), harms, 0.0)
+        return choose_runner(task, [runner], Limits(), interference, 0.0)
 
     assert choose("light") is runner
     assert choose("heavy") is None
 
 
-def play_harms(harms: Harms) -> None:
+def play_harms(interference: InterferenceModel) -> None:
     """Teach the weights of all images."""
     runner, other = make_runner("r8@1"), make_runner("r9@1")
     put(runner, serving(), "web")
@@ -203,27 +203,27 @@
         if number % 40 == 0:
             runner.tasks = dict(list(runner.tasks.items())[:1])
             put(runner, filling(images[number // 40]))
-        learn(harms, read_sample(other, report(other, now)), now)
-        learn(harms, read_sample(runner, report(runner, now)), now)
+        learn_from_sample(interference, read_sample(other, report(other, now)), now)
+        learn_from_sample(interference, read_sample(runner, report(runner, now)), now)
 
 
 def test_a_job_of_which_nothing_runs_is_not_kept_waiting_for_a_good_place():
     # Most of the fleet is free, and all runners have serving tasks that a harmful image
     # would slow it for. Kept waiting for one where it gets on, its job ran nowhere for
     # the rest of the day.
-    harms = Harms()
-    play_harms(harms)
+    interference = InterferenceModel()
+    play_harms(interference)
     runner = make_runner("r0@1")
     neighbour = put(runner, serving())
     runner.bases = {neighbour.key.job_id: 1.3}
-    harms.tracks[neighbour.key.job_id] = Track(1.3, 1.3, 0.0)
-    measure_rooms(runner, harms)
+    interference.tracks[neighbour.key.job_id] = Trend(1.3, 1.3, 0.0)
+    update_headroom(runner, interference)
     task = put(make_runner("r2@1"), filling("heavy"))
     task.phase = Phase.WAITING
     task.waiting_since = 100.0
 
     def choose(now: float, idle: bool) -> Runner | None:
-        return choose_runner(task, [runner], Limits(), harms, now, idle)
+        return choose_runner(task, [runner], Limits(), interference, now, idle)
 
     assert choose(101.0, True) is None
     assert choose(102.5, True) is runner
@@ -235,42 +235,42 @@
     # For seconds all tasks of a harmful image are in quiet phases: they use 0.68 of
     # their processors and harm a quarter as much. Taken as they are, the image would be
     # learnt as harmless and let go everywhere just before the phases end.
-    harms = Harms()
+    interference = InterferenceModel()
     runner, other = make_runner("r0@1"), make_runner("r1@1")
     put(runner, serving(), "web")
     put(other, serving(), "web")
     for _ in range(3):
         put(runner, filling("heavy"))
     used = 0.68 * 7_000
-    stretch = 1 + TRUE["heavy"] * QUIET_PART * 3 * used / CPU
+    stretch = 1 + TRUE["heavy"] * QUIET_WEIGHT * 3 * used / CPU
     for number in range(80):
         now = number * 0.25
-        learn(harms, read_sample(other, report(other, now)), now)
+        learn_from_sample(interference, read_sample(other, report(other, now)), now)
         tail_ms = smooth("quiet", 50.0 * find_tail(swing(now), stretch), now)
         rows = [
             HeldRun(key, 1, "", 100, used if task.step.spec.backfill else tail_ms)
             for key, task in runner.tasks.items()
         ]
-        learn(harms, read_sample(runner, rows), now)
-    assert find_weight(harms, "web", "heavy") > 0.6 * TRUE["heavy"]
+        learn_from_sample(interference, read_sample(runner, rows), now)
+    assert find_weight(interference, "web", "heavy") > 0.6 * TRUE["heavy"]
 
 
 def test_work_that_was_stopped_is_let_go_step_by_step():
     # All work beside a serving task was stopped, since one image that was taken for
     # harmless is not. Let go at full speed together, it strikes again at full force.
-    harms = Harms()
+    interference = InterferenceModel()
     runner = make_runner("r0@1")
     put(runner, serving(), "web")
     put(runner, filling("light"))
-    play_harms(harms)
+    play_harms(interference)
     runner.bases = {"web": 4.0}
-    harms.tracks["web"] = Track(4.0, 4.0, 0.0)
+    interference.tracks["web"] = Trend(4.0, 4.0, 0.0)
     runner.paces = {"light": 0}
-    apply_paces(runner, harms)
-    assert 0 < pace_of(runner, "light") <= 50
-    apply_paces(runner, harms)
-    apply_paces(runner, harms)
-    assert pace_of(runner, "light") == 100
+    apply_paces(runner, interference)
+    assert 0 < get_pace(runner, "light") <= 50
+    apply_paces(runner, interference)
+    apply_paces(runner, interference)
+    assert get_pace(runner, "light") == 100
 
 
 def test_a_small_rise_of_a_pace_is_not_ordered(monkeypatch):
@@ -298,7 +298,7 @@
 def test_everything_is_stopped_where_a_target_is_missed_for_long():
     # A target is missed for two of the four seconds that it may be, and no weight
     # explains it. Whatever backfills there stops, whoever it was.
-    state = Dispatcher(Limits(harm_s=4.0))
+    state = Dispatcher(Limits(missed_target_s=4.0))
     runner = make_runner("r0@1")
     put(runner, serving(), "web")
     task = put(runner, filling("light"))
@@ -323,5 +323,5 @@
     late = Task(key, step)
     for runner in (beside, fuller):
         runner.recent_free.append(CPU)
-    chosen = choose_runner(late, [beside, fuller], Limits(), Harms(), 100.0)
+    chosen = choose_runner(late, [beside, fuller], Limits(), InterferenceModel(), 100.0)
     assert chosen is beside
--- a/plantainyard/dispatch/tests/test_planning.py
+++ b/plantainyard/dispatch/tests/test_planning.py
@@ -8,7 +8,7 @@
 from plantainyard.batch.values import Submission
 from plantainyard.dispatch import planning
 from plantainyard.dispatch.model import Job, Runner, StepRun, Task
-from plantainyard.dispatch.placing import take_room
+from plantainyard.dispatch.placing import reserve_resources
 from plantainyard.dispatch.planning import plan_starts
 from plantainyard.dispatch.ranking import (
     choose_place,
@@ -109,16 +109,16 @@
     step = StepRun(job, 0, 0, make_step(size, 2_000, backfill=backfill))
     tasks = [Task(TaskKey("a", 0, 0, number), step) for number in range(size)]
     tasks[-1].avoided = {f"r{number}" for number in avoided}
-    ranked = rank_places(tasks[0], runners, state.harms, now)
+    ranked = rank_places(tasks[0], runners, state.interference, now)
     assigned: list[Runner] = []
     for task in tasks:
-        refresh_places(ranked, task, assigned, state.harms, now)
-        kept = choose_place(task, ranked, state.limits, state.harms, now, False)
-        new = choose_runner(task, runners, state.limits, state.harms, now)
+        refresh_places(ranked, task, assigned, state.interference, now)
+        kept = choose_place(task, ranked, state.limits, state.interference, now, False)
+        new = choose_runner(task, runners, state.limits, state.interference, now)
         assert kept is new
         if new is None:
             return
-        take_room(new, task)
+        reserve_resources(new, task)
         assigned.append(new)
 
 
--- a/plantainyard/dispatch/tests/test_queue.py
+++ b/plantainyard/dispatch/tests/test_queue.py
@@ -3,13 +3,13 @@
 from plantainyard.batch.values import Resources, Step, Submission
 from plantainyard.dispatch.jobs import open_occurrence
 from plantainyard.dispatch.model import Job
-from plantainyard.dispatch.queue import find_chains_ms, order_steps
+from plantainyard.dispatch.queue import find_critical_paths_ms, order_steps
 
 
 def make_job(name: str, size: int, deadline: float, priority: int = 0) -> Job:
     step = Step(size, Resources(1000, 1, 0), 1000)
     submission = Submission(name, "q", "s", "", (step,), priority)
-    job = Job(submission, deadline, find_chains_ms(submission.steps))
+    job = Job(submission, deadline, find_critical_paths_ms(submission.steps))
     open_occurrence(job, 0)
     return job
 
--- a/plantainyard/dispatch/tests/test_timing.py
+++ b/plantainyard/dispatch/tests/test_timing.py
@@ -19,7 +19,7 @@
     world.run(6.0)
     found = summary(world, "second")
     assert found.state == "completed"
-    assert 2.0 < found.times[TimePart.WAITING_ROOM] < 4.0
+    assert 2.0 < found.times[TimePart.WAITING_CAPACITY] < 4.0
     assert 0.5 < found.times[TimePart.WORKING] < 1.5
     assert TimePart.WAITING_RUNNER not in found.times
     assert found.took_s > 3.0
--- a/plantainyard/dispatch/timing.py
+++ b/plantainyard/dispatch/timing.py
@@ -8,11 +8,17 @@
 from collections.abc import Iterable
 
 from plantainyard.dispatch.model import Job, Phase, Runner, StepRun, Task
-from plantainyard.dispatch.placing import can_start, has_room
+from plantainyard.dispatch.placing import can_start, has_capacity
 
-__all__ = ["TimePart", "explain_wait", "measure_times", "note_lost", "summarize_times"]
+__all__ = [
+    "TimePart",
+    "explain_wait",
+    "add_elapsed_time",
+    "count_lost_run",
+    "summarize_times",
+]
 
-EXPLAIN_EVERY_S = 0.5
+EXPLAIN_INTERVAL_S = 0.5
 """Time between two looks at why a step waits; each is a pass over the runners."""
 
 
@@ -23,7 +29,7 @@
     -----
     ``WAITING_RUNNER``
         No runner may take it: none of its service or label, or all are silent.
-    ``WAITING_ROOM``
+    ``WAITING_CAPACITY``
         None that may has room.
     ``WAITING_PLACE``
         Those with room promise a backfilling task too little speed beside what they
@@ -41,7 +47,7 @@
     """
 
     WAITING_RUNNER = "waiting_runner"
-    WAITING_ROOM = "waiting_room"
+    WAITING_CAPACITY = "waiting_room"
     WAITING_PLACE = "waiting_place"
     WAITING_TURN = "waiting_turn"
     ORDERED = "ordered"
@@ -58,19 +64,19 @@
     The whole step is taken to wait for the same reason. The cost is at most two passes
     over the runners, every half second for each step.
     """
-    if now - step.explained_at < EXPLAIN_EVERY_S:
+    if now - step.explained_at < EXPLAIN_INTERVAL_S:
         return
     step.explained_at = now
     usable = [runner for runner in runners if can_start(task, runner, now)]
     if not usable:
         step.waits_for = TimePart.WAITING_RUNNER
-    elif not any(has_room(step.spec, runner) for runner in usable):
-        step.waits_for = TimePart.WAITING_ROOM
+    elif not any(has_capacity(step.spec, runner) for runner in usable):
+        step.waits_for = TimePart.WAITING_CAPACITY
     else:
         step.waits_for = TimePart.WAITING_PLACE
 
 
-def measure_times(jobs: Iterable[Job], elapsed_s: float) -> None:
+def add_elapsed_time(jobs: Iterable[Job], elapsed_s: float) -> None:
     """Add the time since the last look to the parts in which jobs' tasks are now.
 
     Notes
@@ -107,7 +113,7 @@
         job.times[part] = job.times.get(part, 0.0) + seconds
 
 
-def note_lost(job: Job, how: str) -> None:
+def count_lost_run(job: Job, how: str) -> None:
     """Count a run that ended otherwise than done, by how it ended."""
     job.lost[how] = job.lost.get(how, 0) + 1
 
--- a/plantainyard/dispatch/weights.py
+++ b/plantainyard/dispatch/weights.py
@@ -6,22 +6,22 @@
 import json
 from collections.abc import Mapping
 
-from plantainyard.dispatch.harms import Base, Estimate, Harms
+from plantainyard.dispatch.estimates import Baseline, InterferenceModel, WeightEstimate
 
 __all__ = [
     "IDLE_TAIL",
     "MARGIN_ERROR",
-    "PRIOR",
+    "PRIOR_WEIGHT",
     "add_images",
-    "decode_harms",
-    "drop_image",
-    "encode_harms",
+    "decode_interference",
+    "remove_image",
+    "encode_interference",
     "find_weight",
-    "find_weight_at_worst",
+    "find_weight_bound",
     "is_known",
-    "list_images",
-    "measure_room",
-    "merge_harms",
+    "list_known_images",
+    "compute_headroom",
+    "merge_interference",
     "update_estimate",
 ]
 
@@ -29,75 +29,75 @@
 """Tail, in targets, that a serving task is taken to have without any load. Where it is
 another part, all weights come out larger or smaller alike, which changes no choice."""
 
-PRIOR = 2.0
+PRIOR_WEIGHT = 2.0
 """Weight of a pair that was never seen, between harmless and harmful ones."""
 
-DOUBT = 4.0
+PRIOR_VARIANCE = 4.0
 """Variance of a weight that was never seen."""
 
-NOISE = 0.01
+MODEL_VARIANCE = 0.01
 """Variance of a stretch around the model."""
 
 MARGIN_ERROR = 0.06
 """Relative error of one reported margin: tails are rounded to milliseconds."""
 
-MOST_WEIGHT = 12.0
+MAX_WEIGHT = 12.0
 """Upper bound of a weight."""
 
-KNOWN_DOUBT = 0.5
+MAX_KNOWN_VARIANCE = 0.5
 """Variance of a weight below which its pair counts as seen."""
 
-MERGED_DOUBT = 0.4
+MERGED_VARIANCE = 0.4
 """Variance of a weight that another unit has told."""
 
-CAUTION = 0.35
+UPPER_BOUND_DEVIATIONS = 0.35
 """Standard deviations added to a weight before more work of its image is placed."""
 
-HARMFUL = 1.0
+HARMFUL_WEIGHT = 1.0
 """Weight from which a pair counts as harmful."""
 
 HARMFUL_FACTOR = 1.4
 """Factor by which a harmful weight may be low: it is learnt through quiet phases."""
 
-LEAST_WEIGHT = 0.2
+MIN_WEIGHT = 0.2
 """Weight that a pair is taken to have at least: nothing that works is harmless."""
 
-MEMORY = 0.999
+FORGETTING_FACTOR = 0.999
 """Factor by which older reports count less with each new one of the same image."""
 
 
-def measure_room(base: float, least: float) -> float:
+def compute_headroom(base: float, least: float) -> float:
     """Return the pressure (weights times loads) that takes a base to a least margin."""
     lost = min(0.9, max(0.0, (base - least) * IDLE_TAIL))
     return lost / (1 - lost)
 
 
-def add_images(estimate: Estimate, loads: Mapping[str, float]) -> None:
+def add_images(estimate: WeightEstimate, loads: Mapping[str, float]) -> None:
     """Begin to learn of the images at work that weren't seen before."""
     for image, load in loads.items():
         if load <= 0:
             continue
         if image not in estimate.weights:
-            estimate.weights[image] = PRIOR
-            for row in estimate.doubts.values():
+            estimate.weights[image] = PRIOR_WEIGHT
+            for row in estimate.covariance.values():
                 row[image] = 0.0
-            estimate.doubts[image] = dict.fromkeys(estimate.weights, 0.0)
-            estimate.doubts[image][image] = DOUBT
+            estimate.covariance[image] = dict.fromkeys(estimate.weights, 0.0)
+            estimate.covariance[image][image] = PRIOR_VARIANCE
         estimate.unseen_s[image] = 0.0
 
 
-def drop_image(estimate: Estimate, image: str) -> None:
+def remove_image(estimate: WeightEstimate, image: str) -> None:
     """Forget an image; the next time it counts as never seen."""
-    del estimate.weights[image], estimate.doubts[image], estimate.unseen_s[image]
-    for row in estimate.doubts.values():
+    del estimate.weights[image], estimate.covariance[image], estimate.unseen_s[image]
+    for row in estimate.covariance.values():
         del row[image]
 
 
 def update_estimate(
-    estimate: Estimate,
+    estimate: WeightEstimate,
     loads: Mapping[str, float],
     margin: float,
-    base: Base,
+    base: Baseline,
     alike: int,
 ) -> None:
     """Take in one margin beside backfilling work.
@@ -109,36 +109,40 @@
     the square of the number of images, some 0.05 ms with ten. The errors of `alike`
     tasks in one report are the same errors, and count as one.
     """
-    doubts = estimate.doubts
+    covariance = estimate.covariance
     inputs = {image: load for image, load in loads.items() if load > 0}
     spread = {
         image: sum(row[other] * x for other, x in inputs.items())
-        for image, row in doubts.items()
+        for image, row in covariance.items()
     }
     lost = min(0.9, max(-0.5, (base.value - margin) * IDLE_TAIL))
     variance = (MARGIN_ERROR * margin) ** 2 + base.variance
-    noise = alike * NOISE + alike * variance * (IDLE_TAIL / (1 - lost) ** 2) ** 2
+    noise = (
+        alike * MODEL_VARIANCE + alike * variance * (IDLE_TAIL / (1 - lost) ** 2) ** 2
+    )
     scale = noise + sum(spread[image] * x for image, x in inputs.items())
     expected = sum(estimate.weights[image] * x for image, x in inputs.items())
     error = lost / (1 - lost) - expected
     for image, part in spread.items():
         moved = estimate.weights[image] + part / scale * error
-        estimate.weights[image] = min(MOST_WEIGHT, max(0.0, moved))
-        row = doubts[image]
+        estimate.weights[image] = min(MAX_WEIGHT, max(0.0, moved))
+        row = covariance[image]
         for other, across in spread.items():
             row[other] -= part * across / scale
-        row[image] = min(DOUBT, row[image] / MEMORY)
+        row[image] = min(PRIOR_VARIANCE, row[image] / FORGETTING_FACTOR)
 
 
-def is_known(harms: Harms, serving: str, image: str) -> bool:
+def is_known(interference: InterferenceModel, serving: str, image: str) -> bool:
     """Return whether a pair was seen at work together for some reports."""
-    estimate = harms.estimates.get(serving)
+    estimate = interference.estimates.get(serving)
     if estimate is None or image not in estimate.weights:
         return False
-    return estimate.doubts[image][image] < KNOWN_DOUBT
+    return estimate.covariance[image][image] < MAX_KNOWN_VARIANCE
 
 
-def merge_harms(harms: Harms, told: Harms) -> None:
+def merge_interference(
+    interference: InterferenceModel, told: InterferenceModel
+) -> None:
     """Take over what another unit knows and this one doesn't.
 
     Notes
@@ -148,27 +152,31 @@
     known, so that reports of its own soon weigh more.
     """
     for serving, theirs in told.estimates.items():
-        estimate = harms.estimates.setdefault(serving, Estimate())
+        estimate = interference.estimates.setdefault(serving, WeightEstimate())
         for image, weight in theirs.weights.items():
             known = is_known(told, serving, image)
-            if not known or is_known(harms, serving, image):
+            if not known or is_known(interference, serving, image):
                 continue
             add_images(estimate, {image: 1.0})
             estimate.weights[image] = weight
-            for other in estimate.doubts:
-                estimate.doubts[other][image] = estimate.doubts[image][other] = 0.0
-            estimate.doubts[image][image] = MERGED_DOUBT
+            for other in estimate.covariance:
+                estimate.covariance[other][image] = estimate.covariance[image][
+                    other
+                ] = 0.0
+            estimate.covariance[image][image] = MERGED_VARIANCE
 
 
-def find_weight(harms: Harms, serving: str, image: str) -> float:
+def find_weight(interference: InterferenceModel, serving: str, image: str) -> float:
     """Return the weight of a pair: by how much a whole runner of `image` stretches."""
-    estimate = harms.estimates.get(serving)
+    estimate = interference.estimates.get(serving)
     if estimate is None:
-        return PRIOR
-    return estimate.weights.get(image, PRIOR)
+        return PRIOR_WEIGHT
+    return estimate.weights.get(image, PRIOR_WEIGHT)
 
 
-def find_weight_at_worst(harms: Harms, serving: str, image: str) -> float:
+def find_weight_bound(
+    interference: InterferenceModel, serving: str, image: str
+) -> float:
     """Return a weight that the pair's true one is hardly above.
 
     Notes
@@ -176,45 +184,47 @@
     Guards against a harmful image that is sent everywhere after one report in which
     it had barely begun to work: its weight is low by then, its doubt is not.
     """
-    estimate = harms.estimates.get(serving)
+    estimate = interference.estimates.get(serving)
     if estimate is None or image not in estimate.weights:
-        return PRIOR + CAUTION * DOUBT**0.5
-    doubt = max(0.0, estimate.doubts[image][image]) ** 0.5
-    weight = estimate.weights[image] + CAUTION * doubt
-    return max(LEAST_WEIGHT, weight * (HARMFUL_FACTOR if weight > HARMFUL else 1.0))
+        return PRIOR_WEIGHT + UPPER_BOUND_DEVIATIONS * PRIOR_VARIANCE**0.5
+    doubt = max(0.0, estimate.covariance[image][image]) ** 0.5
+    weight = estimate.weights[image] + UPPER_BOUND_DEVIATIONS * doubt
+    return max(
+        MIN_WEIGHT, weight * (HARMFUL_FACTOR if weight > HARMFUL_WEIGHT else 1.0)
+    )
 
 
-def list_images(harms: Harms) -> set[str]:
+def list_known_images(interference: InterferenceModel) -> set[str]:
     """Return the backfilling images that were seen beside any serving image."""
-    return {image for e in harms.estimates.values() for image in e.weights}
+    return {image for e in interference.estimates.values() for image in e.weights}
 
 
-def encode_harms(harms: Harms) -> bytes:
-    """Return the stored form of the weights; see `decode_harms`."""
+def encode_interference(interference: InterferenceModel) -> bytes:
+    """Return the stored form of the weights; see `decode_interference`."""
     data = {
         serving: {
-            image: [round(weight, 2), round(estimate.doubts[image][image], 3)]
+            image: [round(weight, 2), round(estimate.covariance[image][image], 3)]
             for image, weight in estimate.weights.items()
         }
-        for serving, estimate in harms.estimates.items()
+        for serving, estimate in interference.estimates.items()
     }
     return json.dumps(data, separators=(",", ":")).encode()
 
 
-def decode_harms(value: bytes) -> Harms:
-    """Return what `encode_harms` wrote, without how weights depend on each other.
+def decode_interference(value: bytes) -> InterferenceModel:
+    """Return what `encode_interference` wrote, without the covariance of pairs.
 
     Raises
     ------
     ValueError, TypeError, AttributeError
         If the bytes aren't such a record.
     """
-    harms = Harms()
+    interference = InterferenceModel()
     for serving, rows in json.loads(value).items():
-        estimate = Estimate()
+        estimate = WeightEstimate()
         for image, (weight, doubt) in rows.items():
             estimate.weights[image] = float(weight)
-            estimate.doubts[image] = dict.fromkeys(rows, 0.0)
-            estimate.doubts[image][image] = float(doubt)
-        harms.estimates[serving] = estimate
-    return harms
+            estimate.covariance[image] = dict.fromkeys(rows, 0.0)
+            estimate.covariance[image][image] = float(doubt)
+        interference.estimates[serving] = estimate
+    return interference
--- a/plantainyard/entry/peers.py
+++ b/plantainyard/entry/peers.py
@@ -165,7 +165,7 @@
 def ask_harms(instance: Instance, unit: int) -> bytes:
     """Return what a unit's owner has stored last of interference; empty for nothing."""
     if unit in instance.owned:
-        return instance.copies[unit].replica.harms
+        return instance.copies[unit].replica.interference
     body = _ask(instance, unit, "peer.harms", f"/units/{unit}/harms", "harms", str)
     return b"" if body is None else str(body["harms"]).encode()
 
--- a/plantainyard/entry/takeover.py
+++ b/plantainyard/entry/takeover.py
@@ -65,7 +65,7 @@
     limits = Limits(
         lease_s=choose_lease(settings.longest_lease_s, settings.cancelled_s),
         longest_lease_s=settings.longest_lease_s,
-        harm_s=settings.harm_s,
+        missed_target_s=settings.harm_s,
         remote_factor=settings.remote_factor,
     )
     now = read_clock()
