--- a/plantainyard/dispatch/baselines.py
+++ b/plantainyard/dispatch/baselines.py
@@ -42,7 +42,7 @@
 
 
 def estimate_baseline(
-    interference: InterferenceModel, task: TaskKey, life: str, now: float
+    interference: InterferenceModel, task: TaskKey, incarnation: str, now: float
 ) -> Baseline | None:
     """Return a task's base as its job's other tasks show it, or None.
 
@@ -52,7 +52,7 @@
         With the job's readings.
     task : TaskKey
         The task.
-    life : str
+    incarnation : str
         Its runner. Of what was read there only what was read without backfilling work
         counts: the rest rests on the weights that are to be learnt.
     now : float
@@ -62,7 +62,7 @@
     -----
     The median by weight, so that one task on a slow runner doesn't count.
     """
-    bases = sorted(_list_bases(interference, task, life, now))
+    bases = sorted(_list_bases(interference, task, incarnation, now))
     if not bases:
         return None
     total = sum(1 / base.variance for base in bases)
@@ -75,13 +75,15 @@
 
 
 def _list_bases(
-    interference: InterferenceModel, task: TaskKey, life: str, now: float
+    interference: InterferenceModel, task: TaskKey, incarnation: str, now: float
 ) -> Iterator[Baseline]:
     for reading in interference.readings.get(task.job_id, {}).values():
         age_s = now - reading.at
-        if age_s > BASELINE_MAX_AGE_S or (reading.life == life and not reading.clean):
+        if age_s > BASELINE_MAX_AGE_S or (
+            reading.incarnation == incarnation and not reading.clean
+        ):
             continue
-        if interference.slow_until.get(reading.life, 0.0) > now:
+        if interference.slow_until.get(reading.incarnation, 0.0) > now:
             continue
         drift = MAX_DRIFT * age_s * reading.base.value
         yield Baseline(reading.base.value, reading.base.variance + drift**2)
@@ -89,7 +91,7 @@
 
 def detect_slow_runner(
     interference: InterferenceModel,
-    life: str,
+    incarnation: str,
     margin: float,
     others: Baseline,
     now: float,
@@ -103,7 +105,7 @@
     """
     slow = others.value > SLOW_RUNNER_RATIO * margin
     if slow:
-        interference.slow_until[life] = now + SLOW_RUNNER_S
+        interference.slow_until[incarnation] = now + SLOW_RUNNER_S
     return slow
 
 
--- a/plantainyard/dispatch/interference.py
+++ b/plantainyard/dispatch/interference.py
@@ -92,8 +92,10 @@
     The cost is, for each serving task, a pass over its job's tasks and the square of
     the number of backfilling images.
     """
-    at, before = interference.last.get(sample.life, (now, Sample(sample.life)))
-    interference.last[sample.life] = (now, sample)
+    at, before = interference.last.get(
+        sample.incarnation, (now, Sample(sample.incarnation))
+    )
+    interference.last[sample.incarnation] = (now, sample)
     steady = is_steady(before, sample)
     idle = steady and _is_idle(sample)
     tails = {tail.task: tail.value for tail in before.tails}
@@ -102,7 +104,7 @@
         sharp = undo_smoothing(tail.value, tails.get(tail.task, tail.value), now - at)
         margin = min(MAX_MARGIN, max(MIN_MARGIN, 1 / max(sharp, 1e-6)))
         own = _learn_margin(interference, tail, margin, sample, steady, now)
-        reading = Reading(own, sample.life, now, idle)
+        reading = Reading(own, sample.incarnation, now, idle)
         readings = interference.readings.setdefault(tail.task.job_id, {})
         readings[tail.task, False] = reading
         if idle:
@@ -124,12 +126,14 @@
     estimate = interference.estimates.setdefault(tail.image, WeightEstimate())
     loads = sample.loads
     add_images(estimate, loads)
-    others = estimate_baseline(interference, tail.task, sample.life, now)
-    slow = interference.slow_until.get(sample.life, 0.0) > now
+    others = estimate_baseline(interference, tail.task, sample.incarnation, now)
+    slow = interference.slow_until.get(sample.incarnation, 0.0) > now
     if others is not None:
         idle = _is_idle(sample)
         if steady and idle:
-            slow |= detect_slow_runner(interference, sample.life, margin, others, now)
+            slow |= detect_slow_runner(
+                interference, sample.incarnation, margin, others, now
+            )
         elif not slow and not idle:
             _learn_weights(interference, tail, margin, sample, others, steady)
     own = _undo_pressure(estimate, loads, margin, steady)
--- a/plantainyard/dispatch/ranking.py
+++ b/plantainyard/dispatch/ranking.py
@@ -145,7 +145,7 @@
     found = (
         (runner, _find_place(task, runner, interference, now)) for runner in runners
     )
-    return RankedPlaces({runner.life: place for runner, place in found if place})
+    return RankedPlaces({runner.incarnation: place for runner, place in found if place})
 
 
 def refresh_places(
@@ -159,9 +159,9 @@
     for runner in assigned[ranked.seen :]:
         place = _find_place(task, runner, interference, now)
         if place is None:
-            ranked.places.pop(runner.life, None)
+            ranked.places.pop(runner.incarnation, None)
         else:
-            ranked.places[runner.life] = place
+            ranked.places[runner.incarnation] = place
     ranked.seen = len(assigned)
 
 
