--- a/plantainyard/dispatch/tests/test_pending.py
+++ b/plantainyard/dispatch/tests/test_pending.py
@@ -17,8 +17,8 @@
 from plantainyard.dispatch.tests.world import World, make_step
 from plantainyard.entry import peers
 from plantainyard.entry.copies import UnitCopy
-from plantainyard.entry.instance import Owned
-from plantainyard.entry.peers import COUNT_AGE_S, Counted
+from plantainyard.entry.instance import OwnedUnit
+from plantainyard.entry.peers import MAX_COUNT_AGE_S, PendingCount
 
 LEASE_LAPSES_S = 7.0
 
@@ -178,7 +178,7 @@
     old.submit("a", make_step(cpu=4000))
     old.run(0.2)
     assert old.forwarded
-    until = old.now + COUNT_AGE_S + 1.0
+    until = old.now + MAX_COUNT_AGE_S + 1.0
     while old.now < until:
         assert tell_pending(old).moving == {"a"}
         old.run(0.1)
@@ -191,24 +191,24 @@
     old.submit("a", make_step(cpu=4000))
     old.run(0.2)
     (record,) = old.forwarded[0].records
-    count = peers.count_in_copy
+    count = peers.count_pending_in_copy
 
-    def count_late(copy: UnitCopy, queue: str) -> Counted:
+    def count_late(copy: UnitCopy, queue: str) -> PendingCount:
         counted = count(copy, queue)
         new.take(record)
         return counted
 
-    monkeypatch.setattr(peers, "count_in_copy", count_late)
+    monkeypatch.setattr(peers, "count_pending_in_copy", count_late)
     told = ask_owner_to_count(new)
     assert add_up([tell_pending(old), told]) == 1
 
 
 def ask_owner_to_count(world: World) -> Pending:
-    tail = SimpleNamespace(synced_at=read_clock())
-    copy = SimpleNamespace(replica=world.replica, intake=tail)
-    owned = Owned(Mock(dispatcher=world.state), Mock())
+    reader = SimpleNamespace(synced_at=read_clock())
+    copy = SimpleNamespace(replica=world.replica, intake=reader)
+    owned = OwnedUnit(Mock(dispatcher=world.state), Mock())
     instance: Any = SimpleNamespace(owned={0: owned}, copies=[copy])
-    counted = peers.ask_pending(instance, 0, "q")
+    counted = peers.fetch_pending(instance, 0, "q")
     assert counted is not None
     return counted.pending
 
--- a/plantainyard/entry/claims.py
+++ b/plantainyard/entry/claims.py
@@ -12,9 +12,16 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-__all__ = ["Candidate", "ClaimReason", "Reply", "Seen", "Word", "judge_owner"]
-
-SILENT_ASKS = 3
+__all__ = [
+    "Candidate",
+    "ClaimReason",
+    "OwnerObservation",
+    "OwnerReply",
+    "OwnerStatus",
+    "decide_claim",
+]
+
+UNANSWERED_LIMIT = 3
 """Questions in a row without an answer that show that an owner is gone; an owner that
 takes over several units at once is late with an answer now and then."""
 
@@ -22,18 +29,18 @@
 """Time for which the group must not have changed before a unit without an owner is
 claimed: after a loss of power the first instance that is back is dealt all of them."""
 
-MOST_SETTLING_S = 0.9
+MAX_SETTLE_S = 0.9
 """Longest wait for that: while instances are restarted in turn the group never rests,
 and a long-running task may be interrupted for three seconds."""
 
-CUT_OFF_S = 1.5
+STALE_CONFIRMATION_S = 1.5
 """Age of an owner's last word from the store from which it counts as cut off, where the
 candidate has had answers for twice as long. An owner asks twice a second."""
 
-MOVE_EVERY_S = 5.0
+MIN_MOVE_INTERVAL_S = 5.0
 """Least time between two units that a candidate takes from owners at work."""
 
-FAIR_DIFFERENCE = 2
+MIN_UNIT_DIFFERENCE = 2
 """Units that an owner must have more than the candidate: a move then evens them out."""
 
 
@@ -48,7 +55,7 @@
     SHARE = "fair share"
 
 
-class Word(NamedTuple):
+class OwnerStatus(NamedTuple):
     """What an instance says of a unit that it owns or is taking over.
 
     Attributes
@@ -69,7 +76,7 @@
     reserve: bool
 
 
-class Reply(NamedTuple):
+class OwnerReply(NamedTuple):
     """What came of asking a unit's owner.
 
     Attributes
@@ -81,7 +88,7 @@
     """
 
     heard: bool
-    word: Word | None = None
+    word: OwnerStatus | None = None
 
 
 class Candidate(NamedTuple):
@@ -112,7 +119,7 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class OwnerObservation:
     """What a candidate has seen of a unit's owner.
 
     Attributes
@@ -127,7 +134,9 @@
     gone_since: float = 0.0
 
 
-def judge_owner(seen: Seen, reply: Reply, candidate: Candidate) -> str:
+def decide_claim(
+    seen: OwnerObservation, reply: OwnerReply, candidate: Candidate
+) -> str:
     """Return why the candidate is to claim a unit, one of `ClaimReason`, or nothing.
 
     Parameters
@@ -154,18 +163,18 @@
     return _judge_word(reply.word, candidate)
 
 
-def _judge_absence(seen: Seen, heard: bool, candidate: Candidate) -> str:
+def _judge_absence(seen: OwnerObservation, heard: bool, candidate: Candidate) -> str:
     seen.silences = 0 if heard else seen.silences + 1
-    if not heard and seen.silences < SILENT_ASKS:
+    if not heard and seen.silences < UNANSWERED_LIMIT:
         return ""
     seen.gone_since = seen.gone_since or candidate.now
     waited_s = candidate.now - seen.gone_since
-    if candidate.settled_s < SETTLED_S and waited_s < MOST_SETTLING_S:
+    if candidate.settled_s < SETTLED_S and waited_s < MAX_SETTLE_S:
         return ""
     return ClaimReason.VACANT if heard else ClaimReason.SILENT
 
 
-def _judge_word(word: Word, candidate: Candidate) -> str:
+def _judge_word(word: OwnerStatus, candidate: Candidate) -> str:
     """Judge an owner that answers.
 
     Notes
@@ -176,11 +185,14 @@
     """
     if word.leaving:
         return ClaimReason.LEAVING
-    if word.confirmed_s > CUT_OFF_S and candidate.steady_s > 2 * CUT_OFF_S:
+    if (
+        word.confirmed_s > STALE_CONFIRMATION_S
+        and candidate.steady_s > 2 * STALE_CONFIRMATION_S
+    ):
         return ClaimReason.CUT_OFF
-    if candidate.rested_s < MOVE_EVERY_S:
+    if candidate.rested_s < MIN_MOVE_INTERVAL_S:
         return ""
-    if word.reserve and not candidate.reserve and candidate.units < FAIR_DIFFERENCE:
+    if word.reserve and not candidate.reserve and candidate.units < MIN_UNIT_DIFFERENCE:
         return ClaimReason.RESERVE
-    fair = word.units < candidate.units + FAIR_DIFFERENCE
+    fair = word.units < candidate.units + MIN_UNIT_DIFFERENCE
     return ClaimReason.SHARE if word.reserve == candidate.reserve and not fair else ""
--- a/plantainyard/entry/copies.py
+++ b/plantainyard/entry/copies.py
@@ -6,7 +6,7 @@
 from result import Err
 
 from plantainyard.batch.replica import Replica, apply_record
-from plantainyard.entry.tails import Tail, poll_tail
+from plantainyard.entry.readers import PartitionReader, poll_reader
 from plantainyard.entry.topics import INTAKE, PROGRESS
 from plantainyard.platform.store import Record, StoreCalls
 
@@ -39,8 +39,8 @@
         self.unit = unit
         self.replica = Replica()
         self._tell = tell
-        self.intake = Tail(store, INTAKE, unit, self._take_intake)
-        self.progress = Tail(store, PROGRESS, unit, self._take_progress)
+        self.intake = PartitionReader(store, INTAKE, unit, self._take_intake)
+        self.progress = PartitionReader(store, PROGRESS, unit, self._take_progress)
 
     def _take_intake(self, record: Record) -> None:
         job_id = apply_record(self.replica, record.key, record.value)
@@ -59,7 +59,7 @@
     Both partitions at the same time: where a call to a slow store takes 0.25 s, a new
     owner has five of them to wait for one after the other, and three so.
     """
-    tails = (copy.intake, copy.progress)
-    with ThreadPoolExecutor(len(tails)) as pool:
-        found = list(pool.map(poll_tail, tails))
+    readers = (copy.intake, copy.progress)
+    with ThreadPoolExecutor(len(readers)) as pool:
+        found = list(pool.map(poll_reader, readers))
     return not any(isinstance(result, Err) for result in found)
--- a/plantainyard/entry/directory.py
+++ b/plantainyard/entry/directory.py
@@ -7,10 +7,10 @@
 from plantainyard.platform.entries import RunnerEntry, decode_entry
 from plantainyard.platform.store import Record
 
-__all__ = ["Directory"]
+__all__ = ["RunnerDirectory"]
 
 
-class Directory:
+class RunnerDirectory:
     """Tells of entries that changed; a heartbeat that changes nothing is no news.
 
     Parameters
--- a/plantainyard/entry/front.py
+++ b/plantainyard/entry/front.py
@@ -20,7 +20,7 @@
 from plantainyard.entry.answers import OK, send_json
 from plantainyard.entry.instance import Instance
 from plantainyard.entry.lookups import count_pending_in, find_job
-from plantainyard.entry.peers import Counted
+from plantainyard.entry.peers import PendingCount
 from plantainyard.entry.topics import INTAKE
 from plantainyard.entry.wall import read_wall_ms
 from plantainyard.errors import ErrorKind
@@ -126,7 +126,7 @@
     method = environ["REQUEST_METHOD"]
     host = environ.get("HTTP_HOST", "")
     found = find_queue(configuration, host, environ.get("PATH_INFO", ""))
-    fresh = instance.is_fresh(read_clock(), STALE_S)
+    fresh = instance.is_configuration_fresh(read_clock(), STALE_S)
     if found is None:
         return _NOT_FOUND if fresh else _refuse(_STALE, Reason.STALE)
     queue, job_id = found
@@ -170,7 +170,7 @@
         instance.log.write("refused", job=job_id, why=decoded.err_value)
         return _reject(decoded.err_value)
     value = encode_submission(decoded.ok_value)
-    unit = instance.copy_of(job_id).unit
+    unit = instance.find_copy(job_id).unit
     answer = _store(instance, unit, make_submission_key(job_id), value)
     event = "accepted" if answer.status == OK else "refused"
     instance.log.write(event, job=job_id, queue=queue.name, status=answer.status)
@@ -261,7 +261,7 @@
     return Answer(OK, {"pending": pending})
 
 
-def _abridge(counted: Counted) -> list[float]:
+def _abridge(counted: PendingCount) -> list[float]:
     """Return what a unit's owner told as a row of numbers, for the log."""
     told = (len(v) if isinstance(v, frozenset) else v for v in counted.pending)
     return [*told, counted.age_s]
--- a/plantainyard/entry/ownership.py
+++ b/plantainyard/entry/group.py
@@ -8,18 +8,18 @@
 from result import Err, Result
 
 from plantainyard.clock import read_clock
-from plantainyard.entry.candidacy import (
-    RESERVE_MARK,
-    Reserve,
+from plantainyard.entry.instance import Instance
+from plantainyard.entry.reserves import (
+    RESERVE_SUFFIX,
+    ReserveState,
+    decide_membership,
     is_strong,
-    watch_group,
 )
-from plantainyard.entry.instance import Instance
 from plantainyard.entry.topics import GROUP, PROGRESS
 from plantainyard.errors import CallError
 from plantainyard.platform.store import Holding
 
-__all__ = ["Member", "Ownership", "follow_ownership", "name_member"]
+__all__ = ["GroupAssignment", "GroupMember", "follow_group", "make_member_name"]
 
 JOIN_EVERY_S = 0.3
 """Time between renewals, and between a candidate's questions to the owners of what it
@@ -32,7 +32,7 @@
 """Longest wait for an answer to a renewal."""
 
 
-class Ownership(NamedTuple):
+class GroupAssignment(NamedTuple):
     """What the group has said.
 
     Attributes
@@ -50,7 +50,7 @@
     steady_s: float = 0.0
 
 
-def name_member(instance: str, strong: bool = True) -> str:
+def make_member_name(instance: str, strong: bool = True) -> str:
     """Return a name in the group for this life of an instance.
 
     Notes
@@ -60,11 +60,11 @@
     name, the group would see no change, and the store would refuse every append of
     the new life, since the sequence numbers of that token are taken.
     """
-    mark = "" if strong else RESERVE_MARK
+    mark = "" if strong else RESERVE_SUFFIX
     return f"{instance}/{secrets.token_hex(4)}{mark}"
 
 
-class Member:
+class GroupMember:
     """The place of an instance in the group.
 
     Parameters
@@ -92,7 +92,7 @@
         self,
         name: str,
         instance: Instance,
-        take: Callable[[Ownership], None],
+        take: Callable[[GroupAssignment], None],
     ) -> None:
         self.name = name
         self.instance = instance
@@ -123,7 +123,7 @@
             if row.topic == PROGRESS and row.partition < self.instance.layout.units
         )
         steady_s = read_clock() - self.steady_since
-        self.take(Ownership(self.generation, dealt, steady_s))
+        self.take(GroupAssignment(self.generation, dealt, steady_s))
 
     def _note_silence(self, why: str) -> None:
         if not self.lost:
@@ -137,9 +137,9 @@
         self.joined = False
 
 
-def follow_ownership(
+def follow_group(
     instance: Instance,
-    take: Callable[[Ownership], None],
+    take: Callable[[GroupAssignment], None],
     answers: Callable[[int], bool],
     stopping: threading.Event,
 ) -> None:
@@ -153,20 +153,22 @@
     that it owns until others have claimed them.
     """
     strong = is_strong(instance.settings)
-    member = Member(name_member(instance.settings.instance, strong), instance, take)
-    reserve = Reserve(read_clock())
+    member = GroupMember(
+        make_member_name(instance.settings.instance, strong), instance, take
+    )
+    reserve = ReserveState(read_clock())
 
     def look() -> Result[list[Holding], CallError]:
         return instance.store.read_holdings(GROUP, JOIN_TIMEOUT_S)
 
     def is_needed() -> bool:
         units = instance.layout.units
-        return strong or watch_group(reserve, look, answers, units, read_clock())
+        return strong or decide_membership(reserve, look, answers, units, read_clock())
 
     while not stopping.is_set():
-        if instance.deposed.is_set():
+        if instance.rejoin_needed.is_set():
             member.leave()
-            instance.deposed.clear()
+            instance.rejoin_needed.clear()
         if is_needed():
             if not strong and not member.joined:
                 instance.log.write("reserve_joined", shortages=reserve.shortages)
--- a/plantainyard/entry/inspection.py
+++ b/plantainyard/entry/inspection.py
@@ -14,7 +14,7 @@
 from plantainyard.dispatch.model import Job, Task
 from plantainyard.entry.answers import OK, send_answer
 from plantainyard.entry.instance import Instance
-from plantainyard.entry.peers import look_up
+from plantainyard.entry.peers import look_up_job
 
 __all__ = ["build_inspection_app", "describe_job", "describe_state"]
 
@@ -29,12 +29,12 @@
         "instance": instance.settings.instance,
         "configuration": {
             "version": configuration.version if configuration else None,
-            "age_s": round(now - instance.operations.synced_at, 3),
+            "age_s": round(now - instance.operations_reader.synced_at, 3),
         },
         "units": instance.layout.units,
         "owners": {u: o._asdict() for u, o in list(instance.layout.owners.items())},
         "owned": {
-            unit: _describe_unit(owned.world.dispatcher, now)
+            unit: _describe_unit(owned.context.dispatcher, now)
             for unit, owned in list(instance.owned.items())
         },
     }
@@ -54,11 +54,11 @@
     """Return what this instance knows of a job: as stored, and as its owner sees it."""
     if not instance.copies:
         return {"known": False}
-    copy = instance.copy_of(job_id)
-    found = look_up(copy, job_id)
+    copy = instance.find_copy(job_id)
+    found = look_up_job(copy, job_id)
     owned = instance.owned.get(copy.unit)
     owner = instance.layout.owners.get(copy.unit)
-    job = owned.world.dispatcher.jobs.get(job_id) if owned else None
+    job = owned.context.dispatcher.jobs.get(job_id) if owned else None
     return {
         "known": bool(found.state),
         "state": found.state,
--- a/plantainyard/entry/instance.py
+++ b/plantainyard/entry/instance.py
@@ -22,21 +22,21 @@
 from plantainyard.entry.eventlog import EventLog
 from plantainyard.entry.layout import Layout, find_unit
 from plantainyard.entry.meters import Meters
-from plantainyard.entry.tails import Tail, poll_tail
+from plantainyard.entry.readers import PartitionReader, poll_reader
 from plantainyard.entry.topics import CONFIGURATION_KEY, LAYOUT, OPERATIONS
-from plantainyard.entry.unit import UnitActor, UnitWorld
+from plantainyard.entry.unit import UnitActor, UnitContext
 from plantainyard.platform.configuration import Configuration, decode_configuration
 from plantainyard.platform.runners import RunnerCalls, build_runner_calls
 from plantainyard.platform.settings import InstanceSettings
 from plantainyard.platform.store import Record, StoreCalls, build_store_calls
 
-__all__ = ["Claim", "Instance", "Owned", "run_follower"]
+__all__ = ["Claim", "Instance", "OwnedUnit", "run_reader"]
 
 LAYOUT_POLL_S = 5.0
 """Wait of reads of the layout. A change of owner is read at once; where the connection
 has fallen silent it shows as an owner that doesn't answer, and the store is asked."""
 
-CONFIRM_S = 0.5
+CONFIRM_POLL_S = 0.5
 """The same for an instance that owns a unit: each reading renews its ownership, and
 with it the leases that it may grant."""
 
@@ -48,10 +48,10 @@
 """Pause after a read that failed."""
 
 
-class Owned(NamedTuple):
+class OwnedUnit(NamedTuple):
     """A unit that this instance owns."""
 
-    world: UnitWorld
+    context: UnitContext
     actor: pykka.ActorRef[UnitActor]
 
 
@@ -111,19 +111,21 @@
         self.layout = Layout(log)
         self.copies: list[UnitCopy] = []
         self.claims: dict[int, Claim] = {}
-        self.owned: dict[int, Owned] = {}
+        self.owned: dict[int, OwnedUnit] = {}
         self.stopping = threading.Event()
-        self.deposed = threading.Event()
+        self.rejoin_needed = threading.Event()
         self.leaving = threading.Event()
-        self.operations = Tail(self.store, OPERATIONS, 0, self._take_operation)
-        self.layout_tail = Tail(self.store, LAYOUT, 0, self.layout.take)
+        self.operations_reader = PartitionReader(
+            self.store, OPERATIONS, 0, self._take_operation
+        )
+        self.layout_reader = PartitionReader(self.store, LAYOUT, 0, self.layout.take)
 
-    def open_units(self) -> None:
+    def create_copies(self) -> None:
         """Make a copy for each unit; the layout is known from now on."""
         units = range(self.layout.units)
         self.copies = [UnitCopy(self.store, unit, self._tell_record) for unit in units]
 
-    def copy_of(self, job_id: str) -> UnitCopy:
+    def find_copy(self, job_id: str) -> UnitCopy:
         """Return the copy of the unit that a job is stored in."""
         return self.copies[find_unit(job_id, len(self.copies))]
 
@@ -131,20 +133,20 @@
         """Return the address at which other instances reach this one."""
         return f"{self.settings.ip}:{self.settings.peer_port}"
 
-    def is_fresh(self, now: float, within_s: float) -> bool:
+    def is_configuration_fresh(self, now: float, within_s: float) -> bool:
         """Return whether the configuration was confirmed within the last seconds."""
-        return now - self.operations.synced_at <= within_s
+        return now - self.operations_reader.synced_at <= within_s
 
     def refresh_meters(self) -> None:
         """Set the gauges to what holds now."""
         meters = self.meters
         meters.lost_lines.set(self.log.lost)
-        meters.configuration_age.set(read_clock() - self.operations.synced_at)
+        meters.configuration_age.set(read_clock() - self.operations_reader.synced_at)
         if self.configuration is not None:
             meters.configuration_version.set(self.configuration.version)
         owned = list(self.owned.values())
         meters.owned.set(len(owned))
-        counts = [count_state(unit.world.dispatcher) for unit in owned]
+        counts = [count_state(unit.context.dispatcher) for unit in owned]
         counts = counts or [EMPTY_COUNTS]
         meters.jobs.set(sum(count.jobs for count in counts))
         for gauge, rows in (
@@ -175,14 +177,14 @@
             return
         kind = parse_key(record.key).kind
         if kind == RecordKind.SUBMISSION:
-            self.tell(unit, Submitted(decode_submission(record.value)))
+            self.send_event(unit, Submitted(decode_submission(record.value)))
             # A job that was handed over may come after the request to cancel it.
             if self.copies[unit].replica.jobs[job_id].cancelled:
-                self.tell(unit, Cancelled(job_id))
+                self.send_event(unit, Cancelled(job_id))
         elif kind == RecordKind.CANCEL:
-            self.tell(unit, Cancelled(job_id))
+            self.send_event(unit, Cancelled(job_id))
 
-    def tell(self, unit: int, event: Event) -> None:
+    def send_event(self, unit: int, event: Event) -> None:
         """Tell an owned unit's actor; a unit that was lost meanwhile needs no word."""
         owned = self.owned.get(unit)
         if owned is not None:
@@ -190,8 +192,8 @@
                 owned.actor.tell(event)
 
 
-def run_follower(
-    tail: Tail,
+def run_reader(
+    reader: PartitionReader,
     choose_wait: Callable[[], tuple[float, float]],
     stopping: threading.Event,
     note: Callable[[], None] = lambda: None,
@@ -215,7 +217,7 @@
         if pause_s and stopping.wait(pause_s):
             return
         # What was missed is known at once, not after another wait.
-        found = poll_tail(tail, 0.0 if failed else wait_s)
+        found = poll_reader(reader, 0.0 if failed else wait_s)
         note()
         failed = isinstance(found, Err)
         if failed:
--- a/plantainyard/entry/layout.py
+++ b/plantainyard/entry/layout.py
@@ -14,7 +14,7 @@
 
 from plantainyard.clock import read_clock
 from plantainyard.entry.eventlog import EventLog
-from plantainyard.entry.tails import READ_TIMEOUT_S, Tail, poll_tail
+from plantainyard.entry.readers import READ_TIMEOUT_S, PartitionReader, poll_reader
 from plantainyard.entry.topics import LAYOUT, OWNER_PREFIX, RUNNERS, UNITS_KEY
 from plantainyard.platform.entries import decode_entry
 from plantainyard.platform.store import Append, Record, StoreCalls
@@ -24,9 +24,9 @@
     "Owner",
     "announce_owner",
     "choose_unit_count",
+    "determine_layout",
     "find_unit",
     "propose_units",
-    "settle_layout",
 ]
 
 UNDIVIDED_RUNNERS = 40
@@ -97,9 +97,9 @@
     def _take_owner(self, record: Record) -> None:
         unit = int(record.key.removeprefix(OWNER_PREFIX))
         data = json.loads(record.value)
-        self.note_owner(unit, Owner(int(data["epoch"]), str(data["address"])))
+        self.record_owner(unit, Owner(int(data["epoch"]), str(data["address"])))
 
-    def note_owner(self, unit: int, owner: Owner) -> None:
+    def record_owner(self, unit: int, owner: Owner) -> None:
         """Take note of who owns a unit."""
         held = self.owners.get(unit)
         # An owner that was slow to announce itself must not hide its successor.
@@ -140,9 +140,9 @@
     return zlib.crc32(name.encode()) % units
 
 
-def settle_layout(
+def determine_layout(
     store: StoreCalls,
-    tail: Tail,
+    reader: PartitionReader,
     layout: Layout,
     most: int,
     strong: bool,
@@ -171,7 +171,7 @@
     settled_s = SETTLED_S if strong else RESERVE_SETTLED_S
     counted, since, began = 0, read_clock(), read_clock()
     while not stopping.is_set():
-        if isinstance(poll_tail(tail), Err):
+        if isinstance(poll_reader(reader), Err):
             stopping.wait(POLL_S)
             continue
         if layout.units:
--- a/plantainyard/entry/loads.py
+++ b/plantainyard/entry/loads.py
@@ -4,9 +4,9 @@
 
 from plantainyard.dispatch import HarmsTold, LoadsTold
 from plantainyard.entry.instance import Instance
-from plantainyard.entry.peers import ask_harms, ask_load
+from plantainyard.entry.peers import fetch_interference, fetch_load
 
-__all__ = ["watch_loads"]
+__all__ = ["poll_loads"]
 
 ASK_EVERY_S = 1.0
 """Time between questions; long-running jobs, which make units uneven, come every few
@@ -17,7 +17,7 @@
 kilobyte from each unit."""
 
 
-def watch_loads(instance: Instance) -> None:
+def poll_loads(instance: Instance) -> None:
     """Ask the owners of all units how full they are while this instance owns one.
 
     Notes
@@ -34,16 +34,16 @@
             continue
         if number % HARMS_EVERY == 0:
             _tell_harms(instance, owned)
-        answers = ((c.unit, ask_load(instance, c.unit)) for c in instance.copies)
+        answers = ((c.unit, fetch_load(instance, c.unit)) for c in instance.copies)
         loads = {unit: load for unit, load in answers if load is not None}
         for unit in owned:
             others = {u: load for u, load in loads.items() if u != unit}
-            instance.tell(unit, LoadsTold(others))
+            instance.send_event(unit, LoadsTold(others))
 
 
 def _tell_harms(instance: Instance, owned: list[int]) -> None:
     units = [copy.unit for copy in instance.copies]
-    answers = {unit: ask_harms(instance, unit) for unit in units}
+    answers = {unit: fetch_interference(instance, unit) for unit in units}
     for unit in owned:
         harms = [told for u, told in answers.items() if u != unit and told]
-        instance.tell(unit, HarmsTold(harms))
+        instance.send_event(unit, HarmsTold(harms))
--- a/plantainyard/entry/lookups.py
+++ b/plantainyard/entry/lookups.py
@@ -6,12 +6,12 @@
 from plantainyard.entry.copies import UnitCopy, refresh_copy
 from plantainyard.entry.instance import Instance
 from plantainyard.entry.peers import (
-    Counted,
-    Found,
-    ask_about_job,
-    ask_pending,
-    count_in_copy,
-    look_up,
+    JobLookup,
+    PendingCount,
+    count_pending_in_copy,
+    fetch_job,
+    fetch_pending,
+    look_up_job,
 )
 
 __all__ = ["count_pending_in", "find_job"]
@@ -21,7 +21,7 @@
 tenth of a second then."""
 
 
-def find_job(instance: Instance, job_id: str) -> Result[tuple[int, Found], str]:
+def find_job(instance: Instance, job_id: str) -> Result[tuple[int, JobLookup], str]:
     """Return what is known of a job, and in which unit it is now.
 
     Notes
@@ -29,10 +29,10 @@
     Guards against an accepted job that is told to be unknown: the unit that it was
     handed to may not have its record yet. Until then the word of the one before holds.
     """
-    unit = instance.copy_of(job_id).unit
-    found = Found("")
+    unit = instance.find_copy(job_id).unit
+    found = JobLookup("")
     for _ in range(MOST_HOPS + 1):
-        told = ask_about_job(instance, unit, job_id)
+        told = fetch_job(instance, unit, job_id)
         if told is None:
             told = _read_stored(instance, instance.copies[unit], job_id)
         if told is None:
@@ -44,12 +44,12 @@
     return Ok((unit, found))
 
 
-def _read_stored(instance: Instance, copy: UnitCopy, job_id: str) -> Found | None:
+def _read_stored(instance: Instance, copy: UnitCopy, job_id: str) -> JobLookup | None:
     """Return what the store says of a job, for when its unit has no owner."""
     if _refresh_cheaply(instance, copy):
-        return look_up(copy, job_id)
+        return look_up_job(copy, job_id)
     # Without the store an old copy can't tell that there is no such job.
-    found = look_up(copy, job_id)
+    found = look_up_job(copy, job_id)
     return found if found.state else None
 
 
@@ -69,9 +69,11 @@
     return alone and able and refresh_copy(copy)
 
 
-def count_pending_in(instance: Instance, copy: UnitCopy, queue: str) -> Counted | None:
+def count_pending_in(
+    instance: Instance, copy: UnitCopy, queue: str
+) -> PendingCount | None:
     """Return how many jobs of a queue wait in a unit; None where nobody can tell."""
-    counted = ask_pending(instance, copy.unit, queue)
+    counted = fetch_pending(instance, copy.unit, queue)
     if counted is None and _refresh_cheaply(instance, copy):
-        counted = count_in_copy(copy, queue)
+        counted = count_pending_in_copy(copy, queue)
     return counted
--- a/plantainyard/entry/owning.py
+++ b/plantainyard/entry/ownership_manager.py
@@ -9,28 +9,33 @@
 
 from plantainyard.clock import read_clock
 from plantainyard.dispatch import Renewed
-from plantainyard.entry.candidacy import is_strong
-from plantainyard.entry.claims import Candidate, ClaimReason, Seen, judge_owner
+from plantainyard.entry.claims import (
+    Candidate,
+    ClaimReason,
+    OwnerObservation,
+    decide_claim,
+)
 from plantainyard.entry.copies import UnitCopy, refresh_copy
-from plantainyard.entry.directory import Directory
-from plantainyard.entry.instance import RETRY_S, Claim, Instance, Owned
+from plantainyard.entry.directory import RunnerDirectory
+from plantainyard.entry.group import GroupAssignment
+from plantainyard.entry.instance import RETRY_S, Claim, Instance, OwnedUnit
 from plantainyard.entry.layout import Owner, announce_owner
-from plantainyard.entry.ownership import Ownership
-from plantainyard.entry.peers import ask_owner
-from plantainyard.entry.tails import Tail, poll_tail
+from plantainyard.entry.peers import fetch_owner_status
+from plantainyard.entry.readers import PartitionReader, poll_reader
+from plantainyard.entry.reserves import is_strong
 from plantainyard.entry.takeover import (
-    choose_runners,
     fence_predecessors,
     follow_intake,
+    make_entry_handler,
     restore_unit,
-    tell_jobs,
+    send_open_jobs,
 )
 from plantainyard.entry.topics import RUNNERS
-from plantainyard.entry.unit import UnitActor, UnitWorld, keep_unit_actor
+from plantainyard.entry.unit import UnitActor, UnitContext, run_unit_actor
 
-__all__ = ["KEEP_S", "Owners"]
+__all__ = ["MAX_UNCONFIRMED_S", "OwnershipManager"]
 
-KEEP_S = 12.0
+MAX_UNCONFIRMED_S = 12.0
 """How long an owner that can't reach the store goes on noting ends and stopping what
 is cancelled: the store may be down for everyone, and then nobody could take over. By
 then every lease that it could grant has lapsed."""
@@ -43,7 +48,7 @@
 second: waiting for each would cost thirty calls a second."""
 
 
-class Owners:
+class OwnershipManager:
     """The ownership of all units, as far as this instance has it.
 
     Parameters
@@ -65,30 +70,32 @@
 
     def __init__(self, instance: Instance) -> None:
         self.instance = instance
-        self.worlds: dict[int, UnitWorld] = {}
+        self.contexts: dict[int, UnitContext] = {}
         self.generation = 0
         self.changed_at = 0.0
         self.moved_at = read_clock()
-        self.seen = [Seen() for _ in instance.copies]
+        self.seen = [OwnerObservation() for _ in instance.copies]
         self._owning = [threading.Lock() for _ in instance.copies]
         self._asking = ThreadPoolExecutor(MOST_ASKED, "ask")
 
-    def take(self, ownership: Ownership) -> None:
+    def take(self, ownership: GroupAssignment) -> None:
         """Claim those units that the group has dealt and nobody else owns."""
         now = read_clock()
         if ownership.generation != self.generation:
             self.generation, self.changed_at = ownership.generation, now
         dealt = sorted(ownership.units - self.instance.claims.keys())
         for unit in {copy.unit for copy in self.instance.copies}.difference(dealt):
-            self.seen[unit] = Seen()
-        replies = self._asking.map(lambda unit: ask_owner(self.instance, unit), dealt)
+            self.seen[unit] = OwnerObservation()
+        replies = self._asking.map(
+            lambda unit: fetch_owner_status(self.instance, unit), dealt
+        )
         for unit, reply in zip(dealt, replies, strict=True):
             candidate = self._describe_candidate(ownership)
-            why = judge_owner(self.seen[unit], reply, candidate)
+            why = decide_claim(self.seen[unit], reply, candidate)
             if why:
                 self._claim(unit, why)
 
-    def _describe_candidate(self, ownership: Ownership) -> Candidate:
+    def _describe_candidate(self, ownership: GroupAssignment) -> Candidate:
         now = read_clock()
         return Candidate(
             now,
@@ -110,7 +117,7 @@
         instance, epoch = self.instance, self.generation
         held = instance.layout.owners.get(unit)
         if held is not None and held.epoch >= epoch:
-            instance.deposed.set()
+            instance.rejoin_needed.set()
             return
         if why in (ClaimReason.SHARE, ClaimReason.RESERVE):
             self.moved_at = read_clock()
@@ -132,7 +139,7 @@
         be down for everyone, and then nobody could take over.
         """
         instance = self.instance
-        read_at = instance.layout_tail.synced_at
+        read_at = instance.layout_reader.synced_at
         for unit, claim in list(instance.claims.items()):
             held = instance.layout.owners.get(unit)
             if held is not None and held.epoch > claim.epoch:
@@ -140,18 +147,18 @@
                 self.give_up(unit)
             elif held is not None and held.epoch == claim.epoch:
                 claim.confirmed_at = max(claim.confirmed_at, read_at)
-                instance.tell(unit, Renewed(read_at))
-            if read_clock() - claim.confirmed_at > KEEP_S:
+                instance.send_event(unit, Renewed(read_at))
+            if read_clock() - claim.confirmed_at > MAX_UNCONFIRMED_S:
                 self.give_up(unit)
 
     def give_up(self, unit: int) -> None:
         """End to own a unit at once."""
         self.instance.claims.pop(unit, None)
-        world = self.worlds.pop(unit, None)
-        if world is not None:
-            world.stopping.set()
+        context = self.contexts.pop(unit, None)
+        if context is not None:
+            context.stopping.set()
 
-    def _depose(self, unit: int, epoch: int) -> None:
+    def _step_down(self, unit: int, epoch: int) -> None:
         """End an ownership that was refused.
 
         Notes
@@ -182,47 +189,49 @@
         except Exception as error:
             why = traceback.format_exception(error)[-3:]
             self.instance.log.write("unit_failed", unit=copy.unit, why=why)
-            self._depose(copy.unit, epoch)
+            self._step_down(copy.unit, epoch)
 
     def _own(self, copy: UnitCopy, epoch: int) -> None:
         """Own a unit until a successor says otherwise."""
         unit, instance = copy.unit, self.instance
         with self._owning[unit]:
-            world = UnitWorld(
+            context = UnitContext(
                 unit,
                 epoch,
                 instance.store,
                 instance.runners,
                 copy.replica,
                 instance.log,
-                lambda: self._depose(unit, epoch),
+                lambda: self._step_down(unit, epoch),
                 instance.meters,
             )
-            self.worlds[unit] = world
+            self.contexts[unit] = context
             if not self._is_claimed(unit, epoch):
                 return
             began_at = read_clock()
             owner = Owner(epoch, instance.peer_address())
-            if not announce_owner(instance.store, unit, owner, world.stopping):
+            if not announce_owner(instance.store, unit, owner, context.stopping):
                 return
-            instance.layout.note_owner(unit, owner)
+            instance.layout.record_owner(unit, owner)
             fenced_at = read_clock()
-            if not fence_predecessors(world, instance.peer_address()):
+            if not fence_predecessors(context, instance.peer_address()):
                 return
             if not self._catch_up(copy, epoch):
                 return
-            world.dispatcher = restore_unit(instance, copy, fenced_at)
-            with keep_unit_actor(world, world.dispatcher) as actor:
-                self._serve(copy, epoch, Owned(world, actor), began_at)
+            context.dispatcher = restore_unit(instance, copy, fenced_at)
+            with run_unit_actor(context, context.dispatcher) as actor:
+                self._serve(copy, epoch, OwnedUnit(context, actor), began_at)
 
-    def _serve(self, copy: UnitCopy, epoch: int, owned: Owned, began_at: float) -> None:
+    def _serve(
+        self, copy: UnitCopy, epoch: int, owned: OwnedUnit, began_at: float
+    ) -> None:
         unit, instance = copy.unit, self.instance
         instance.owned[unit] = owned
         took_s = round(read_clock() - began_at, 3)
         instance.log.write("owner_gained", unit=unit, epoch=epoch, took_s=took_s)
         try:
-            with follow_intake(instance, copy, owned.world.stopping):
-                tell_jobs(instance, copy)
+            with follow_intake(instance, copy, owned.context.stopping):
+                send_open_jobs(instance, copy)
                 self._follow_runners(unit, epoch, owned.actor)
         finally:
             instance.owned.pop(unit, None)
@@ -245,9 +254,13 @@
         self, unit: int, epoch: int, actor: pykka.ActorRef[UnitActor]
     ) -> None:
         instance = self.instance
-        directory = Directory(choose_runners(instance, unit, actor), instance.log)
-        tail = Tail(instance.store, RUNNERS, 0, directory.take, directory.begin)
+        directory = RunnerDirectory(
+            make_entry_handler(instance, unit, actor), instance.log
+        )
+        reader = PartitionReader(
+            instance.store, RUNNERS, 0, directory.take, directory.begin
+        )
         while self._is_claimed(unit, epoch):
-            if not isinstance(poll_tail(tail), Err):
+            if not isinstance(poll_reader(reader), Err):
                 directory.finish()
             instance.stopping.wait(RUNNERS_EVERY_S)
--- a/plantainyard/entry/peers.py
+++ b/plantainyard/entry/peers.py
@@ -12,25 +12,25 @@
 from plantainyard.clock import read_clock
 from plantainyard.dispatch import Load, list_arrived
 from plantainyard.entry.answers import OK, send_json
-from plantainyard.entry.candidacy import is_strong
-from plantainyard.entry.claims import Reply, Word
+from plantainyard.entry.claims import OwnerReply, OwnerStatus
 from plantainyard.entry.copies import UnitCopy
 from plantainyard.entry.instance import Instance
-from plantainyard.entry.tails import read_ahead
+from plantainyard.entry.readers import read_ahead
+from plantainyard.entry.reserves import is_strong
 from plantainyard.errors import ErrorKind
 from plantainyard.transport import build_peer, build_pool, call_json
 
 __all__ = [
-    "Counted",
-    "Found",
-    "ask_about_job",
-    "ask_harms",
-    "ask_load",
-    "ask_owner",
-    "ask_pending",
+    "JobLookup",
+    "PendingCount",
     "build_peer_app",
-    "count_in_copy",
-    "look_up",
+    "count_pending_in_copy",
+    "fetch_interference",
+    "fetch_job",
+    "fetch_load",
+    "fetch_owner_status",
+    "fetch_pending",
+    "look_up_job",
 ]
 
 OWNER_S = 0.4
@@ -39,7 +39,7 @@
 ASK_OWNER_S = 0.3
 """The same for the question whether it is there, of which three in a row count."""
 
-COUNT_AGE_S = 3.5
+MAX_COUNT_AGE_S = 3.5
 """Age of what an owner has read from which it doesn't count any more. A read that waits
 a second and finds nothing proves what was so when it began, so an owner that follows
 well is up to two seconds behind its proofs, and more after a lost answer."""
@@ -47,7 +47,7 @@
 _pool = build_pool(pools=64, connections_per_peer=4)
 
 
-class Found(NamedTuple):
+class JobLookup(NamedTuple):
     """What is known of a job.
 
     Attributes
@@ -62,7 +62,7 @@
     moved: int | None = None
 
 
-class Counted(NamedTuple):
+class PendingCount(NamedTuple):
     """An owner's word on a queue's jobs for which no task has started.
 
     Attributes
@@ -77,22 +77,22 @@
     age_s: float
 
 
-def count_in_copy(copy: UnitCopy, queue: str) -> Counted:
+def count_pending_in_copy(copy: UnitCopy, queue: str) -> PendingCount:
     """Count in a copy of a unit."""
     age_s = round(read_clock() - copy.intake.synced_at, 3)
-    return Counted(count_pending(copy.replica, queue), age_s)
+    return PendingCount(count_pending(copy.replica, queue), age_s)
 
 
-def look_up(copy: UnitCopy, job_id: str) -> Found:
+def look_up_job(copy: UnitCopy, job_id: str) -> JobLookup:
     """Return what a copy says of a job."""
     view = copy.replica.jobs.get(job_id)
     if view is None or view.submission is None:
-        return Found("")
+        return JobLookup("")
     moved = None if view.ended else view.moved
-    return Found(describe_state(view), moved)
+    return JobLookup(describe_state(view), moved)
 
 
-def ask_about_job(instance: Instance, unit: int, job_id: str) -> Found | None:
+def fetch_job(instance: Instance, unit: int, job_id: str) -> JobLookup | None:
     """Return the owner's word on a job, or None if no owner answers."""
     if unit in instance.owned:
         return _look_up_surely(instance.copies[unit], job_id)
@@ -101,10 +101,10 @@
     if body is None:
         return None
     moved = body.get("moved")
-    return Found(body["state"], moved if isinstance(moved, int) else None)
+    return JobLookup(body["state"], moved if isinstance(moved, int) else None)
 
 
-def ask_pending(instance: Instance, unit: int, queue: str) -> Counted | None:
+def fetch_pending(instance: Instance, unit: int, queue: str) -> PendingCount | None:
     """Return what a unit's owner says of a queue's waiting jobs, or None.
 
     Notes
@@ -115,9 +115,9 @@
     owned = instance.owned.get(unit)
     if owned is not None:
         # First: what arrives meanwhile may be told twice, and never by nobody.
-        arrived = list_arrived(owned.world.dispatcher, queue)
-        counted = count_in_copy(instance.copies[unit], queue)
-        if counted.age_s > COUNT_AGE_S:
+        arrived = list_arrived(owned.context.dispatcher, queue)
+        counted = count_pending_in_copy(instance.copies[unit], queue)
+        if counted.age_s > MAX_COUNT_AGE_S:
             return None
         arrived |= counted.pending.arrived
         return counted._replace(pending=counted.pending._replace(arrived=arrived))
@@ -132,26 +132,26 @@
         return None
 
 
-def _pack_counted(counted: Counted) -> dict[str, Any]:
+def _pack_counted(counted: PendingCount) -> dict[str, Any]:
     told = counted.pending._asdict()
     rows = {k: sorted(v) if isinstance(v, frozenset) else v for k, v in told.items()}
     return {"pending": rows, "age_s": counted.age_s}
 
 
-def _unpack_counted(body: dict[str, Any]) -> Counted:
+def _unpack_counted(body: dict[str, Any]) -> PendingCount:
     told: dict[str, Any] = {
         name: frozenset(value) if isinstance(value, list) else value
         for name, value in body["pending"].items()
         if name in Pending._fields
     }
-    return Counted(Pending(**told), float(body["age_s"]))
+    return PendingCount(Pending(**told), float(body["age_s"]))
 
 
-def ask_load(instance: Instance, unit: int) -> Load | None:
+def fetch_load(instance: Instance, unit: int) -> Load | None:
     """Return how full a unit is, or None if no owner answers."""
     owned = instance.owned.get(unit)
     if owned is not None:
-        return owned.world.dispatcher.load
+        return owned.context.dispatcher.load
     body = _ask(instance, unit, "peer.load", f"/units/{unit}/load", "load", list)
     if body is None:
         return None
@@ -162,7 +162,7 @@
         return None
 
 
-def ask_harms(instance: Instance, unit: int) -> bytes:
+def fetch_interference(instance: Instance, unit: int) -> bytes:
     """Return what a unit's owner has stored last of interference; empty for nothing."""
     if unit in instance.owned:
         return instance.copies[unit].replica.harms
@@ -170,28 +170,28 @@
     return b"" if body is None else str(body["harms"]).encode()
 
 
-def ask_owner(instance: Instance, unit: int) -> Reply:
+def fetch_owner_status(instance: Instance, unit: int) -> OwnerReply:
     """Return what the announced owner of a unit says of itself."""
     owner = instance.layout.owners.get(unit)
     if owner is None or owner.address == instance.peer_address():
         word = _describe_claim(instance, unit)
-        return Reply(True, word)
+        return OwnerReply(True, word)
     peer = build_peer(f"http://{owner.address}", _pool, ASK_OWNER_S)
     answer = call_json(peer, "peer.owner", "GET", f"/units/{unit}/owner")
     if isinstance(answer, Err):
-        return Reply(answer.err_value.kind == ErrorKind.REFUSED)
+        return OwnerReply(answer.err_value.kind == ErrorKind.REFUSED)
     try:
-        return Reply(True, Word(*answer.ok_value.body["owner"]))
+        return OwnerReply(True, OwnerStatus(*answer.ok_value.body["owner"]))
     except (TypeError, KeyError) as error:
         instance.log.write("peer_silent", unit=unit, why=repr(error))
-        return Reply(False)
+        return OwnerReply(False)
 
 
-def _describe_claim(instance: Instance, unit: int) -> Word | None:
+def _describe_claim(instance: Instance, unit: int) -> OwnerStatus | None:
     claim = instance.claims.get(unit)
     if claim is None:
         return None
-    return Word(
+    return OwnerStatus(
         units=len(instance.claims),
         confirmed_s=round(read_clock() - claim.confirmed_at, 3),
         leaving=instance.leaving.is_set(),
@@ -220,7 +220,7 @@
     return body
 
 
-def _look_up_surely(copy: UnitCopy, job_id: str) -> Found | None:
+def _look_up_surely(copy: UnitCopy, job_id: str) -> JobLookup | None:
     """Return what an owner knows; that there is no such job only if the store says so.
 
     Notes
@@ -228,11 +228,11 @@
     Guards against an accepted job that is told to be unknown: its record may be stored
     and not read yet.
     """
-    found = look_up(copy, job_id)
+    found = look_up_job(copy, job_id)
     if not found.state:
         if isinstance(read_ahead(copy.intake), Err):
             return None
-        found = look_up(copy, job_id)
+        found = look_up_job(copy, job_id)
     return found
 
 
@@ -269,14 +269,14 @@
     if unit not in instance.owned:
         return None
     if topic == "jobs" and rest:
-        found = ask_about_job(instance, unit, rest[0])
+        found = fetch_job(instance, unit, rest[0])
         return None if found is None else found._asdict()
     if topic == "pending" and rest:
-        counted = ask_pending(instance, unit, "/".join(rest))
+        counted = fetch_pending(instance, unit, "/".join(rest))
         return None if counted is None else _pack_counted(counted)
     if topic == "harms":
-        return {"harms": ask_harms(instance, unit).decode(errors="replace")}
+        return {"harms": fetch_interference(instance, unit).decode(errors="replace")}
     if topic == "load":
-        load = ask_load(instance, unit)
+        load = fetch_load(instance, unit)
         return None if load is None else _pack_load(load)
     return None
--- a/plantainyard/entry/process.py
+++ b/plantainyard/entry/process.py
@@ -14,23 +14,23 @@
 from result import Err
 
 from plantainyard.clock import read_clock
-from plantainyard.entry.candidacy import is_strong
 from plantainyard.entry.eventlog import EventLog, keep_event_log
 from plantainyard.entry.front import build_front
+from plantainyard.entry.group import follow_group
 from plantainyard.entry.inspection import build_inspection_app
 from plantainyard.entry.instance import (
-    CONFIRM_S,
+    CONFIRM_POLL_S,
     LAYOUT_POLL_S,
     LONG_POLL_S,
     Instance,
-    run_follower,
+    run_reader,
 )
-from plantainyard.entry.layout import settle_layout
-from plantainyard.entry.loads import watch_loads
+from plantainyard.entry.layout import determine_layout
+from plantainyard.entry.loads import poll_loads
 from plantainyard.entry.meters import build_metrics_app
-from plantainyard.entry.ownership import follow_ownership
-from plantainyard.entry.owning import Owners
-from plantainyard.entry.peers import ask_owner, build_peer_app
+from plantainyard.entry.ownership_manager import OwnershipManager
+from plantainyard.entry.peers import build_peer_app, fetch_owner_status
+from plantainyard.entry.reserves import is_strong
 from plantainyard.platform.settings import (
     SETTINGS_VARIABLE,
     InstanceSettings,
@@ -143,7 +143,7 @@
 def start_threads(instance: Instance, draining: threading.Event) -> None:
     """Follow the configuration and the layout, and own units, until `draining`."""
     work = (
-        (run_follower, (instance.operations, _wait_long, instance.stopping)),
+        (run_reader, (instance.operations_reader, _wait_long, instance.stopping)),
         (_run_units, (instance, draining)),
     )
     for target, arguments in work:
@@ -154,20 +154,20 @@
     return LONG_POLL_S, 0.0
 
 
-def _follow_layout(instance: Instance, owners: Owners) -> None:
+def _follow_layout(instance: Instance, owners: OwnershipManager) -> None:
     """Follow the layout, by which owners know that they still are owners."""
 
     def choose_wait() -> tuple[float, float]:
-        return (CONFIRM_S if instance.claims else LAYOUT_POLL_S), 0.0
+        return (CONFIRM_POLL_S if instance.claims else LAYOUT_POLL_S), 0.0
 
-    run_follower(instance.layout_tail, choose_wait, instance.stopping, owners.confirm)
+    run_reader(instance.layout_reader, choose_wait, instance.stopping, owners.confirm)
 
 
 def _run_units(instance: Instance, draining: threading.Event) -> None:
     """Learn the layout, then follow it and own what the group deals out."""
-    settle_layout(
+    determine_layout(
         instance.store,
-        instance.layout_tail,
+        instance.layout_reader,
         instance.layout,
         instance.settings.store_partitions,
         is_strong(instance.settings),
@@ -176,18 +176,18 @@
     )
     if draining.is_set():
         return
-    instance.open_units()
-    owners = Owners(instance)
+    instance.create_copies()
+    owners = OwnershipManager(instance)
     followers = (
         (_follow_layout, (instance, owners)),
-        (watch_loads, (instance,)),
+        (poll_loads, (instance,)),
     )
     for target, arguments in followers:
         threading.Thread(target=target, args=arguments, daemon=True).start()
-    follow_ownership(
+    follow_group(
         instance,
         owners.take,
-        lambda unit: ask_owner(instance, unit).word is not None,
+        lambda unit: fetch_owner_status(instance, unit).word is not None,
         draining,
     )
     # Units are commanded until others have claimed them.
@@ -222,7 +222,7 @@
 ) -> Callable[[WSGIEnvironment, StartResponse], Iterable[bytes]]:
     def serve(_: WSGIEnvironment, start: StartResponse) -> Iterable[bytes]:
         able = instance.configuration is not None and bool(instance.copies)
-        fresh = instance.is_fresh(read_clock(), READY_S)
+        fresh = instance.is_configuration_fresh(read_clock(), READY_S)
         ready = able and fresh and not draining.is_set()
         status = "200 OK" if ready else "503 Service Unavailable"
         start(status, [("Content-Length", "0")])
--- a/plantainyard/entry/tails.py
+++ b/plantainyard/entry/readers.py
@@ -9,19 +9,19 @@
 from plantainyard.errors import CallError
 from plantainyard.platform.store import Record, StoreCalls
 
-__all__ = ["READ_TIMEOUT_S", "Tail", "poll_tail", "read_ahead"]
+__all__ = ["READ_TIMEOUT_S", "PartitionReader", "poll_reader", "read_ahead"]
 
 READ_TIMEOUT_S = 1.0
 """Longest wait for the store beyond the wait that was asked for; its usual answer
 takes under 30 ms, and a connection that has gone silent shows only by this."""
 
 
-MOST_PATIENCE_S = 8.0
+MAX_PAGE_TIMEOUT_S = 8.0
 """Longest wait for a page of newest records: a megabyte over five megabits a second
 takes 1.7 s, and other calls share the link."""
 
 
-class Tail:
+class PartitionReader:
     """Where the reading of one partition stands.
 
     Parameters
@@ -53,11 +53,11 @@
         self.reset = reset
         self.offset: int | None = None
         self.synced_at = 0.0
-        self.patience_s = READ_TIMEOUT_S
+        self.page_timeout_s = READ_TIMEOUT_S
         self.lock = threading.Lock()
 
 
-def poll_tail(tail: Tail, wait_s: float = 0.0) -> Result[int, CallError]:
+def poll_reader(reader: PartitionReader, wait_s: float = 0.0) -> Result[int, CallError]:
     """Read all that is new, waiting up to `wait_s` for the first record.
 
     Returns
@@ -72,38 +72,38 @@
     of: where history was dropped since the last reading, the newest records are read
     at once, and success never means less than all.
     """
-    with tail.lock:
+    with reader.lock:
         began = read_clock()
         taken = 0
         while True:
-            if tail.offset is None:
-                loaded = _load_newest(tail)
+            if reader.offset is None:
+                loaded = _load_newest(reader)
                 if isinstance(loaded, Err):
                     return loaded
                 taken += loaded.ok_value
                 wait_s = 0.0
-            assert tail.offset is not None
-            found = tail.store.read(
-                tail.topic, tail.partition, tail.offset, wait_s, READ_TIMEOUT_S
+            assert reader.offset is not None
+            found = reader.store.read(
+                reader.topic, reader.partition, reader.offset, wait_s, READ_TIMEOUT_S
             )
             if isinstance(found, Err):
                 return found
             part = found.ok_value
             if part.dropped:
                 # History up to a later offset is gone; the newest records are not.
-                tail.offset = None
+                reader.offset = None
                 continue
             for record in part.records:
-                tail.take(record)
+                reader.take(record)
             taken += len(part.records)
-            tail.offset = part.next_offset
+            reader.offset = part.next_offset
             if part.next_offset >= part.end:
-                tail.synced_at = began
+                reader.synced_at = began
                 return Ok(taken)
             wait_s = 0.0
 
 
-def _load_newest(tail: Tail) -> Result[int, CallError]:
+def _load_newest(reader: PartitionReader) -> Result[int, CallError]:
     """Take the newest record of each key, then follow from where that began.
 
     Notes
@@ -115,32 +115,32 @@
     Pages are no snapshot: a record may change between two of them. The reading goes
     on from the end that the first page named, so each change is read again after.
     """
-    if tail.reset is not None:
-        tail.reset()
+    if reader.reset is not None:
+        reader.reset()
     after = ""
     start: int | None = None
     taken = 0
     while True:
-        found = tail.store.read_newest(
-            tail.topic, tail.partition, after, tail.patience_s
+        found = reader.store.read_newest(
+            reader.topic, reader.partition, after, reader.page_timeout_s
         )
         if isinstance(found, Err):
-            tail.patience_s = min(2 * tail.patience_s, MOST_PATIENCE_S)
+            reader.page_timeout_s = min(2 * reader.page_timeout_s, MAX_PAGE_TIMEOUT_S)
             return found
         page = found.ok_value
         if start is None:
             start = page.end
         for record in page.records:
-            tail.take(record)
+            reader.take(record)
         taken += len(page.records)
         after = page.last_key
         if not page.more:
-            tail.patience_s = READ_TIMEOUT_S
-            tail.offset = start
+            reader.page_timeout_s = READ_TIMEOUT_S
+            reader.offset = start
             return Ok(taken)
 
 
-def read_ahead(tail: Tail) -> Result[int, CallError]:
+def read_ahead(reader: PartitionReader) -> Result[int, CallError]:
     """Take what is stored beyond the tail's place without moving it.
 
     Notes
@@ -149,14 +149,16 @@
     thread waits on the same tail. Records are taken twice, which does no harm where
     the newest of a key counts and each is written once.
     """
-    offset = tail.offset
+    offset = reader.offset
     if offset is None:
-        return poll_tail(tail)
-    found = tail.store.read(tail.topic, tail.partition, offset, 0.0, READ_TIMEOUT_S)
+        return poll_reader(reader)
+    found = reader.store.read(
+        reader.topic, reader.partition, offset, 0.0, READ_TIMEOUT_S
+    )
     if isinstance(found, Err):
         return found
     if found.ok_value.dropped:
-        return poll_tail(tail)
+        return poll_reader(reader)
     for record in found.ok_value.records:
-        tail.take(record)
+        reader.take(record)
     return Ok(len(found.ok_value.records))
--- a/plantainyard/entry/candidacy.py
+++ b/plantainyard/entry/reserves.py
@@ -17,7 +17,13 @@
 from plantainyard.platform.settings import InstanceSettings
 from plantainyard.platform.store import Holding
 
-__all__ = ["Reserve", "is_reserve", "is_strong", "needs_reserves", "watch_group"]
+__all__ = [
+    "ReserveState",
+    "decide_membership",
+    "is_reserve",
+    "is_strong",
+    "needs_reserves",
+]
 
 STRONG_CORES = 0.9
 """Processors from which an instance is strong: the owner of a whole small site took
@@ -46,7 +52,7 @@
 """Time without any answer after which a reserve joins: a store that doesn't tell who is
 there must not leave units without an owner."""
 
-RESERVE_MARK = "/reserve"
+RESERVE_SUFFIX = "/reserve"
 """End of a reserve's name in the group, by which others tell it."""
 
 
@@ -57,7 +63,7 @@
 
 def is_reserve(member: str) -> bool:
     """Return whether a group's member is a reserve, by its name."""
-    return member.endswith(RESERVE_MARK)
+    return member.endswith(RESERVE_SUFFIX)
 
 
 def needs_reserves(holdings: Iterable[Holding], units: int) -> bool:
@@ -81,7 +87,7 @@
 
 
 @dataclass(slots=True)
-class Reserve:
+class ReserveState:
     """What a reserve has seen of the group.
 
     Attributes
@@ -108,8 +114,8 @@
     serves: bool = False
 
 
-def watch_group(
-    reserve: Reserve,
+def decide_membership(
+    reserve: ReserveState,
     look: Callable[[], Result[list[Holding], CallError]],
     answers: Callable[[int], bool],
     units: int,
@@ -159,7 +165,9 @@
     return reserve.serves
 
 
-def _are_silent(reserve: Reserve, answers: Callable[[int], bool], units: int) -> bool:
+def _are_silent(
+    reserve: ReserveState, answers: Callable[[int], bool], units: int
+) -> bool:
     """Ask one unit's owner; return whether several in a row didn't answer."""
     reserve.turn = (reserve.turn + 1) % units
     reserve.silences = 0 if answers(reserve.turn) else reserve.silences + 1
--- a/plantainyard/entry/takeover.py
+++ b/plantainyard/entry/takeover.py
@@ -19,23 +19,23 @@
     restore_dispatcher,
 )
 from plantainyard.entry.copies import UnitCopy
-from plantainyard.entry.instance import LONG_POLL_S, Instance, run_follower
+from plantainyard.entry.instance import LONG_POLL_S, Instance, run_reader
 from plantainyard.entry.layout import find_unit
 from plantainyard.entry.topics import PRODUCER, PROGRESS
-from plantainyard.entry.unit import UnitActor, UnitWorld, append_until_known
+from plantainyard.entry.unit import UnitActor, UnitContext, append_until_answered
 from plantainyard.entry.wall import read_wall_ms
 from plantainyard.platform.store import Append, Record
 
 __all__ = [
-    "choose_runners",
     "fence_predecessors",
     "follow_intake",
+    "make_entry_handler",
     "restore_unit",
-    "tell_jobs",
+    "send_open_jobs",
 ]
 
 
-def choose_runners(
+def make_entry_handler(
     instance: Instance, unit: int, actor: pykka.ActorRef[UnitActor]
 ) -> Callable[[Event], None]:
     """Return a function that tells a unit's actor of the entries of its runners."""
@@ -52,11 +52,11 @@
     return tell
 
 
-def fence_predecessors(world: UnitWorld, address: str) -> bool:
+def fence_predecessors(context: UnitContext, address: str) -> bool:
     """Make the store refuse all records of earlier owners from now on."""
     record = Record(OWNER_KEY, address.encode())
-    append = Append(PROGRESS, world.unit, [record], PRODUCER, world.epoch, 0)
-    return append_until_known(world, append)
+    append = Append(PROGRESS, context.unit, [record], PRODUCER, context.epoch, 0)
+    return append_until_answered(context, append)
 
 
 def restore_unit(instance: Instance, copy: UnitCopy, fenced_at: float) -> Dispatcher:
@@ -78,7 +78,7 @@
 ) -> Iterator[None]:
     """Follow what callers store for the length of the context."""
     follower = threading.Thread(
-        target=run_follower,
+        target=run_reader,
         args=(copy.intake, lambda: (LONG_POLL_S, 0.0), stopping),
         daemon=True,
     )
@@ -89,7 +89,7 @@
         stopping.set()
 
 
-def tell_jobs(instance: Instance, copy: UnitCopy) -> None:
+def send_open_jobs(instance: Instance, copy: UnitCopy) -> None:
     """Tell the actor of all jobs that are open.
 
     Notes
@@ -102,6 +102,6 @@
         if view.ended or view.submission is None:
             continue
         if view.moved is None:
-            instance.tell(copy.unit, Submitted(view.submission))
+            instance.send_event(copy.unit, Submitted(view.submission))
         if view.cancelled:
-            instance.tell(copy.unit, Cancelled(job_id))
+            instance.send_event(copy.unit, Cancelled(job_id))
--- a/plantainyard/entry/tests/site.py
+++ b/plantainyard/entry/tests/harness.py
@@ -9,10 +9,10 @@
 from plantainyard.clock import read_clock
 from plantainyard.entry.eventlog import EventLog
 from plantainyard.entry.front import serve_request
+from plantainyard.entry.group import GroupAssignment
 from plantainyard.entry.instance import Instance
-from plantainyard.entry.ownership import Ownership
-from plantainyard.entry.owning import Owners
-from plantainyard.entry.tails import poll_tail
+from plantainyard.entry.ownership_manager import OwnershipManager
+from plantainyard.entry.readers import poll_reader
 from plantainyard.entry.topics import LAYOUT, UNITS_KEY
 from standins.platform import RunnerState, StoreState, serve_platform
 from standins.platform.samples import (
@@ -23,13 +23,13 @@
     make_step_body,
 )
 
-PATIENCE_S = 20.0
+WAIT_TIMEOUT_S = 20.0
 JOB = "5c0e7a21d94b36f8"
 BODY = make_body(make_step_body(2))
 
 
 def wait_until(check: Callable[[], object]) -> None:
-    until = read_clock() + PATIENCE_S
+    until = read_clock() + WAIT_TIMEOUT_S
     while not check():
         assert read_clock() < until, "not within the test's patience"
         time.sleep(0.02)
@@ -44,9 +44,9 @@
     with serve_platform(store, runners) as servers:
         log = EventLog("edge-1", io.StringIO())
         instance = Instance(make_settings(servers.store), log)
-        assert poll_tail(instance.operations).is_ok()
-        assert poll_tail(instance.layout_tail).is_ok()
-        instance.open_units()
+        assert poll_reader(instance.operations_reader).is_ok()
+        assert poll_reader(instance.layout_reader).is_ok()
+        instance.create_copies()
         try:
             yield instance
         finally:
@@ -74,26 +74,29 @@
     return int(answer.status[:3]), answer.body
 
 
-def own_units(instance: Instance, epoch: int, *units: int) -> Owners:
+def own_units(instance: Instance, epoch: int, *units: int) -> OwnershipManager:
     """Let an instance own units that the group has dealt to it."""
-    owners = Owners(instance)
+    owners = OwnershipManager(instance)
     deal_until(owners, epoch, units, lambda: bool(instance.owned.keys() >= set(units)))
     return owners
 
 
-def poll_layout(owners: Owners) -> None:
+def poll_layout(owners: OwnershipManager) -> None:
     """Let an instance read the layout once, as its follower does."""
-    assert poll_tail(owners.instance.layout_tail).is_ok()
+    assert poll_reader(owners.instance.layout_reader).is_ok()
     owners.confirm()
 
 
 def deal_until(
-    owners: Owners, epoch: int, units: Iterable[int], check: Callable[[], bool]
+    owners: OwnershipManager,
+    epoch: int,
+    units: Iterable[int],
+    check: Callable[[], bool],
 ) -> None:
     """Tell owners again and again what the group has dealt, until a check holds."""
 
     def is_true() -> bool:
-        owners.take(Ownership(epoch, frozenset(units)))
+        owners.take(GroupAssignment(epoch, frozenset(units)))
         return check()
 
     wait_until(is_true)
--- a/plantainyard/entry/tests/test_claims.py
+++ b/plantainyard/entry/tests/test_claims.py
@@ -8,20 +8,20 @@
 
 from plantainyard.clock import read_clock
 from plantainyard.entry.claims import (
-    MOVE_EVERY_S,
-    SILENT_ASKS,
+    MIN_MOVE_INTERVAL_S,
+    UNANSWERED_LIMIT,
     Candidate,
     ClaimReason,
-    Reply,
-    Seen,
-    Word,
-    judge_owner,
+    OwnerObservation,
+    OwnerReply,
+    OwnerStatus,
+    decide_claim,
 )
+from plantainyard.entry.group import GroupAssignment
 from plantainyard.entry.instance import Claim
-from plantainyard.entry.ownership import Ownership
-from plantainyard.entry.owning import KEEP_S, Owners
-from plantainyard.entry.peers import ask_owner
-from plantainyard.entry.tests.site import (
+from plantainyard.entry.ownership_manager import MAX_UNCONFIRMED_S, OwnershipManager
+from plantainyard.entry.peers import fetch_owner_status
+from plantainyard.entry.tests.harness import (
     deal_until,
     own_units,
     poll_layout,
@@ -30,7 +30,7 @@
 from plantainyard.entry.topics import LAYOUT
 from standins.platform import StoreState
 
-AT_WORK = Word(units=1, confirmed_s=0.3, leaving=False, reserve=False)
+AT_WORK = OwnerStatus(units=1, confirmed_s=0.3, leaving=False, reserve=False)
 CANDIDATE = Candidate(
     100.0, units=1, reserve=False, settled_s=60.0, steady_s=60.0, rested_s=60.0
 )
@@ -42,23 +42,25 @@
     # a loss of power, while the leases of what runs lapse.
     for settled_s in (0.0, 0.1, 60.0):
         candidate = CANDIDATE._replace(settled_s=settled_s)
-        assert judge_owner(Seen(), Reply(True, AT_WORK), candidate) == ""
+        assert (
+            decide_claim(OwnerObservation(), OwnerReply(True, AT_WORK), candidate) == ""
+        )
 
 
 def test_a_unit_without_an_owner_waits_until_the_group_has_settled():
     # Guards against the first instance that is back owning everything.
-    seen = Seen()
+    seen = OwnerObservation()
     restless = CANDIDATE._replace(settled_s=0.0)
-    assert judge_owner(seen, Reply(True), restless) == ""
-    assert judge_owner(seen, Reply(True), CANDIDATE) == ClaimReason.VACANT
+    assert decide_claim(seen, OwnerReply(True), restless) == ""
+    assert decide_claim(seen, OwnerReply(True), CANDIDATE) == ClaimReason.VACANT
 
 
 def test_a_unit_is_claimed_although_the_group_never_settles():
     # Guards against units that stay without an owner during restarts in turn.
-    seen = Seen()
+    seen = OwnerObservation()
     rounds = [
-        judge_owner(
-            seen, Reply(True), CANDIDATE._replace(now=n * ROUND_S, settled_s=0.0)
+        decide_claim(
+            seen, OwnerReply(True), CANDIDATE._replace(now=n * ROUND_S, settled_s=0.0)
         )
         for n in range(1, 6)
     ]
@@ -67,30 +69,36 @@
 
 def test_an_owner_that_misses_one_question_keeps_its_unit():
     # Guards against a busy owner that is taken for a lost one.
-    seen = Seen()
+    seen = OwnerObservation()
     for heard in (False, False, True, False, False):
-        reply = Reply(heard, AT_WORK if heard else None)
-        assert judge_owner(seen, reply, CANDIDATE) == ""
-    assert judge_owner(seen, Reply(False), CANDIDATE) == ClaimReason.SILENT
+        reply = OwnerReply(heard, AT_WORK if heard else None)
+        assert decide_claim(seen, reply, CANDIDATE) == ""
+    assert decide_claim(seen, OwnerReply(False), CANDIDATE) == ClaimReason.SILENT
 
 
 def test_an_owner_that_leaves_is_followed_at_once():
     word = AT_WORK._replace(leaving=True)
     candidate = CANDIDATE._replace(settled_s=0.0, rested_s=0.0)
-    assert judge_owner(Seen(), Reply(True, word), candidate) == ClaimReason.LEAVING
+    assert (
+        decide_claim(OwnerObservation(), OwnerReply(True, word), candidate)
+        == ClaimReason.LEAVING
+    )
 
 
 def test_an_owner_that_only_the_store_cannot_hear_is_followed():
     # Guards against a unit in which nothing starts while its owner is cut off.
     word = AT_WORK._replace(confirmed_s=3.0)
-    assert judge_owner(Seen(), Reply(True, word), CANDIDATE) == ClaimReason.CUT_OFF
+    assert (
+        decide_claim(OwnerObservation(), OwnerReply(True, word), CANDIDATE)
+        == ClaimReason.CUT_OFF
+    )
 
 
 def test_owners_stay_at_the_end_of_an_outage_of_the_store():
     # Guards against all owners being replaced in the moment of the store's return.
     word = AT_WORK._replace(confirmed_s=9.0)
     candidate = CANDIDATE._replace(steady_s=0.5)
-    assert judge_owner(Seen(), Reply(True, word), candidate) == ""
+    assert decide_claim(OwnerObservation(), OwnerReply(True, word), candidate) == ""
 
 
 @pytest.mark.parametrize(
@@ -100,7 +108,7 @@
         (AT_WORK._replace(units=2), CANDIDATE, ""),
         (
             AT_WORK._replace(units=3),
-            CANDIDATE._replace(rested_s=MOVE_EVERY_S / 2),
+            CANDIDATE._replace(rested_s=MIN_MOVE_INTERVAL_S / 2),
             "",
         ),
         (AT_WORK._replace(reserve=True), CANDIDATE, ClaimReason.RESERVE),
@@ -110,18 +118,18 @@
 )
 def test_units_even_out_one_at_a_time(word, candidate, why):
     # Guards against one instance that owns most units for good.
-    assert judge_owner(Seen(), Reply(True, word), candidate) == why
+    assert decide_claim(OwnerObservation(), OwnerReply(True, word), candidate) == why
 
 
 @given(st.lists(st.sampled_from([None, False, True]), max_size=40))
 def test_only_silences_in_a_row_replace_an_owner(replies):
     # Guards against a takeover from an owner that has answered just before.
-    seen, silent = Seen(), 0
+    seen, silent = OwnerObservation(), 0
     for reply in replies:
         silent = silent + 1 if reply is None else 0
         word = AT_WORK if reply else None
-        found = judge_owner(seen, Reply(reply is not None, word), CANDIDATE)
-        absent = reply is False or silent >= SILENT_ASKS
+        found = decide_claim(seen, OwnerReply(reply is not None, word), CANDIDATE)
+        absent = reply is False or silent >= UNANSWERED_LIMIT
         assert bool(found) == absent
 
 
@@ -151,7 +159,7 @@
         claim.confirmed_at = 0.0
         poll_layout(owners)
         confirmed_at = claim.confirmed_at
-        assert confirmed_at == instance.layout_tail.synced_at > 0.0
+        assert confirmed_at == instance.layout_reader.synced_at > 0.0
         owners.confirm()
         assert claim.confirmed_at == confirmed_at
 
@@ -162,8 +170,8 @@
     store = StoreState()
     with run_instance(store) as instance:
         owners = own_units(instance, 5, 0)
-        instance.claims[0].confirmed_at = read_clock() - KEEP_S - 1.0
-        instance.layout_tail.synced_at = 0.0
+        instance.claims[0].confirmed_at = read_clock() - MAX_UNCONFIRMED_S - 1.0
+        instance.layout_reader.synced_at = 0.0
         owners.confirm()
         assert not instance.claims
 
@@ -173,7 +181,7 @@
     store = StoreState()
     with run_instance(store) as instance:
         announce(store, 3, "127.0.0.1:1")
-        owners = Owners(instance)
+        owners = OwnershipManager(instance)
         poll_layout(owners)
         deal_until(owners, 5, {0}, lambda: 0 in instance.owned)
         assert instance.layout.owners[0].epoch == 5
@@ -182,12 +190,12 @@
 def test_an_owner_tells_that_it_is_at_work():
     store = StoreState()
     with run_instance(store) as instance:
-        assert ask_owner(instance, 0) == Reply(True)
+        assert fetch_owner_status(instance, 0) == OwnerReply(True)
         instance.claims[0] = Claim(5, read_clock())
-        word = ask_owner(instance, 0).word
+        word = fetch_owner_status(instance, 0).word
         assert word is not None and word.units == 1 and not word.leaving
         instance.leaving.set()
-        leaving = ask_owner(instance, 0).word
+        leaving = fetch_owner_status(instance, 0).word
         assert leaving is not None and leaving.leaving
 
 
@@ -196,7 +204,7 @@
     store = StoreState()
     with run_instance(store) as instance:
         owners = own_units(instance, 5, 0)
-        owners.take(Ownership(6, frozenset()))
+        owners.take(GroupAssignment(6, frozenset()))
         assert instance.claims[0].epoch == 5 and 0 in instance.owned
 
 
@@ -206,10 +214,10 @@
     store = StoreState()
     with run_instance(store) as instance:
         owners = own_units(instance, 5, 0)
-        earlier = owners.worlds[0]
+        earlier = owners.contexts[0]
         owners.give_up(0)
-        deal_until(owners, 6, {0}, lambda: 0 in owners.worlds)
-        earlier.depose()
+        deal_until(owners, 6, {0}, lambda: 0 in owners.contexts)
+        earlier.step_down()
         assert instance.claims[0].epoch == 6
-        owners.worlds[0].depose()
+        owners.contexts[0].step_down()
         assert not instance.claims
--- a/plantainyard/entry/tests/test_eventlog.py
+++ b/plantainyard/entry/tests/test_eventlog.py
@@ -7,7 +7,7 @@
 from plantainyard.batch.replica import Replica, apply_record
 from plantainyard.entry import eventlog
 from plantainyard.entry.eventlog import EventLog, keep_event_log
-from plantainyard.entry.tests.site import PATIENCE_S, wait_until
+from plantainyard.entry.tests.harness import WAIT_TIMEOUT_S, wait_until
 
 
 class StoppedReader(io.StringIO):
@@ -45,7 +45,7 @@
 
     process = threading.Thread(target=run, daemon=True)
     process.start()
-    process.join(PATIENCE_S)
+    process.join(WAIT_TIMEOUT_S)
     assert not process.is_alive()
 
 
@@ -62,7 +62,7 @@
 
     deciding = threading.Thread(target=decide, daemon=True)
     deciding.start()
-    deciding.join(PATIENCE_S)
+    deciding.join(WAIT_TIMEOUT_S)
     assert not deciding.is_alive()
     assert log.lost >= eventlog.QUEUE_LINES - 1
 
--- a/plantainyard/entry/tests/test_front.py
+++ b/plantainyard/entry/tests/test_front.py
@@ -7,8 +7,8 @@
 
 from plantainyard.entry.front import build_front
 from plantainyard.entry.instance import Instance
-from plantainyard.entry.peers import look_up
-from plantainyard.entry.tests.site import (
+from plantainyard.entry.peers import look_up_job
+from plantainyard.entry.tests.harness import (
     BODY,
     JOB,
     call,
@@ -27,7 +27,7 @@
     with run_instance(store, runner) as instance:
         own_units(instance, 5, 0)
         assert call(instance, "POST", f"/jobs/{JOB}", BODY)[0] == 200
-        wait_until(lambda: look_up(instance.copies[0], JOB).state == "completed")
+        wait_until(lambda: look_up_job(instance.copies[0], JOB).state == "completed")
         assert call(instance, "GET", f"/jobs/{JOB}") == (200, {"state": "completed"})
     assert len(runner.started) == 2
 
@@ -97,7 +97,7 @@
     # queue that a caller asks for. A 404 would be untrue.
     store = StoreState()
     with run_instance(store) as instance:
-        instance.operations.synced_at -= 10
+        instance.operations_reader.synced_at -= 10
         assert call(instance, "GET", "/other/")[0] == 503
         assert call(instance, "POST", f"/jobs/{JOB}", BODY)[0] == 503
 
--- a/plantainyard/entry/tests/test_instance.py
+++ b/plantainyard/entry/tests/test_instance.py
@@ -4,8 +4,8 @@
 from unittest.mock import Mock
 
 from plantainyard.entry.inspection import build_inspection_app, describe_job
-from plantainyard.entry.tails import poll_tail
-from plantainyard.entry.tests.site import (
+from plantainyard.entry.readers import poll_reader
+from plantainyard.entry.tests.harness import (
     BODY,
     JOB,
     call,
@@ -22,7 +22,7 @@
     with run_instance(store) as instance:
         put_configuration(store, 9, routes=[])
         put_configuration(store, 8)
-        poll_tail(instance.operations)
+        poll_reader(instance.operations_reader)
         assert instance.configuration and instance.configuration.version == 9
 
 
@@ -31,7 +31,7 @@
     with run_instance(store) as instance:
         store.put("keyed.op", "config", b"\xff{")
         store.put("keyed.op", "config", b'{"version": 10}')
-        poll_tail(instance.operations)
+        poll_reader(instance.operations_reader)
         assert instance.configuration and instance.configuration.version == 7
 
 
--- a/plantainyard/entry/tests/test_owning.py
+++ b/plantainyard/entry/tests/test_ownership_manager.py
@@ -14,16 +14,16 @@
 from plantainyard.batch.replica import Replica, apply_record
 from plantainyard.batch.values import StepProgress, TaskProgress
 from plantainyard.dispatch import Cancelled, Commit, Submitted
-from plantainyard.entry import owning
+from plantainyard.entry import ownership_manager
 from plantainyard.entry.copies import refresh_copy
 from plantainyard.entry.eventlog import EventLog
-from plantainyard.entry.instance import Owned
-from plantainyard.entry.ownership import Ownership, follow_ownership, name_member
-from plantainyard.entry.owning import Owners
-from plantainyard.entry.peers import Found, ask_about_job
-from plantainyard.entry.tails import poll_tail
-from plantainyard.entry.takeover import tell_jobs
-from plantainyard.entry.tests.site import (
+from plantainyard.entry.group import GroupAssignment, follow_group, make_member_name
+from plantainyard.entry.instance import OwnedUnit
+from plantainyard.entry.ownership_manager import OwnershipManager
+from plantainyard.entry.peers import JobLookup, fetch_job
+from plantainyard.entry.readers import poll_reader
+from plantainyard.entry.takeover import send_open_jobs
+from plantainyard.entry.tests.harness import (
     BODY,
     JOB,
     call,
@@ -33,7 +33,7 @@
     wait_until,
 )
 from plantainyard.entry.topics import INTAKE, PROGRESS
-from plantainyard.entry.unit import UnitActor, UnitWorld
+from plantainyard.entry.unit import UnitActor, UnitContext
 from plantainyard.platform.runners import Held, OrderOutcome, OrderResult
 from plantainyard.platform.store import Append, Appended, Record, build_store_calls
 from standins.platform import RunnerState, StoreState
@@ -51,14 +51,14 @@
         call(instance, "POST", f"/jobs/{JOB}", BODY)
         wait_until(lambda: not instance.claims)
         wait_until(lambda: not instance.owned)
-        deal_until(owners, 5, {0}, instance.deposed.is_set)
+        deal_until(owners, 5, {0}, instance.rejoin_needed.is_set)
         assert not instance.claims
 
 
 def test_two_lives_of_an_instance_are_two_members():
     # A killed process is back before the group has missed it. Under its old name it
     # would own the unit under a fencing token whose records the store has closed.
-    assert name_member("edge-1") != name_member("edge-1")
+    assert make_member_name("edge-1") != make_member_name("edge-1")
 
 
 def test_a_member_that_needs_a_later_epoch_joins_anew():
@@ -69,11 +69,11 @@
         generations = []
         stopping = threading.Event()
 
-        def take(ownership: Ownership) -> None:
+        def take(ownership: GroupAssignment) -> None:
             generations.append(ownership.generation)
-            instance.deposed.set() if len(generations) == 1 else stopping.set()
+            instance.rejoin_needed.set() if len(generations) == 1 else stopping.set()
 
-        follow_ownership(instance, take, lambda unit: True, stopping)
+        follow_group(instance, take, lambda unit: True, stopping)
     assert generations[1] > generations[0]
 
 
@@ -112,7 +112,7 @@
     runner = RunnerState("r0")
     runner.fence = 99
     with run_instance(store, runner) as instance:
-        deal_until(Owners(instance), 5, {0}, instance.deposed.is_set)
+        deal_until(OwnershipManager(instance), 5, {0}, instance.rejoin_needed.is_set)
         assert not instance.claims
 
 
@@ -136,7 +136,7 @@
         owners = own_units(instance, 5, 0)
         assert call(instance, "POST", f"/jobs/{JOB}", BODY)[0] == 200
         wait_until(lambda: not instance.claims)
-        deal_until(owners, 5, {0}, instance.deposed.is_set)
+        deal_until(owners, 5, {0}, instance.rejoin_needed.is_set)
 
 
 def test_a_cancel_that_is_read_before_its_job_is_told_after_it():
@@ -151,8 +151,8 @@
         other.put(INTAKE, f"j/{JOB}", value)
     with run_instance(other) as instance:
         actor = Mock()
-        instance.owned[0] = Owned(Mock(), actor)
-        assert poll_tail(instance.copies[0].intake).is_ok()
+        instance.owned[0] = OwnedUnit(Mock(), actor)
+        assert poll_reader(instance.copies[0].intake).is_ok()
         told = [type(sent.args[0]) for sent in actor.tell.call_args_list]
     assert told[-2:] == [Submitted, Cancelled]
 
@@ -163,9 +163,9 @@
     store = StoreState()
     with run_instance(store) as instance:
         assert refresh_copy(instance.copies[0])
-        instance.owned[0] = Owned(Mock(), Mock())
+        instance.owned[0] = OwnedUnit(Mock(), Mock())
         assert call(instance, "POST", f"/jobs/{JOB}", BODY)[0] == 200
-        assert ask_about_job(instance, 0, JOB) == Found("queued")
+        assert fetch_job(instance, 0, JOB) == JobLookup("queued")
 
 
 def test_a_new_owner_is_told_of_the_cancel_of_a_job_that_was_handed_over():
@@ -178,8 +178,8 @@
         store.put(INTAKE, f"c/{JOB}", b"1")
         assert refresh_copy(instance.copies[0])
         actor = Mock()
-        instance.owned[0] = Owned(Mock(), actor)
-        tell_jobs(instance, instance.copies[0])
+        instance.owned[0] = OwnedUnit(Mock(), actor)
+        send_open_jobs(instance, instance.copies[0])
     assert [sent.args[0] for sent in actor.tell.call_args_list] == [Cancelled(JOB)]
 
 
@@ -187,24 +187,24 @@
     # Guards against a unit without an owner for good: a fault ended its takeover, and
     # the claim stayed.
     failures = [RuntimeError("dictionary changed size during iteration")]
-    restore = owning.restore_unit
+    restore = ownership_manager.restore_unit
 
     def fail_once(*arguments):
         if failures:
             raise failures.pop()
         return restore(*arguments)
 
-    monkeypatch.setattr(owning, "restore_unit", fail_once)
+    monkeypatch.setattr(ownership_manager, "restore_unit", fail_once)
     with run_instance(StoreState()) as instance:
-        owners, epochs = Owners(instance), count(5)
+        owners, epochs = OwnershipManager(instance), count(5)
         epoch = next(epochs)
 
         def is_owned():
             nonlocal epoch
-            if instance.deposed.is_set():
-                instance.deposed.clear()
+            if instance.rejoin_needed.is_set():
+                instance.rejoin_needed.clear()
                 epoch = next(epochs)
-            owners.take(Ownership(epoch, frozenset({0})))
+            owners.take(GroupAssignment(epoch, frozenset({0})))
             return bool(instance.owned)
 
         wait_until(is_owned)
@@ -219,15 +219,15 @@
     new = encode_progress(StepProgress(frozenset({0}), {}))
 
     def answer_late(append, timeout_s):
-        world.stopping.set()
+        context.stopping.set()
         apply_record(replica, key, new)
         return Ok(Appended(True, False, 1))
 
     apply_record(replica, f"j/{JOB}", b"")
     store: Any = SimpleNamespace(append=answer_late)
     log = EventLog("edge-1", io.StringIO())
-    world = UnitWorld(0, 5, store, Mock(), replica, log, Mock(), Mock())
-    actor: Any = SimpleNamespace(world=world, actor_ref=Mock(), _note_end=Mock())
+    context = UnitContext(0, 5, store, Mock(), replica, log, Mock(), Mock())
+    actor: Any = SimpleNamespace(context=context, actor_ref=Mock(), _note_end=Mock())
     apply_record(replica, key, old)
     UnitActor._commit(actor, Commit([Record(key, old)]), 1)
     assert replica.jobs[JOB].steps[0, 0].done == {0}
--- a/plantainyard/entry/tests/test_tails.py
+++ b/plantainyard/entry/tests/test_readers.py
@@ -4,7 +4,7 @@
 
 from result import Err
 
-from plantainyard.entry.tails import Tail, poll_tail
+from plantainyard.entry.readers import PartitionReader, poll_reader
 from plantainyard.entry.topics import INTAKE
 from plantainyard.errors import CallError, ErrorKind
 from plantainyard.platform.store import Record, build_store_calls
@@ -16,13 +16,13 @@
     with serve_platform(store, ()) as servers:
         taken: list[Record] = []
         calls = build_store_calls(servers.store)
-        tail = Tail(calls, "keyed.x", 0, taken.append)
+        reader = PartitionReader(calls, "keyed.x", 0, taken.append)
         store.put("keyed.x", "a", b"1")
-        assert poll_tail(tail).is_ok()
+        assert poll_reader(reader).is_ok()
         store.put("keyed.x", "a", b"2")
         store.put("keyed.x", "b", b"3")
         store.drop_history()
-        assert poll_tail(tail).is_ok()
+        assert poll_reader(reader).is_ok()
         assert taken[-2:] == [Record("a", b"2"), Record("b", b"3")]
 
 
@@ -35,7 +35,7 @@
         waits.append(timeout_s)
         return Err(CallError(ErrorKind.LOST, "store.newest", "store"))
 
-    tail = Tail(Mock(read_newest=read_newest), INTAKE, 0, Mock())
+    reader = PartitionReader(Mock(read_newest=read_newest), INTAKE, 0, Mock())
     for _ in range(6):
-        assert poll_tail(tail).is_err()
+        assert poll_reader(reader).is_err()
     assert waits == [1.0, 2.0, 4.0, 8.0, 8.0, 8.0]
--- a/plantainyard/entry/tests/test_candidacy.py
+++ b/plantainyard/entry/tests/test_reserves.py
@@ -4,15 +4,15 @@
 
 from result import Err, Ok
 
-from plantainyard.entry.candidacy import (
-    Reserve,
+from plantainyard.entry.group import GroupAssignment, follow_group, make_member_name
+from plantainyard.entry.reserves import (
+    ReserveState,
+    decide_membership,
     is_reserve,
     is_strong,
     needs_reserves,
-    watch_group,
 )
-from plantainyard.entry.ownership import Ownership, follow_ownership, name_member
-from plantainyard.entry.tests.site import make_settings, run_instance, wait_until
+from plantainyard.entry.tests.harness import make_settings, run_instance, wait_until
 from plantainyard.entry.topics import GROUP, PROGRESS
 from plantainyard.errors import CallError, ErrorKind
 from plantainyard.platform.store import Holding
@@ -37,9 +37,9 @@
 def test_reserves_are_told_from_strong_members_by_their_names():
     # A weak instance that is alone owns the units. Named like a strong one, it would
     # count itself as that, leave the group, and come back, for ever.
-    weak = name_member("edge-1", strong=False)
+    weak = make_member_name("edge-1", strong=False)
     assert is_reserve(weak)
-    assert not is_reserve(name_member("edge-1", strong=True))
+    assert not is_reserve(make_member_name("edge-1", strong=True))
     assert needs_reserves([Holding(PROGRESS, 0, weak)], 1)
 
 
@@ -47,10 +47,10 @@
     # All instances come back at once after a loss of power. Half-core instances were
     # there first and owned most units; each of them fell behind its reports,
     # lost its unit and got it again.
-    reserve = Reserve(0.0)
+    reserve = ReserveState(0.0)
 
     def look(holdings: list[Holding], now: float) -> bool:
-        return watch_group(reserve, lambda: Ok(holdings), answer, 8, now)
+        return decide_membership(reserve, lambda: Ok(holdings), answer, 8, now)
 
     assert not look([], 0.1)
     assert not look(STRONG, 1.0)
@@ -63,11 +63,11 @@
 def test_a_reserve_comes_where_the_store_does_not_say_who_is_there():
     # The store refuses to say who is in the group. With reserves that wait for its
     # word, a site that has no strong instance left starts nothing any more.
-    reserve = Reserve(0.0)
+    reserve = ReserveState(0.0)
     error = CallError(ErrorKind.REFUSED, "store.owners", "store")
 
     def look(now: float) -> bool:
-        return watch_group(reserve, lambda: Err(error), answer, 11, now)
+        return decide_membership(reserve, lambda: Err(error), answer, 11, now)
 
     assert [look(now) for now in (1.0, 3.0, 5.5)] == [False, False, True]
 
@@ -76,12 +76,12 @@
     # The store is away for nine seconds. Thirty reserves that had given up waiting for
     # its word joined in the moment of its return, and each unit changed its owner twice
     # within two seconds. Nor must they come and go all the time meanwhile.
-    reserve = Reserve(0.0)
+    reserve = ReserveState(0.0)
     error = CallError(ErrorKind.LOST, "store.owners", "store")
 
     def joins(now: float) -> bool:
         found = Err(error) if now < 9.0 else Ok(STRONG)
-        return watch_group(reserve, lambda: found, answer, 4, now)
+        return decide_membership(reserve, lambda: found, answer, 4, now)
 
     times = [0.15 * number for number in range(80)]
     joined = [now for now in times if joins(now)]
@@ -93,10 +93,12 @@
     # The only strong instance is gone for good. No member is left whose call makes
     # the store deal its units anew, so it goes on naming the lost one; reserves took
     # its word for it, and nothing was started any more.
-    reserve = Reserve(0.0)
+    reserve = ReserveState(0.0)
 
     def look(now: float, *heard: int) -> bool:
-        return watch_group(reserve, lambda: Ok(STRONG), lambda u: u in heard, 4, now)
+        return decide_membership(
+            reserve, lambda: Ok(STRONG), lambda u: u in heard, 4, now
+        )
 
     assert not any(look(number, 0, 1, 2, 3) for number in range(1, 5))
     assert not any(look(number, 3) for number in range(5, 9))
@@ -111,9 +113,9 @@
     with run_instance(store) as instance:
         instance.settings = instance.settings._replace(cores=0.5)
         stopping = threading.Event()
-        told: list[Ownership] = []
+        told: list[GroupAssignment] = []
         arguments = (instance, told.append, answer, stopping)
-        thread = threading.Thread(target=follow_ownership, args=arguments, daemon=True)
+        thread = threading.Thread(target=follow_group, args=arguments, daemon=True)
         thread.start()
         wait_until(lambda: told and told[-1].units)
         assert not instance.leaving.is_set()
--- a/plantainyard/entry/tests/test_units.py
+++ b/plantainyard/entry/tests/test_units.py
@@ -13,22 +13,22 @@
 from plantainyard.entry import peers
 from plantainyard.entry.copies import refresh_copy
 from plantainyard.entry.eventlog import EventLog
-from plantainyard.entry.instance import Instance, Owned
+from plantainyard.entry.instance import Instance, OwnedUnit
 from plantainyard.entry.layout import (
     Owner,
     choose_unit_count,
+    determine_layout,
     find_unit,
     propose_units,
-    settle_layout,
 )
 from plantainyard.entry.peers import (
-    COUNT_AGE_S,
-    Found,
-    ask_about_job,
+    MAX_COUNT_AGE_S,
+    JobLookup,
     build_peer_app,
-    look_up,
+    fetch_job,
+    look_up_job,
 )
-from plantainyard.entry.tests.site import (
+from plantainyard.entry.tests.harness import (
     BODY,
     JOB,
     call,
@@ -48,9 +48,9 @@
 
 
 def settle(instance: Instance, strong: bool = True) -> int:
-    settle_layout(
+    determine_layout(
         instance.store,
-        instance.layout_tail,
+        instance.layout_reader,
         instance.layout,
         12,
         strong,
@@ -120,7 +120,7 @@
     """Let an instance read all units as their owner does."""
     for copy in instance.copies:
         assert refresh_copy(copy)
-        instance.owned[copy.unit] = Owned(Mock(), Mock())
+        instance.owned[copy.unit] = OwnedUnit(Mock(), Mock())
 
 
 def test_a_job_that_was_handed_over_is_found_in_its_new_unit():
@@ -159,10 +159,10 @@
     with run_instance(store, units=2) as instance:
         own_units(instance, 5, 0, 1)
         assert call(instance, "GET", "/jobs/") == (200, {"pending": 0})
-        assert ask_peer(instance, "/units/0/pending/q")["age_s"] < COUNT_AGE_S
+        assert ask_peer(instance, "/units/0/pending/q")["age_s"] < MAX_COUNT_AGE_S
         store.faults.down = True
         intake = instance.copies[0].intake
-        wait_until(lambda: read_clock() - intake.synced_at > COUNT_AGE_S)
+        wait_until(lambda: read_clock() - intake.synced_at > MAX_COUNT_AGE_S)
         assert set(instance.owned) == {0, 1}
         assert ask_peer(instance, "/units/0/pending/q") == {}
         assert call(instance, "GET", "/jobs/")[0] == 503
@@ -171,7 +171,7 @@
 
 
 def is_completed(instance: Instance, job: str) -> bool:
-    return look_up(instance.copy_of(job), job).state == "completed"
+    return look_up_job(instance.find_copy(job), job).state == "completed"
 
 
 def ask_peer(instance: Instance, path: str) -> dict:
@@ -193,7 +193,7 @@
         assert call(instance, "GET", "/jobs/") == (200, {"pending": 0})
         assert ask_peer(instance, f"/units/0/jobs/{jobs[0]}")["state"] == "completed"
         assert len(ask_peer(instance, "/units/1/load")["load"]) == 5
-        assert ask_about_job(instance, 0, jobs[0]) == Found("completed")
+        assert fetch_job(instance, 0, jobs[0]) == JobLookup("completed")
     for unit, runner in runners.items():
         assert {start[1].partition(".")[0] for start in runner.started} == {jobs[unit]}
 
@@ -244,6 +244,6 @@
     instance.layout.owners[1] = Owner(3, "127.0.0.1:9")
     answer = Ok(JsonAnswer(200, body))
     monkeypatch.setattr(peers, "call_json", lambda *_: answer)
-    assert peers.ask_load(instance, 1) is None
+    assert peers.fetch_load(instance, 1) is None
     text = generate_latest(instance.meters.registry).decode()
     assert 'plantainyard_events_total{event="peer_silent"} 1.0' in text
--- a/plantainyard/entry/unit.py
+++ b/plantainyard/entry/unit.py
@@ -55,7 +55,7 @@
 )
 from plantainyard.platform.store import Append, StoreCalls
 
-__all__ = ["UnitActor", "UnitWorld", "keep_unit_actor"]
+__all__ = ["UnitActor", "UnitContext", "run_unit_actor"]
 
 TICK_S = 0.1
 """Time between looks at what waits for a time: repeats, leases, schedules."""
@@ -78,7 +78,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class UnitWorld:
+class UnitContext:
     """What a unit's actor works with.
 
     Attributes
@@ -107,7 +107,7 @@
     runners: RunnerCalls
     replica: Replica
     log: EventLog
-    depose: Callable[[], None]
+    step_down: Callable[[], None]
     meters: Meters
     dispatcher: Dispatcher = field(default_factory=lambda: Dispatcher(Limits()))
     stopping: threading.Event = field(default_factory=threading.Event)
@@ -137,9 +137,9 @@
         """
         return queue.SimpleQueue()
 
-    def __init__(self, world: UnitWorld, dispatcher: Dispatcher) -> None:
+    def __init__(self, context: UnitContext, dispatcher: Dispatcher) -> None:
         super().__init__()
-        self.world = world
+        self.context = context
         self.dispatcher = dispatcher
         self.sequence = 0
         self.commits = ThreadPoolExecutor(1, "commit")
@@ -147,7 +147,7 @@
 
     def on_receive(self, message: Any) -> None:
         """Take in an event and carry out what the dispatcher asks for."""
-        if self.world.stopping.is_set():
+        if self.context.stopping.is_set():
             return
         now = read_clock()
         if isinstance(message, HoldAnswered):
@@ -162,7 +162,7 @@
         done = message.result.outcome == OrderOutcome.DONE
         if message.kind != OrderKind.START or job is None or not done:
             return
-        self.world.log.write(
+        self.context.log.write(
             "run_started",
             job=message.task.job_id,
             task=message.task[1:],
@@ -172,9 +172,9 @@
         )
 
     def _note_begun(self, action: Begun) -> None:
-        self.world.meters.first_start.observe(action.waited_s)
-        self.world.log.write("job_begun", job=action.job_id, waited_s=action.waited_s)
-        note_begun(self.world.replica, action.job_id)
+        self.context.meters.first_start.observe(action.waited_s)
+        self.context.log.write("job_begun", job=action.job_id, waited_s=action.waited_s)
+        note_begun(self.context.replica, action.job_id)
 
     def _log_ends(self, message: HoldAnswered) -> None:
         runner = self.dispatcher.runners.get(message.life)
@@ -182,7 +182,7 @@
             return
         for end in message.held.ended:
             if end.number > runner.seen:
-                self.world.log.write(
+                self.context.log.write(
                     "run_ended",
                     job=end.task.job_id,
                     task=end.task[1:],
@@ -211,8 +211,8 @@
         begins from the store.
         """
         frames = tb.format_exception(exception_type, exception_value, traceback)
-        self.world.log.write("unit_failed", unit=self.world.unit, why=frames[-3:])
-        self.world.depose()
+        self.context.log.write("unit_failed", unit=self.context.unit, why=frames[-3:])
+        self.context.step_down()
 
     def _perform(self, action: Action) -> None:
         if isinstance(action, Commit):
@@ -223,7 +223,7 @@
         elif isinstance(action, Begun):
             self._note_begun(action)
         elif isinstance(action, Delivered):
-            note_delivered(self.world.replica, action.job_ids)
+            note_delivered(self.context.replica, action.job_ids)
         elif isinstance(action, Forward):
             self.forwards.submit(self._forward, action)
         else:
@@ -237,13 +237,13 @@
         Guards against old progress over new: an answer may come when this ownership is
         over and the instance owns the unit again, under a later one.
         """
-        world = self.world
+        context = self.context
         append = Append(
-            PROGRESS, world.unit, action.records, PRODUCER, world.epoch, sequence
+            PROGRESS, context.unit, action.records, PRODUCER, context.epoch, sequence
         )
-        if append_until_known(world, append) and not world.stopping.is_set():
+        if append_until_answered(context, append) and not context.stopping.is_set():
             for record in action.records:
-                apply_record(world.replica, record.key, record.value)
+                apply_record(context.replica, record.key, record.value)
             for summary in action.summaries:
                 self._note_end(summary)
             self.actor_ref.tell(Committed())
@@ -255,8 +255,8 @@
         -----
         The counters tell of all jobs, also of those whose lines are left out.
         """
-        world = self.world
-        world.log.write(
+        context = self.context
+        context.log.write(
             "job_ended",
             job=summary.job_id,
             state=summary.state,
@@ -266,9 +266,9 @@
             lost=summary.lost,
         )
         for part, seconds in summary.times.items():
-            world.meters.task_seconds.labels(part).inc(seconds)
+            context.meters.task_seconds.labels(part).inc(seconds)
         for how, runs in summary.lost.items():
-            world.meters.lost_runs.labels(how).inc(runs)
+            context.meters.lost_runs.labels(how).inc(runs)
 
     def _forward(self, action: Forward) -> None:
         """Store records for another unit, however often it takes.
@@ -278,29 +278,29 @@
         No fencing is needed: whoever owned this unit when the handing over was stored
         may send the job, and a repeat changes nothing.
         """
-        world = self.world
+        context = self.context
         append = Append(INTAKE, action.unit, action.records)
-        while not world.stopping.is_set():
-            answer = world.store.append(append, SLOW_APPEND_TIMEOUT_S)
+        while not context.stopping.is_set():
+            answer = context.store.append(append, SLOW_APPEND_TIMEOUT_S)
             if isinstance(answer, Ok):
                 keys = [record.key for record in action.records]
                 for key in keys:
-                    world.log.write("job_handed_over", key=key, unit=action.unit)
+                    context.log.write("job_handed_over", key=key, unit=action.unit)
                 self._tell(Forwarded(keys))
                 return
             why = answer.err_value.detail
-            world.log.write("order_failed", kind="forward", why=why)
-            world.stopping.wait(RETRY_S)
+            context.log.write("order_failed", kind="forward", why=why)
+            context.stopping.wait(RETRY_S)
 
     def _hold(self, action: SendHold) -> None:
         sent_at = read_clock()
         entry = action.entry
-        order = _address(entry, self.world.epoch, lease=action.lease_until_ms)
+        order = _address(entry, self.context.epoch, lease=action.lease_until_ms)
 
         def take(answer: Result[Held, CallError]) -> None:
             self._tell(self._judge_report(entry.life, answer, sent_at))
 
-        self.world.runners.hold(
+        self.context.runners.hold(
             order, action.last_seen, action.wait_s, HOLD_TIMEOUT_S, take
         )
 
@@ -311,8 +311,8 @@
             return HoldAnswered(life, answer.ok_value, sent_at)
         error = answer.err_value
         if error.kind == ErrorKind.CONFLICT:
-            self.world.depose()
-        self.world.log.write("runner_silent", runner=life, why=error.detail)
+            self.context.step_down()
+        self.context.log.write("runner_silent", runner=life, why=error.detail)
         other_life = error.kind == ErrorKind.OTHER_LIFE
         return HoldFailed(life, sent_at, error.detail, other_life)
 
@@ -324,13 +324,13 @@
             address=action.entry.address,
             task=action.task,
             run=action.run,
-            fence=self.world.epoch,
+            fence=self.context.epoch,
             spec=action.spec,
             lease_until_ms=action.lease_until_ms,
             checkpoint=action.checkpoint,
             percent=action.percent,
         )
-        calls = self.world.runners
+        calls = self.context.runners
         send = {
             OrderKind.START: calls.start,
             OrderKind.STOP: calls.stop,
@@ -346,9 +346,9 @@
         self, action: SendOrder, result: OrderResult, sent_at: float
     ) -> None:
         if result.outcome == OrderOutcome.FENCED:
-            self.world.depose()
+            self.context.step_down()
         if result.outcome != OrderOutcome.DONE:
-            self.world.log.write(
+            self.context.log.write(
                 "order_failed",
                 kind=action.kind,
                 job=action.task.job_id,
@@ -382,7 +382,7 @@
     )
 
 
-def append_until_known(world: UnitWorld, append: Append) -> bool:
+def append_until_answered(context: UnitContext, append: Append) -> bool:
     """Send an append until the store has it; return False if a successor fenced it.
 
     Notes
@@ -391,36 +391,38 @@
     seconds later. A repeat under the same sequence number is stored once.
     """
     timeout_s = APPEND_TIMEOUT_S
-    while not world.stopping.is_set():
-        answer = world.store.append(append, timeout_s)
+    while not context.stopping.is_set():
+        answer = context.store.append(append, timeout_s)
         if isinstance(answer, Err):
             timeout_s = SLOW_APPEND_TIMEOUT_S
-            world.log.write("order_failed", kind="append", why=answer.err_value.detail)
-            world.stopping.wait(RETRY_S)
+            context.log.write(
+                "order_failed", kind="append", why=answer.err_value.detail
+            )
+            context.stopping.wait(RETRY_S)
             continue
         if answer.ok_value.accepted:
             return True
-        world.depose()
+        context.step_down()
         return False
     return False
 
 
 @contextlib.contextmanager
-def keep_unit_actor(
-    world: UnitWorld, dispatcher: Dispatcher
+def run_unit_actor(
+    context: UnitContext, dispatcher: Dispatcher
 ) -> Iterator[pykka.ActorRef[UnitActor]]:
     """Run a unit's actor, and its clock, for the length of the context."""
-    actor = UnitActor.start(world, dispatcher)
-    ticker = threading.Thread(target=_tick, args=(world, actor), daemon=True)
+    actor = UnitActor.start(context, dispatcher)
+    ticker = threading.Thread(target=_tick, args=(context, actor), daemon=True)
     ticker.start()
     try:
         yield actor
     finally:
-        world.stopping.set()
+        context.stopping.set()
         actor.stop(block=False)
 
 
-def _tick(world: UnitWorld, actor: pykka.ActorRef[UnitActor]) -> None:
-    while not world.stopping.wait(TICK_S):
+def _tick(context: UnitContext, actor: pykka.ActorRef[UnitActor]) -> None:
+    while not context.stopping.wait(TICK_S):
         with contextlib.suppress(pykka.ActorDeadError):
             actor.tell(Tick())
