--- a/plantainyard/platform/runners.py
+++ b/plantainyard/platform/runners.py
@@ -8,11 +8,16 @@
 
 from plantainyard.batch.tasks import TaskKey
 from plantainyard.clock import read_clock
-from plantainyard.connections import Answered, Call, build_request
+from plantainyard.connections import Call, ResultCallback, build_request
 from plantainyard.errors import CallError, ErrorKind
 from plantainyard.multiplexer import Multiplexer
 from plantainyard.platform.bodies import encode_body, read_object
-from plantainyard.transport import HttpAnswer, Observer, ignore_call, name_result
+from plantainyard.transport import (
+    CallObserver,
+    HttpResponse,
+    classify_result,
+    discard_observation,
+)
 
 __all__ = [
     "Held",
@@ -80,7 +85,7 @@
         The runner refuses what doesn't fit.
     ``REFUSED``
         It did nothing, for another reason.
-    ``OTHER_LIFE``
+    ``OTHER_INCARNATION``
         The life that was meant is over.
     ``UNKNOWN``
         No answer: it may be carried out at once, seconds later, or never.
@@ -92,7 +97,7 @@
     LATE = "late"
     NO_ROOM = "no room"
     REFUSED = "refused"
-    OTHER_LIFE = "other life"
+    OTHER_INCARNATION = "other life"
     UNKNOWN = "unknown"
 
 
@@ -105,11 +110,11 @@
 
 _ERROR_KINDS = {
     OrderOutcome.FENCED: ErrorKind.CONFLICT,
-    OrderOutcome.OTHER_LIFE: ErrorKind.OTHER_LIFE,
+    OrderOutcome.OTHER_INCARNATION: ErrorKind.OTHER_INCARNATION,
     OrderOutcome.UNKNOWN: ErrorKind.LOST,
 }
 
-OTHER_LIFE = 421
+OTHER_INCARNATION = 421
 
 KEPT_TASKS = 8192
 """Parsed names of tasks that are kept: each is in one report after the other for as
@@ -214,7 +219,7 @@
     ----------
     multiplexer : Multiplexer
         The connections.
-    observe : Observer
+    observe : CallObserver
         Told of each call.
 
     Notes
@@ -223,7 +228,7 @@
     """
 
     multiplexer: Multiplexer
-    observe: Observer = ignore_call
+    observe: CallObserver = discard_observation
 
     def start(self, order: Order, timeout_s: float, answered: OrderAnswer) -> None:
         """Order a run to start; a repeat of the same order does no harm."""
@@ -282,7 +287,7 @@
         if wait_s:
             body["waitMs"] = round(wait_s * 1000)
 
-        def take(answer: Result[HttpAnswer, CallError]) -> None:
+        def take(answer: Result[HttpResponse, CallError]) -> None:
             answered(answer.and_then(lambda found: decode_held(found, order)))
 
         self._call("hold", order, body, timeout_s + wait_s, take)
@@ -299,7 +304,7 @@
         timeout_s: float,
         answered: OrderAnswer,
     ) -> None:
-        def take(answer: Result[HttpAnswer, CallError]) -> None:
+        def take(answer: Result[HttpResponse, CallError]) -> None:
             if isinstance(answer, Err):
                 detail = answer.err_value.detail
                 answered(OrderResult(OrderOutcome.UNKNOWN, None, detail))
@@ -314,13 +319,13 @@
         order: Order,
         body: dict[str, Any],
         timeout_s: float,
-        answered: Answered,
+        answered: ResultCallback,
     ) -> None:
         step = f"runner.{name}"
         began = read_clock()
 
-        def take(answer: Result[HttpAnswer, CallError]) -> None:
-            self.observe(step, name_result(answer), read_clock() - began)
+        def take(answer: Result[HttpResponse, CallError]) -> None:
+            self.observe(step, classify_result(answer), read_clock() - began)
             answered(answer)
 
         headers = {
@@ -334,12 +339,12 @@
         self.multiplexer.send(call)
 
 
-def build_runner_calls(observe: Observer = ignore_call) -> RunnerCalls:
+def build_runner_calls(observe: CallObserver = discard_observation) -> RunnerCalls:
     """Return calls to runners with connections of their own."""
     return RunnerCalls(Multiplexer(), observe)
 
 
-def decode_result(answer: HttpAnswer) -> OrderResult:
+def decode_result(answer: HttpResponse) -> OrderResult:
     data = read_object(answer)
     clock = data.get("clockMs")
     clock_ms = clock if isinstance(clock, int) else None
@@ -349,20 +354,20 @@
     if answer.status == 409:
         outcome = _OUTCOMES.get(data.get("reason", ""), OrderOutcome.REFUSED)
         return OrderResult(outcome, clock_ms, detail)
-    if answer.status == OTHER_LIFE:
-        return OrderResult(OrderOutcome.OTHER_LIFE, None, detail)
+    if answer.status == OTHER_INCARNATION:
+        return OrderResult(OrderOutcome.OTHER_INCARNATION, None, detail)
     if 400 <= answer.status < 500 or answer.status == 503:
         return OrderResult(OrderOutcome.REFUSED, clock_ms, detail)
     return OrderResult(OrderOutcome.UNKNOWN, clock_ms, detail)
 
 
-def decode_held(answer: HttpAnswer, order: Order) -> Result[Held, CallError]:
+def decode_held(answer: HttpResponse, order: Order) -> Result[Held, CallError]:
     """Return a runner's report, or why there is none.
 
     Notes
     -----
-    ``CONFLICT`` means that the runner has seen a higher fencing token, ``OTHER_LIFE``
-    that the life that was meant is over.
+    ``CONFLICT`` means that the runner has seen a higher fencing token,
+    ``OTHER_INCARNATION`` that the incarnation that was meant is over.
     """
     step, peer = "runner.hold", order.runner
     if answer.status != 200:
--- a/plantainyard/platform/tests/test_decoding.py
+++ b/plantainyard/platform/tests/test_decoding.py
@@ -14,7 +14,7 @@
 from plantainyard.platform.settings import parse_instance_settings
 from plantainyard.platform.store import Record, _pack_record, _unpack_record
 from plantainyard.platform.submissions import decode_body
-from plantainyard.transport import HttpAnswer
+from plantainyard.transport import HttpResponse
 
 SETTINGS = """\
 node = "edge-1"
@@ -82,7 +82,7 @@
 def test_an_entry_is_decoded():
     entry = decode_entry("i-1", json.dumps(ENTRY).encode())
     assert entry is not None
-    assert entry.life == "i-1@1700000000000"
+    assert entry.incarnation == "i-1@1700000000000"
     assert entry.rack == "r1-3"
     assert entry.capacity == Resources(16000, 32768, 0)
     assert not entry.draining
@@ -166,7 +166,7 @@
     [
         (409, "fence", ErrorKind.CONFLICT),
         (409, "late", ErrorKind.REFUSED),
-        (421, "", ErrorKind.OTHER_LIFE),
+        (421, "", ErrorKind.OTHER_INCARNATION),
         (503, "", ErrorKind.REFUSED),
         (500, "", ErrorKind.LOST),
     ],
@@ -178,5 +178,5 @@
     # token that it holds. Taken for a successor's, the owner of the unit gives it up.
     order = Order("r0", 1, "a:1", parse_task("a.0.0.0"), 0, 7)
     body = json.dumps({"reason": reason, "fence": 7, "clockMs": 5}).encode()
-    error = decode_held(HttpAnswer(status, {}, body), order).unwrap_err()
+    error = decode_held(HttpResponse(status, {}, body), order).unwrap_err()
     assert error.kind == kind
