--- a/plantainyard/entry/instance.py
+++ b/plantainyard/entry/instance.py
@@ -13,9 +13,9 @@
 from plantainyard.clock import read_clock
 from plantainyard.dispatch import (
     EMPTY_COUNTS,
-    Cancelled,
+    CancelRequested,
     Event,
-    Submitted,
+    JobSubmitted,
     count_state,
 )
 from plantainyard.entry.copies import UnitCopy
@@ -177,12 +177,12 @@
             return
         kind = parse_key(record.key).kind
         if kind == RecordKind.SUBMISSION:
-            self.send_event(unit, Submitted(decode_submission(record.value)))
+            self.send_event(unit, JobSubmitted(decode_submission(record.value)))
             # A job that was handed over may come after the request to cancel it.
             if self.copies[unit].replica.jobs[job_id].cancelled:
-                self.send_event(unit, Cancelled(job_id))
+                self.send_event(unit, CancelRequested(job_id))
         elif kind == RecordKind.CANCEL:
-            self.send_event(unit, Cancelled(job_id))
+            self.send_event(unit, CancelRequested(job_id))
 
     def send_event(self, unit: int, event: Event) -> None:
         """Tell an owned unit's actor; a unit that was lost meanwhile needs no word."""
--- a/plantainyard/entry/ownership_manager.py
+++ b/plantainyard/entry/ownership_manager.py
@@ -8,7 +8,7 @@
 from result import Err
 
 from plantainyard.clock import read_clock
-from plantainyard.dispatch import Renewed
+from plantainyard.dispatch import OwnershipRenewed
 from plantainyard.entry.claims import (
     Candidate,
     ClaimReason,
@@ -147,7 +147,7 @@
                 self.give_up(unit)
             elif held is not None and held.epoch == claim.epoch:
                 claim.confirmed_at = max(claim.confirmed_at, read_at)
-                instance.send_event(unit, Renewed(read_at))
+                instance.send_event(unit, OwnershipRenewed(read_at))
             if read_clock() - claim.confirmed_at > MAX_UNCONFIRMED_S:
                 self.give_up(unit)
 
