--- a/plantainyard/configuration.py
+++ b/plantainyard/configuration.py
@@ -14,12 +14,12 @@
 __all__ = [
     "KEYS",
     "ConfigurationKey",
-    "check_change",
-    "find_key",
-    "flatten_changes",
     "build_instance_draining_key",
     "build_quota_key",
     "build_worker_draining_key",
+    "check_change",
+    "find_key",
+    "flatten_changes",
 ]
 
 PLACEHOLDER = "<name>"
--- a/plantainyard/logs.py
+++ b/plantainyard/logs.py
@@ -12,7 +12,7 @@
 from plantainyard.errors import CallError, describe_error
 from plantainyard.settings import Secret, Settings
 
-__all__ = ["get_logger", "configure_logging", "log_call_error", "log_step"]
+__all__ = ["configure_logging", "get_logger", "log_call_error", "log_step"]
 
 ROOT = "plantainyard"
 FORMAT = "%(asctime)s %(levelname)s %(name)s %(message)s"
--- a/plantainyard/membership/authority.py
+++ b/plantainyard/membership/authority.py
@@ -12,14 +12,14 @@
     "EPOCHS_PER_TERM",
     "Authority",
     "AuthorityTerms",
-    "find_confirmed",
-    "find_end",
+    "find_authority_end",
+    "find_confirmation_time",
     "has_authority",
     "has_majority",
     "make_epoch",
-    "note_accepted",
-    "note_gone",
-    "note_read",
+    "record_acceptance",
+    "record_read_epoch",
+    "record_terminated",
 ]
 
 EPOCHS_PER_TERM = 1000
@@ -95,7 +95,9 @@
     return (term + 1) * EPOCHS_PER_TERM + takeover
 
 
-def note_read(authority: Authority, worker: str, epoch: int, sent_at: float) -> None:
+def record_read_epoch(
+    authority: Authority, worker: str, epoch: int, sent_at: float
+) -> None:
     """Note the epoch that `worker` showed, before it accepted this one.
 
     Parameters
@@ -113,7 +115,7 @@
         authority.read[worker] = sent_at
 
 
-def note_accepted(
+def record_acceptance(
     authority: Authority, worker: str, sent_at: float, now: float
 ) -> None:
     """Note that `worker` accepted the epoch in a call sent at `sent_at`.
@@ -136,7 +138,7 @@
     _note_fenced(authority, now)
 
 
-def note_gone(authority: Authority, gone: Iterable[str], now: float) -> None:
+def record_terminated(authority: Authority, gone: Iterable[str], now: float) -> None:
     """Note workers that are vouched to run nothing and to answer nobody."""
     authority.gone = frozenset(gone)
     _note_fenced(authority, now)
@@ -176,7 +178,7 @@
     return authority.established_at is not None
 
 
-def find_confirmed(authority: Authority) -> float:
+def find_confirmation_time(authority: Authority) -> float:
     """Return the latest time since which a majority accepted this epoch.
 
     Returns
@@ -196,7 +198,7 @@
     return 2 * len(frozenset(part)) > len(whole)
 
 
-def find_end(authority: Authority) -> float:
+def find_authority_end(authority: Authority) -> float:
     """Return the time at which the authority ends if nothing more is accepted.
 
     Returns
@@ -205,7 +207,7 @@
         Minus infinity where there is none.
     """
     lease_s = authority.terms.lease_s * (1.0 - authority.terms.drift)
-    return find_confirmed(authority) + lease_s
+    return find_confirmation_time(authority) + lease_s
 
 
 def has_authority(authority: Authority, now: float) -> bool:
@@ -222,6 +224,6 @@
     a still newer epoch may have taken the majority meanwhile.
     """
     begins = authority.established_at
-    if begins is None or not begins <= now < find_end(authority):
+    if begins is None or not begins <= now < find_authority_end(authority):
         return False
-    return not authority.waited or find_confirmed(authority) >= begins
+    return not authority.waited or find_confirmation_time(authority) >= begins
--- a/plantainyard/membership/ownership.py
+++ b/plantainyard/membership/ownership.py
@@ -16,14 +16,14 @@
     "ClaimRack",
     "ClaimSeen",
     "EndTerm",
-    "GiveUpRack",
     "OwnershipAction",
     "OwnershipEvent",
     "OwnershipSettings",
     "OwnershipState",
     "OwnershipTick",
+    "ReleaseRack",
     "Superseded",
-    "forget_claim",
+    "reset_claim",
     "step_ownership",
 ]
 
@@ -103,7 +103,7 @@
     workers: frozenset[str]
 
 
-class GiveUpRack(NamedTuple):
+class ReleaseRack(NamedTuple):
     """Write a claim with an empty holder on top of `base`, having stopped acting."""
 
     base: int
@@ -131,7 +131,7 @@
     """Stop acting for the rack."""
 
 
-OwnershipAction = ClaimRack | GiveUpRack | BeginTerm | EndTerm
+OwnershipAction = ClaimRack | ReleaseRack | BeginTerm | EndTerm
 
 
 class OwnershipState:
@@ -177,7 +177,7 @@
             return _take_tick(state, event, now)
 
 
-def forget_claim(state: OwnershipState) -> None:
+def reset_claim(state: OwnershipState) -> None:
     """Start over from the log, whose state was replaced by a snapshot.
 
     Notes
@@ -252,9 +252,9 @@
         return []
     state.claimed_base = base
     state.claimed_at = now
-    if isinstance(action, GiveUpRack):
+    if isinstance(action, ReleaseRack):
         state.given_up = action.base
-    if isinstance(action, GiveUpRack) and state.epoch:
+    if isinstance(action, ReleaseRack) and state.epoch:
         state.epoch = 0
         return [EndTerm(), action]
     return [action]
@@ -262,7 +262,7 @@
 
 def _choose_claim(
     state: OwnershipState, tick: OwnershipTick, base: int, now: float
-) -> ClaimRack | GiveUpRack | None:
+) -> ClaimRack | ReleaseRack | None:
     holder = state.claim.holder if state.claim else ""
     if holder == state.name:
         return _review_own(state, tick, base, now)
@@ -294,10 +294,10 @@
 
 def _review_own(
     state: OwnershipState, tick: OwnershipTick, base: int, now: float
-) -> ClaimRack | GiveUpRack | None:
+) -> ClaimRack | ReleaseRack | None:
     settled = now - state.preferred_since >= state.settings.rebalance_s
     if tick.stopping or (state.preferred != state.name and settled):
-        return GiveUpRack(base)
+        return ReleaseRack(base)
     named = frozenset(state.claim.workers if state.claim else ())
     # Too few of the workers on which the authority rests are left, or most of the
     # rack's workers have no say: claim again, naming those that there are.
--- a/plantainyard/membership/tests/test_authority.py
+++ b/plantainyard/membership/tests/test_authority.py
@@ -11,8 +11,8 @@
     AuthorityTerms,
     has_authority,
     make_epoch,
-    note_accepted,
-    note_read,
+    record_acceptance,
+    record_read_epoch,
 )
 
 TERMS = AuthorityTerms(lease_s=10.0, drift=0.05)
@@ -139,9 +139,9 @@
         for contender, worker, reads, sent_at, answer in calls:
             clock = self.read_clock(contender)
             if reads:
-                note_read(contender.authority, worker, answer, sent_at)
+                record_read_epoch(contender.authority, worker, answer, sent_at)
             elif answer:
-                note_accepted(contender.authority, worker, sent_at, clock)
+                record_acceptance(contender.authority, worker, sent_at, clock)
 
     @rule(seconds=st.one_of(st.floats(0.0, 2.0), st.floats(8.0, 12.0)))
     def pass_time(self, seconds: float) -> None:
@@ -174,18 +174,18 @@
     caretaker = Authority(TERMS, workers, [workers])
     successor = Authority(TERMS, workers, [workers], stopped=True)
     for worker in workers:
-        note_read(successor, worker, make_epoch(3), 100.0)
+        record_read_epoch(successor, worker, make_epoch(3), 100.0)
     for sent_at in (101.0, 104.0):
         for worker in workers:
-            note_accepted(caretaker, worker, sent_at, sent_at)
+            record_acceptance(caretaker, worker, sent_at, sent_at)
     for worker in workers:
-        note_accepted(successor, worker, 105.0, 105.0)
+        record_acceptance(successor, worker, 105.0, 105.0)
     assert has_authority(successor, 105.0)
     assert not any(has_authority(caretaker, 100.0 + n / 10) for n in range(300))
     slow = Authority(TERMS, workers, [workers], stopped=True)
     for worker in workers:
-        note_read(slow, worker, make_epoch(3), 100.0)
-        note_accepted(slow, worker, 110.0, 110.0)
+        record_read_epoch(slow, worker, make_epoch(3), 100.0)
+        record_acceptance(slow, worker, 110.0, 110.0)
     assert not has_authority(slow, 110.0)
 
 
@@ -199,7 +199,7 @@
     successor = Authority(TERMS, ["w2", "w3", "w4"], [["w0", "w1", "w2"]])
     for now in range(100, 130):
         for worker in ("w0", "w1"):
-            note_accepted(owner, worker, now, now)
+            record_acceptance(owner, worker, now, now)
         for worker in ("w2", "w3", "w4"):
-            note_accepted(successor, worker, now, now)
+            record_acceptance(successor, worker, now, now)
         assert has_authority(owner, now) and not has_authority(successor, now)
--- a/plantainyard/membership/tests/test_ownership.py
+++ b/plantainyard/membership/tests/test_ownership.py
@@ -3,11 +3,11 @@
     ClaimRack,
     ClaimSeen,
     EndTerm,
-    GiveUpRack,
     OwnershipSettings,
     OwnershipState,
     OwnershipTick,
-    forget_claim,
+    ReleaseRack,
+    reset_claim,
     step_ownership,
 )
 from plantainyard.state import Claim
@@ -52,6 +52,6 @@
     begun = step_ownership(state, ClaimSeen(claim), 100.0)
     assert [type(action) for action in begun] == [BeginTerm]
     stop = _tick({"a"})._replace(stopping=True)
-    assert step_ownership(state, stop, 120.0) == [EndTerm(), GiveUpRack(7)]
-    forget_claim(state)
+    assert step_ownership(state, stop, 120.0) == [EndTerm(), ReleaseRack(7)]
+    reset_claim(state)
     assert step_ownership(state, ClaimSeen(claim), 121.0) == []
--- a/plantainyard/metrics.py
+++ b/plantainyard/metrics.py
@@ -13,9 +13,9 @@
 
 __all__ = [
     "METRICS",
-    "MetricKind",
     "Meter",
     "Metric",
+    "MetricKind",
     "add_count",
     "add_timing",
     "create_meter",
--- a/plantainyard/node/domain.py
+++ b/plantainyard/node/domain.py
@@ -21,20 +21,20 @@
     ClaimRack,
     ClaimSeen,
     EndTerm,
-    GiveUpRack,
     OwnershipAction,
     OwnershipEvent,
     OwnershipSettings,
     OwnershipState,
     OwnershipTick,
+    ReleaseRack,
     Superseded,
-    find_confirmed,
-    forget_claim,
+    find_confirmation_time,
     has_authority,
     has_majority,
-    note_accepted,
-    note_gone,
-    note_read,
+    record_acceptance,
+    record_read_epoch,
+    record_terminated,
+    reset_claim,
     step_ownership,
 )
 from plantainyard.settings import Settings
@@ -198,7 +198,7 @@
         for rack in list(self.node.terms):
             end_term(self.node, rack)
         for ownership in self.node.ownerships.values():
-            forget_claim(ownership)
+            reset_claim(ownership)
         self._follow_claims(read_clock())
 
     def _follow_claims(self, now: float) -> None:
@@ -234,7 +234,7 @@
                     rack, node.name, base, workers, established
                 )
                 self._submit(record, now)
-            case GiveUpRack(base):
+            case ReleaseRack(base):
                 self._submit(log_state.make_claim(rack, "", base, (), established), now)
 
     def _decide_on_news(self, now: float) -> None:
@@ -270,7 +270,7 @@
             for info in node.workers.get(rack, {}).values()
         )
         listed = execution.WorkersListed(workers, node.gone)
-        note_gone(term.authority, node.gone & term.authority.workers, now)
+        record_terminated(term.authority, node.gone & term.authority.workers, now)
         _step_rack(term, node.domain, listed, now)
         execution.learn_workers(term.plan, term.rack, now)
         patience_s = find_patience(node.settings)
@@ -319,7 +319,7 @@
                     forget = partial(execution.forget_reports, term.rack, items)
                     self._submit(record, now, forget)
                 case execution.Fenced(worker, sent_at):
-                    note_accepted(term.authority, worker, sent_at, now)
+                    record_acceptance(term.authority, worker, sent_at, now)
                 case execution.Superseded(worker, newer, holder):
                     _logger.warning(
                         "superseded by %s with epoch %d",
@@ -336,7 +336,7 @@
         event = message.event
         if isinstance(event, execution.WorkerAnswered) and not event.fencing:
             epoch = event.answer.state.epoch
-            note_read(term.authority, event.worker, epoch, event.sent_at)
+            record_read_epoch(term.authority, event.worker, epoch, event.sent_at)
         actions = _step_rack(term, self.node.domain, event, now)
         if isinstance(event, execution.WorkerAnswered):
             view = term.rack.views.get(event.worker)
@@ -371,6 +371,6 @@
 def _step_rack(
     term: Term, domain: log_state.DomainState, event: execution.Event, now: float
 ) -> list[execution.Action]:
-    term.rack.confirmed_at = find_confirmed(term.authority)
+    term.rack.confirmed_at = find_confirmation_time(term.authority)
     term.rack.has_majority = has_majority(term.authority)
     return execution.step(term.rack, domain, event, now)
--- a/plantainyard/node/racks.py
+++ b/plantainyard/node/racks.py
@@ -10,7 +10,7 @@
 from plantainyard.membership import (
     BeginTerm,
     OwnershipState,
-    find_end,
+    find_authority_end,
     has_authority,
 )
 from plantainyard.settings import Settings
@@ -166,7 +166,7 @@
 
 def tell_runners(node: DomainNode, rack: str, term: Term, now: float) -> None:
     """Tell the lender of the authority over a rack and of its runners."""
-    until = find_end(term.authority)
+    until = find_authority_end(term.authority)
     epoch = term.rack.epoch if has_authority(term.authority, now) else 0
     runners = tuple(runner for runner, _ in iter_runners(term, node.domain))
     node.tell_lender(RackAuthority(rack, epoch, until))
--- a/plantainyard/node/reports.py
+++ b/plantainyard/node/reports.py
@@ -4,7 +4,7 @@
 
 from plantainyard import state as log_state
 from plantainyard.execution import Recording
-from plantainyard.membership import find_end, has_authority
+from plantainyard.membership import find_authority_end, has_authority
 from plantainyard.work import format_task
 
 from .terms import Term
@@ -26,7 +26,7 @@
 def find_untils(actor: Any, now: float) -> dict[str, float]:
     """Return the end of the authority over each rack that this instance has."""
     return {
-        rack: find_end(term.authority)
+        rack: find_authority_end(term.authority)
         for rack, term in actor.node.terms.items()
         if has_authority(term.authority, now)
     }
--- a/plantainyard/node/terms.py
+++ b/plantainyard/node/terms.py
@@ -18,10 +18,10 @@
 __all__ = [
     "Term",
     "begin_term",
-    "empty_workers",
-    "find_patience",
     "build_lease_terms",
+    "empty_workers",
     "feed_record",
+    "find_patience",
     "iter_runners",
     "list_leaving",
     "name_runner",
--- a/plantainyard/node/tests/world.py
+++ b/plantainyard/node/tests/world.py
@@ -41,10 +41,10 @@
 __all__ = [
     "CAPACITY",
     "LEASE_S",
-    "Process",
     "RACK",
     "SNAPSHOTS",
     "WORKERS",
+    "Process",
     "World",
 ]
 
--- a/plantainyard/state/__init__.py
+++ b/plantainyard/state/__init__.py
@@ -156,6 +156,10 @@
 )
 
 __all__ = [
+    "MAX_COMPLETED",
+    "MAX_DELETED",
+    "MAX_HISTORY",
+    "MAX_VERDICTS",
     "AbandonRecord",
     "AcceptRecord",
     "Answered",
@@ -189,10 +193,6 @@
     "JobSummary",
     "LogRecord",
     "Lost",
-    "MAX_COMPLETED",
-    "MAX_DELETED",
-    "MAX_HISTORY",
-    "MAX_VERDICTS",
     "MoveRecord",
     "Outcome",
     "Ranges",
--- a/plantainyard/transport.py
+++ b/plantainyard/transport.py
@@ -28,16 +28,16 @@
 """Receives each call's step, its result class and its duration in seconds."""
 
 __all__ = [
-    "HttpResponse",
-    "HttpPeer",
     "CallObserver",
+    "HttpPeer",
+    "HttpResponse",
     "JsonResponse",
     "build_peer",
     "build_pool",
     "call_json",
-    "parse_response",
-    "discard_observation",
     "classify_result",
+    "discard_observation",
+    "parse_response",
     "read_retry_after",
     "send_request",
 ]
