--- a/plantainyard/entry/claims.py
+++ b/plantainyard/entry/claims.py
@@ -1,12 +1,12 @@
-"""Whether an instance claims a unit that the group has dealt to it.
-
-The load that it answers: the platform deals all units anew whenever a member comes or
-goes, and at times without cause. After a loss of power, or while instances are
-restarted one after the other, that happens several times within seconds, and each
-change of owner costs a reading of the unit and a look at all its runners. So the group
-names candidates only. A unit stays with its owner while that one is at work, and the
-candidate takes it where the owner is gone, leaves, is cut off from the store, or has
-two units more than the candidate.
+"""Rules by which an instance claims a unit that the group has assigned to it.
+
+The platform reassigns all units whenever a member joins or leaves the group, and
+sometimes without cause. After a power loss, or during a rolling restart, this happens
+several times within seconds, and each change of owner costs a read of the unit and a
+query of all its runners. The group's assignment therefore only names candidates. A
+unit stays with its owner while that owner is running, and the candidate takes it over
+only if the owner is gone, is leaving, is cut off from the store, or owns at least two
+units more than the candidate.
 """
 
 from dataclasses import dataclass
@@ -22,30 +22,34 @@
 ]
 
 UNANSWERED_LIMIT = 3
-"""Questions in a row without an answer that show that an owner is gone; an owner that
-takes over several units at once is late with an answer now and then."""
+"""Consecutive unanswered queries after which an owner counts as gone. An owner that
+takes over several units at once occasionally answers too late."""
 
-SETTLED_S = 0.25
-"""Time for which the group must not have changed before a unit without an owner is
-claimed: after a loss of power the first instance that is back is dealt all of them."""
+SETTLE_S = 0.25
+"""Time in seconds for which the group must not have changed before a unit without an
+owner is claimed. After a power loss, the first instance that is back is assigned all
+units."""
 
 MAX_SETTLE_S = 0.9
-"""Longest wait for that: while instances are restarted in turn the group never rests,
-and a long-running task may be interrupted for three seconds."""
+"""Maximum wait in seconds for the group to settle. During a rolling restart the group
+keeps changing, and a long-running task may be interrupted for three seconds at most."""
 
 STALE_CONFIRMATION_S = 1.5
-"""Age of an owner's last word from the store from which it counts as cut off, where the
-candidate has had answers for twice as long. An owner asks twice a second."""
+"""Age in seconds of an owner's last confirmation by the store from which the owner
+counts as cut off, provided that the store has answered the candidate for twice as
+long. An owner queries the store twice a second."""
 
 MIN_MOVE_INTERVAL_S = 5.0
-"""Least time between two units that a candidate takes from owners at work."""
+"""Minimum time in seconds between two units that a candidate takes from running
+owners."""
 
 MIN_UNIT_DIFFERENCE = 2
-"""Units that an owner must have more than the candidate: a move then evens them out."""
+"""Number of units that an owner must have in excess of the candidate's for a move to
+even out the shares."""
 
 
 class ClaimReason:
-    """Names of the reasons for which a unit is claimed; for the log."""
+    """Reasons for which a unit is claimed, as written to the log."""
 
     VACANT = "vacant"
     SILENT = "silent"
@@ -56,143 +60,151 @@
 
 
 class OwnerStatus(NamedTuple):
-    """What an instance says of a unit that it owns or is taking over.
+    """Status that an instance reports for a unit that it owns or is taking over.
 
     Attributes
     ----------
     units : int
-        How many units it has.
-    confirmed_s : float
-        Age of its last proof that the store knows no later owner.
+        Number of units that the instance owns or is taking over.
+    confirmation_age_s : float
+        Time since the store last confirmed that it knows no later owner.
     leaving : bool
-        It goes on only until somebody takes the unit over.
+        The instance keeps the unit only until another instance takes it over.
     reserve : bool
-        It isn't a strong instance.
+        The instance isn't a strong one.
     """
 
     units: int
-    confirmed_s: float
+    confirmation_age_s: float
     leaving: bool
     reserve: bool
 
 
 class OwnerReply(NamedTuple):
-    """What came of asking a unit's owner.
+    """Result of querying the owner of a unit.
 
     Attributes
     ----------
-    heard : bool
-        There was an answer, or there is nobody to ask.
-    word : Word or None
-        What it says; None from an instance that doesn't own the unit.
+    answered : bool
+        The owner answered, or no owner is known.
+    status : OwnerStatus or None
+        The reported status; None from an instance that doesn't own the unit.
     """
 
-    heard: bool
-    word: OwnerStatus | None = None
+    answered: bool
+    status: OwnerStatus | None = None
 
 
 class Candidate(NamedTuple):
-    """The state of the instance that asks.
+    """State of the instance that considers claiming a unit.
 
     Attributes
     ----------
     now : float
-        Seconds on a clock that is never set back.
+        Seconds on a monotonic clock.
     units : int
-        How many units it has.
+        Number of units that the instance owns or is taking over.
     reserve : bool
-        It isn't a strong instance.
-    settled_s : float
-        Since when the group hasn't changed.
-    steady_s : float
-        Since when the store has answered it without a break.
-    rested_s : float
-        Since when it has taken no unit from an owner at work.
+        The instance isn't a strong one.
+    group_unchanged_s : float
+        Time since the group last changed.
+    store_answered_s : float
+        Time for which the store has answered the instance without interruption.
+    since_move_s : float
+        Time since the instance last took a unit from a running owner.
     """
 
     now: float
     units: int
     reserve: bool
-    settled_s: float
-    steady_s: float
-    rested_s: float
+    group_unchanged_s: float
+    store_answered_s: float
+    since_move_s: float
 
 
 @dataclass(slots=True)
 class OwnerObservation:
-    """What a candidate has seen of a unit's owner.
+    """What a candidate has observed of a unit's owner.
 
     Attributes
     ----------
-    silences : int
-        Questions in a row without an answer.
-    gone_since : float
-        Since when nobody seems to own the unit; zero where somebody does.
+    unanswered : int
+        Number of consecutive unanswered queries.
+    absent_since : float
+        Time since which the unit has appeared to have no owner; zero if it has one.
     """
 
-    silences: int = 0
-    gone_since: float = 0.0
+    unanswered: int = 0
+    absent_since: float = 0.0
 
 
 def decide_claim(
-    seen: OwnerObservation, reply: OwnerReply, candidate: Candidate
+    observation: OwnerObservation, reply: OwnerReply, candidate: Candidate
 ) -> str:
-    """Return why the candidate is to claim a unit, one of `ClaimReason`, or nothing.
+    """Return the `ClaimReason` for claiming a unit, or an empty string for no claim.
 
     Parameters
     ----------
-    seen : Seen
-        Of this unit; changed in place.
-    reply : Reply
-        Of its owner, just now.
+    observation : OwnerObservation
+        Observations of this unit's owner; updated in place.
+    reply : OwnerReply
+        The owner's latest reply.
     candidate : Candidate
-        Who asks.
+        State of the instance that considers the claim.
 
     Examples
     --------
     >>> candidate = Candidate(9.0, 0, False, 1.0, 60.0, 60.0)
-    >>> judge_owner(Seen(), Reply(True), candidate)
+    >>> decide_claim(OwnerObservation(), OwnerReply(True), candidate)
     'vacant'
-    >>> judge_owner(Seen(), Reply(True, Word(1, 0.3, False, False)), candidate)
+    >>> status = OwnerStatus(1, 0.3, False, False)
+    >>> decide_claim(OwnerObservation(), OwnerReply(True, status), candidate)
     ''
     """
-    if reply.word is None:
-        return _judge_absence(seen, reply.heard, candidate)
-    seen.silences = 0
-    seen.gone_since = 0.0
-    return _judge_word(reply.word, candidate)
+    if reply.status is None:
+        return _decide_without_status(observation, reply.answered, candidate)
+    observation.unanswered = 0
+    observation.absent_since = 0.0
+    return _decide_by_status(reply.status, candidate)
 
 
-def _judge_absence(seen: OwnerObservation, heard: bool, candidate: Candidate) -> str:
-    seen.silences = 0 if heard else seen.silences + 1
-    if not heard and seen.silences < UNANSWERED_LIMIT:
+def _decide_without_status(
+    observation: OwnerObservation, answered: bool, candidate: Candidate
+) -> str:
+    observation.unanswered = 0 if answered else observation.unanswered + 1
+    if not answered and observation.unanswered < UNANSWERED_LIMIT:
         return ""
-    seen.gone_since = seen.gone_since or candidate.now
-    waited_s = candidate.now - seen.gone_since
-    if candidate.settled_s < SETTLED_S and waited_s < MAX_SETTLE_S:
+    observation.absent_since = observation.absent_since or candidate.now
+    waited_s = candidate.now - observation.absent_since
+    if candidate.group_unchanged_s < SETTLE_S and waited_s < MAX_SETTLE_S:
         return ""
-    return ClaimReason.VACANT if heard else ClaimReason.SILENT
+    return ClaimReason.VACANT if answered else ClaimReason.SILENT
 
 
-def _judge_word(word: OwnerStatus, candidate: Candidate) -> str:
-    """Judge an owner that answers.
+def _decide_by_status(status: OwnerStatus, candidate: Candidate) -> str:
+    """Return the reason for claiming a unit whose owner answers, or an empty string.
 
     Notes
     -----
-    Guards against all owners being replaced at the end of an outage of the store: their
-    proofs are old then, and the first candidate that the store answers is in no better
-    place than they. Only one that the store has answered all the while may say so.
+    Guards against replacing all owners at the end of a store outage. Their
+    confirmations are stale then, but the first candidate that the store answers is no
+    better connected than they are. Only a candidate that the store has answered
+    throughout may treat an owner as cut off.
     """
-    if word.leaving:
+    if status.leaving:
         return ClaimReason.LEAVING
     if (
-        word.confirmed_s > STALE_CONFIRMATION_S
-        and candidate.steady_s > 2 * STALE_CONFIRMATION_S
+        status.confirmation_age_s > STALE_CONFIRMATION_S
+        and candidate.store_answered_s > 2 * STALE_CONFIRMATION_S
     ):
         return ClaimReason.CUT_OFF
-    if candidate.rested_s < MIN_MOVE_INTERVAL_S:
+    if candidate.since_move_s < MIN_MOVE_INTERVAL_S:
         return ""
-    if word.reserve and not candidate.reserve and candidate.units < MIN_UNIT_DIFFERENCE:
+    if (
+        status.reserve
+        and not candidate.reserve
+        and candidate.units < MIN_UNIT_DIFFERENCE
+    ):
         return ClaimReason.RESERVE
-    fair = word.units < candidate.units + MIN_UNIT_DIFFERENCE
-    return ClaimReason.SHARE if word.reserve == candidate.reserve and not fair else ""
+    fair = status.units < candidate.units + MIN_UNIT_DIFFERENCE
+    return ClaimReason.SHARE if status.reserve == candidate.reserve and not fair else ""
--- a/plantainyard/entry/group.py
+++ b/plantainyard/entry/group.py
@@ -1,4 +1,4 @@
-"""Which units this instance may claim, by the platform's group."""
+"""Membership in the platform's group, which decides the units an instance may claim."""
 
 import secrets
 import threading
@@ -21,68 +21,69 @@
 
 __all__ = ["GroupAssignment", "GroupMember", "follow_group", "make_member_name"]
 
-JOIN_EVERY_S = 0.3
-"""Time between renewals, and between a candidate's questions to the owners of what it
-was dealt: three of them may be lost before the group deals anew."""
+RENEW_INTERVAL_S = 0.3
+"""Time in seconds between renewals, and between a candidate's queries to the owners
+of its assigned units. Three renewals may be lost before the group reassigns units."""
 
 TTL_S = 1.2
-"""Time of silence after which the group names other candidates."""
+"""Time in seconds without a renewal after which the group names other candidates."""
 
 JOIN_TIMEOUT_S = 0.8
-"""Longest wait for an answer to a renewal."""
+"""Timeout in seconds of a renewal, a leave and a query of the group."""
 
 
 class GroupAssignment(NamedTuple):
-    """What the group has said.
+    """The group's answer to a renewal.
 
     Attributes
     ----------
     generation : int
         The group's generation.
     units : frozenset of int
-        Units that it has dealt to this instance.
-    steady_s : float
-        For how long it has answered without a break.
+        Units that the group has assigned to this instance.
+    store_answered_s : float
+        Time for which the store has answered without interruption.
     """
 
     generation: int
     units: frozenset[int]
-    steady_s: float = 0.0
+    store_answered_s: float = 0.0
 
 
 def make_member_name(instance: str, strong: bool = True) -> str:
-    """Return a name in the group for this life of an instance.
+    """Return a name in the group that is unique to this incarnation of an instance.
 
     Notes
     -----
-    Guards against an owner that comes back under the fencing token that it had: a
-    process that is killed and back within the time to live would join under the same
-    name, the group would see no change, and the store would refuse every append of
-    the new life, since the sequence numbers of that token are taken.
+    Guards against an owner that comes back under the same fencing token. A process that
+    is killed and restarted within the time to live would join under the same name, the
+    group would see no change, and the store would refuse every append of the new
+    incarnation, since the sequence numbers of that token are taken.
     """
-    mark = "" if strong else RESERVE_SUFFIX
-    return f"{instance}/{secrets.token_hex(4)}{mark}"
+    suffix = "" if strong else RESERVE_SUFFIX
+    return f"{instance}/{secrets.token_hex(4)}{suffix}"
 
 
 class GroupMember:
-    """The place of an instance in the group.
+    """The membership of an instance in the group.
 
     Parameters
     ----------
     name : str
-        Its name there.
+        Name of the member.
     instance : Instance
-        Whose place it is.
+        The instance.
     take : callable
-        Told what the group has dealt to it.
+        Called with each answer of the group.
 
     Attributes
     ----------
     generation : int
-        The last one that the group told; zero for a member that is to join anew.
-    steady_since : float
-        Since when each call was answered.
-    lost : bool
+        The generation that the group reported last; zero for a member that has to join
+        anew.
+    answered_since : float
+        Time since which each call has been answered.
+    unreachable : bool
         The last call wasn't answered.
     joined : bool
         The group may know this member.
@@ -98,40 +99,40 @@
         self.instance = instance
         self.take = take
         self.generation = 0
-        self.steady_since = read_clock()
-        self.lost = False
+        self.answered_since = read_clock()
+        self.unreachable = False
         self.joined = False
 
     def renew(self) -> None:
-        """Join the group or stay in it, and pass on what it says."""
+        """Join the group or renew the membership, and pass the answer on."""
         self.joined = True
-        asked_at = read_clock()
+        sent_at = read_clock()
         answer = self.instance.store.join(
             GROUP, self.name, [PROGRESS], TTL_S, self.generation, JOIN_TIMEOUT_S
         )
         if isinstance(answer, Err):
-            self._note_silence(answer.err_value.detail)
+            self._record_failure(answer.err_value.detail)
             return
-        if self.lost:
+        if self.unreachable:
             self.instance.log.write("dependency_regained", of="store")
-            self.steady_since = asked_at
-        self.lost = False
+            self.answered_since = sent_at
+        self.unreachable = False
         self.generation = answer.ok_value.generation
-        dealt = frozenset(
+        assigned = frozenset(
             row.partition
             for row in answer.ok_value.assignments
             if row.topic == PROGRESS and row.partition < self.instance.layout.units
         )
-        steady_s = read_clock() - self.steady_since
-        self.take(GroupAssignment(self.generation, dealt, steady_s))
+        store_answered_s = read_clock() - self.answered_since
+        self.take(GroupAssignment(self.generation, assigned, store_answered_s))
 
-    def _note_silence(self, why: str) -> None:
-        if not self.lost:
+    def _record_failure(self, why: str) -> None:
+        if not self.unreachable:
             self.instance.log.write("dependency_lost", of="store", detail=why)
-        self.lost = True
+        self.unreachable = True
 
     def leave(self) -> None:
-        """Leave the group; a later `renew` joins it anew, under a later generation."""
+        """Leave the group; a later `renew` joins it anew in a later generation."""
         self.instance.store.leave(GROUP, self.name, JOIN_TIMEOUT_S)
         self.generation = 0
         self.joined = False
@@ -140,17 +141,28 @@
 def follow_group(
     instance: Instance,
     take: Callable[[GroupAssignment], None],
-    answers: Callable[[int], bool],
+    owner_answers: Callable[[int], bool],
     stopping: threading.Event,
 ) -> None:
-    """Stay in the group and call `take` with each answer, until `stopping` is set.
+    """Renew the membership and pass each answer to `take` until `stopping` is set.
+
+    Parameters
+    ----------
+    instance : Instance
+        The instance that joins.
+    take : callable
+        Called with each answer of the group.
+    owner_answers : callable
+        Returns whether the owner of a unit answers.
+    stopping : Event
+        Ends the membership.
 
     Notes
     -----
-    An instance that needs a later epoch leaves the group and joins it anew: only a
-    later generation is a higher fencing token. A reserve is in the group only while
-    strong instances are too few; see `candidacy`. Whoever leaves goes on with the units
-    that it owns until others have claimed them.
+    An instance that needs a later epoch leaves the group and joins it anew, because
+    only a later generation gives a higher fencing token. A reserve is in the group only
+    while strong instances are too few; see `reserves`. An instance that leaves keeps
+    the units that it owns until others have claimed them.
     """
     strong = is_strong(instance.settings)
     member = GroupMember(
@@ -158,12 +170,14 @@
     )
     reserve = ReserveState(read_clock())
 
-    def look() -> Result[list[Holding], CallError]:
+    def read_holdings() -> Result[list[Holding], CallError]:
         return instance.store.read_holdings(GROUP, JOIN_TIMEOUT_S)
 
     def is_needed() -> bool:
         units = instance.layout.units
-        return strong or decide_membership(reserve, look, answers, units, read_clock())
+        return strong or decide_membership(
+            reserve, read_holdings, owner_answers, units, read_clock()
+        )
 
     while not stopping.is_set():
         if instance.rejoin_needed.is_set():
@@ -178,6 +192,6 @@
             instance.log.write("reserve_left", generation=member.generation)
             instance.leaving.set()
             member.leave()
-        stopping.wait(JOIN_EVERY_S)
+        stopping.wait(RENEW_INTERVAL_S)
     instance.leaving.set()
     member.leave()
--- a/plantainyard/entry/ownership_manager.py
+++ b/plantainyard/entry/ownership_manager.py
@@ -101,9 +101,9 @@
             now,
             units=len(self.instance.claims),
             reserve=not is_strong(self.instance.settings),
-            settled_s=now - self.changed_at,
-            steady_s=ownership.steady_s,
-            rested_s=now - self.moved_at,
+            group_unchanged_s=now - self.changed_at,
+            store_answered_s=ownership.store_answered_s,
+            since_move_s=now - self.moved_at,
         )
 
     def _claim(self, unit: int, why: str) -> None:
--- a/plantainyard/entry/peers.py
+++ b/plantainyard/entry/peers.py
@@ -174,8 +174,8 @@
     """Return what the announced owner of a unit says of itself."""
     owner = instance.layout.owners.get(unit)
     if owner is None or owner.address == instance.peer_address():
-        word = _describe_claim(instance, unit)
-        return OwnerReply(True, word)
+        status = _describe_claim(instance, unit)
+        return OwnerReply(True, status)
     peer = build_peer(f"http://{owner.address}", _pool, ASK_OWNER_S)
     answer = call_json(peer, "peer.owner", "GET", f"/units/{unit}/owner")
     if isinstance(answer, Err):
@@ -193,7 +193,7 @@
         return None
     return OwnerStatus(
         units=len(instance.claims),
-        confirmed_s=round(read_clock() - claim.confirmed_at, 3),
+        confirmation_age_s=round(read_clock() - claim.confirmed_at, 3),
         leaving=instance.leaving.is_set(),
         reserve=not is_strong(instance.settings),
     )
@@ -263,8 +263,8 @@
         return None
     unit, topic, rest = int(parts[1]), parts[2], parts[3:]
     if topic == "owner":
-        word = _describe_claim(instance, unit)
-        return None if word is None else {"owner": list(word)}
+        status = _describe_claim(instance, unit)
+        return None if status is None else {"owner": list(status)}
     # Only an owner is ahead of the store's readers.
     if unit not in instance.owned:
         return None
--- a/plantainyard/entry/process.py
+++ b/plantainyard/entry/process.py
@@ -187,7 +187,7 @@
     follow_group(
         instance,
         owners.take,
-        lambda unit: fetch_owner_status(instance, unit).word is not None,
+        lambda unit: fetch_owner_status(instance, unit).status is not None,
         draining,
     )
     # Units are commanded until others have claimed them.
--- a/plantainyard/entry/reserves.py
+++ b/plantainyard/entry/reserves.py
@@ -1,10 +1,10 @@
 """Which instances own units: strong ones, and reserves while those are too few.
 
-The load that it answers: on large sites most instances have half a core and a link of
-a few megabits a second. An owner of 22 runners takes 0.28 of a core, half of such a
-processor; and where instances are restarted one after the other, each that owns a unit
-is a change of owner. A reserve therefore stays out of the group for
-as long as strong instances hold it, and looks at who has what instead.
+On large sites most instances have half a core and a link of a few megabits per second.
+An owner of 22 runners takes 0.28 of a core, which is half of such a processor, and
+during a rolling restart each instance that owns a unit causes a change of owner. A
+reserve, which is an instance that isn't strong, therefore stays out of the group while
+strong instances are enough, and checks the group's assignments instead.
 """
 
 from collections.abc import Callable, Iterable
@@ -25,44 +25,50 @@
     "needs_reserves",
 ]
 
-STRONG_CORES = 0.9
-"""Processors from which an instance is strong: the owner of a whole small site took
-0.57 of a core at the most on a day with trouble, and instances there have 1.07."""
+MIN_STRONG_CORES = 0.9
+"""Processor cores from which an instance is strong. The owner of a whole small site
+took at most 0.57 of a core on a day with faults, and instances there have 1.07."""
 
-STRONG_LINK_MBPS = 50.0
-"""Bandwidth from which an instance is strong: a takeover reads a megabyte, which takes
-0.16 s then, less than the timeout of other calls that share the link."""
+MIN_STRONG_LINK_MBPS = 50.0
+"""Bandwidth in megabits per second from which an instance is strong. A takeover reads
+a megabyte, which then takes 0.16 s, less than the timeout of other calls that share
+the link."""
 
-UNITS_PER_STRONG = 2
-"""Units that a strong instance may come to own before reserves help: an owner of 22
-runners takes 0.28 of a core, and units have 40 runners and more."""
+MAX_UNITS_PER_STRONG = 2
+"""Units per strong instance above which reserves join. An owner of 22 runners takes
+0.28 of a core, and units have 40 runners and more."""
 
-LOOK_EVERY_S = 0.7
-"""Time between a reserve's looks; a group's member that is gone is missed for 1.2 s."""
+CHECK_INTERVAL_S = 0.7
+"""Time in seconds between a reserve's checks of the group. The group removes a lost
+member after 1.2 s."""
 
-LOOKS = 2
-"""Looks in a row that must show a need: at the start all instances come at once, and
-reserves must not be there first."""
+SHORTAGE_CHECKS = 2
+"""Consecutive checks that must show a shortage before a reserve joins. At the start all
+instances come up at once, and reserves must not join before strong instances do."""
 
-SILENT_LOOKS = 4
-"""Looks in a row at which an owner doesn't answer, each a different one where there are
-several: one that is being restarted or taken over is silent for one or two."""
+UNANSWERED_CHECKS = 4
+"""Consecutive checks at which an owner must not answer before a reserve joins. Each
+check queries a different owner if there are several, because an owner that is being
+restarted or taken over misses one or two queries."""
 
-BLIND_S = 5.0
-"""Time without any answer after which a reserve joins: a store that doesn't tell who is
-there must not leave units without an owner."""
+MAX_UNINFORMED_S = 5.0
+"""Time in seconds without an answer from the store after which a reserve joins. A store
+that doesn't report the group's members must not leave units without an owner."""
 
 RESERVE_SUFFIX = "/reserve"
-"""End of a reserve's name in the group, by which others tell it."""
+"""Suffix of a reserve's name in the group, by which other members recognize it."""
 
 
 def is_strong(settings: InstanceSettings) -> bool:
-    """Return whether an instance has what an owner needs."""
-    return settings.cores >= STRONG_CORES and settings.link_mbps >= STRONG_LINK_MBPS
+    """Return whether an instance has the resources that an owner needs."""
+    return (
+        settings.cores >= MIN_STRONG_CORES
+        and settings.link_mbps >= MIN_STRONG_LINK_MBPS
+    )
 
 
 def is_reserve(member: str) -> bool:
-    """Return whether a group's member is a reserve, by its name."""
+    """Return whether a group member's name is that of a reserve."""
     return member.endswith(RESERVE_SUFFIX)
 
 
@@ -83,92 +89,101 @@
         and holding.member
         and not is_reserve(holding.member)
     }
-    return len(strong) * UNITS_PER_STRONG < units
+    return len(strong) * MAX_UNITS_PER_STRONG < units
 
 
 @dataclass(slots=True)
 class ReserveState:
-    """What a reserve has seen of the group.
+    """What a reserve has observed of the group.
 
     Attributes
     ----------
     answered_at : float
-        When it last had an answer; at first, when it began to look.
-    looked_at : float
-        When it looked last.
+        Time of the store's last answer; initially the time of creation.
+    checked_at : float
+        Time of the last check.
     shortages : int
-        Looks in a row that showed a need.
-    silences : int
-        Looks in a row at which an owner didn't answer.
-    turn : int
-        The unit whose owner is asked next.
-    serves : bool
-        It is to be in the group.
+        Number of consecutive checks that showed a shortage.
+    unanswered : int
+        Number of consecutive checks at which an owner didn't answer.
+    queried_unit : int
+        The unit whose owner was queried last.
+    is_member : bool
+        The reserve should be a member of the group.
     """
 
     answered_at: float
-    looked_at: float = 0.0
+    checked_at: float = 0.0
     shortages: int = 0
-    silences: int = 0
-    turn: int = 0
-    serves: bool = False
+    unanswered: int = 0
+    queried_unit: int = 0
+    is_member: bool = False
 
 
 def decide_membership(
     reserve: ReserveState,
-    look: Callable[[], Result[list[Holding], CallError]],
-    answers: Callable[[int], bool],
+    read_holdings: Callable[[], Result[list[Holding], CallError]],
+    owner_answers: Callable[[int], bool],
     units: int,
     now: float,
 ) -> bool:
-    """Look at the group when it is time; return whether the reserve is to be in it.
+    """Return whether a reserve should be in the group, checking the group if due.
 
     Parameters
     ----------
-    reserve : Reserve
-        Changed in place.
-    look : callable
-        Asks the store who has which partition.
-    answers : callable
+    reserve : ReserveState
+        Updated in place.
+    read_holdings : callable
+        Asks the store which member holds which partition.
+    owner_answers : callable
         Returns whether the owner of a unit answers.
     units : int
         Number of units.
     now : float
-        Seconds on a clock that is never set back.
+        Seconds on a monotonic clock.
 
     Notes
     -----
-    Guards against a group that is left to reserves for good, and against one that is
-    left empty: a reserve goes as soon as strong instances are enough again, and comes
-    where the store doesn't say who is there.
+    Guards against a group that consists of reserves for good, and against an empty
+    one. A reserve leaves as soon as strong instances are enough again, and joins if the
+    store doesn't report the group's members.
 
-    Guards against units that nobody owns: the store deals a lost member's units anew
-    when another one calls, and until then it may go on naming it. Where all members
-    are lost, only their silence shows it.
+    Guards against units without an owner. The store reassigns a lost member's units
+    only when another member calls, and may report the lost member until then. If all
+    members are lost, only their failure to answer shows it.
 
-    Guards against all reserves joining at the end of a long outage of the store, and
-    leaving again: one that has been blind for long looks before each call to the group.
+    Guards against all reserves joining at the end of a long store outage and leaving
+    again. A reserve that has had no answer for long checks before each call to the
+    group.
     """
-    blind = now - reserve.answered_at > BLIND_S
-    if not blind and reserve.looked_at and now - reserve.looked_at < LOOK_EVERY_S:
-        return reserve.serves
-    reserve.looked_at = now
-    found = look()
+    uninformed = now - reserve.answered_at > MAX_UNINFORMED_S
+    if (
+        not uninformed
+        and reserve.checked_at
+        and now - reserve.checked_at < CHECK_INTERVAL_S
+    ):
+        return reserve.is_member
+    reserve.checked_at = now
+    found = read_holdings()
     if isinstance(found, Err):
-        return reserve.serves or blind
+        return reserve.is_member or uninformed
     reserve.answered_at = now
-    needed = needs_reserves(found.ok_value, units) or _are_silent(
-        reserve, answers, units
+    needed = needs_reserves(found.ok_value, units) or _are_owners_unresponsive(
+        reserve, owner_answers, units
     )
     reserve.shortages = reserve.shortages + 1 if needed else 0
-    reserve.serves = needed and (reserve.serves or reserve.shortages >= LOOKS)
-    return reserve.serves
+    reserve.is_member = needed and (
+        reserve.is_member or reserve.shortages >= SHORTAGE_CHECKS
+    )
+    return reserve.is_member
 
 
-def _are_silent(
-    reserve: ReserveState, answers: Callable[[int], bool], units: int
+def _are_owners_unresponsive(
+    reserve: ReserveState, owner_answers: Callable[[int], bool], units: int
 ) -> bool:
-    """Ask one unit's owner; return whether several in a row didn't answer."""
-    reserve.turn = (reserve.turn + 1) % units
-    reserve.silences = 0 if answers(reserve.turn) else reserve.silences + 1
-    return reserve.silences >= SILENT_LOOKS
+    """Query the next unit's owner; return whether several in a row didn't answer."""
+    reserve.queried_unit = (reserve.queried_unit + 1) % units
+    reserve.unanswered = (
+        0 if owner_answers(reserve.queried_unit) else reserve.unanswered + 1
+    )
+    return reserve.unanswered >= UNANSWERED_CHECKS
--- a/plantainyard/entry/tests/test_claims.py
+++ b/plantainyard/entry/tests/test_claims.py
@@ -30,9 +30,14 @@
 from plantainyard.entry.topics import LAYOUT
 from standins.platform import StoreState
 
-AT_WORK = OwnerStatus(units=1, confirmed_s=0.3, leaving=False, reserve=False)
+AT_WORK = OwnerStatus(units=1, confirmation_age_s=0.3, leaving=False, reserve=False)
 CANDIDATE = Candidate(
-    100.0, units=1, reserve=False, settled_s=60.0, steady_s=60.0, rested_s=60.0
+    100.0,
+    units=1,
+    reserve=False,
+    group_unchanged_s=60.0,
+    store_answered_s=60.0,
+    since_move_s=60.0,
 )
 ROUND_S = 0.35
 
@@ -40,8 +45,8 @@
 def test_an_owner_at_work_keeps_its_unit_however_often_the_group_deals():
     # Guards against units that change their owners several times in the seconds after
     # a loss of power, while the leases of what runs lapse.
-    for settled_s in (0.0, 0.1, 60.0):
-        candidate = CANDIDATE._replace(settled_s=settled_s)
+    for group_unchanged_s in (0.0, 0.1, 60.0):
+        candidate = CANDIDATE._replace(group_unchanged_s=group_unchanged_s)
         assert (
             decide_claim(OwnerObservation(), OwnerReply(True, AT_WORK), candidate) == ""
         )
@@ -50,7 +55,7 @@
 def test_a_unit_without_an_owner_waits_until_the_group_has_settled():
     # Guards against the first instance that is back owning everything.
     seen = OwnerObservation()
-    restless = CANDIDATE._replace(settled_s=0.0)
+    restless = CANDIDATE._replace(group_unchanged_s=0.0)
     assert decide_claim(seen, OwnerReply(True), restless) == ""
     assert decide_claim(seen, OwnerReply(True), CANDIDATE) == ClaimReason.VACANT
 
@@ -60,7 +65,9 @@
     seen = OwnerObservation()
     rounds = [
         decide_claim(
-            seen, OwnerReply(True), CANDIDATE._replace(now=n * ROUND_S, settled_s=0.0)
+            seen,
+            OwnerReply(True),
+            CANDIDATE._replace(now=n * ROUND_S, group_unchanged_s=0.0),
         )
         for n in range(1, 6)
     ]
@@ -70,35 +77,35 @@
 def test_an_owner_that_misses_one_question_keeps_its_unit():
     # Guards against a busy owner that is taken for a lost one.
     seen = OwnerObservation()
-    for heard in (False, False, True, False, False):
-        reply = OwnerReply(heard, AT_WORK if heard else None)
+    for answered in (False, False, True, False, False):
+        reply = OwnerReply(answered, AT_WORK if answered else None)
         assert decide_claim(seen, reply, CANDIDATE) == ""
     assert decide_claim(seen, OwnerReply(False), CANDIDATE) == ClaimReason.SILENT
 
 
 def test_an_owner_that_leaves_is_followed_at_once():
-    word = AT_WORK._replace(leaving=True)
-    candidate = CANDIDATE._replace(settled_s=0.0, rested_s=0.0)
+    status = AT_WORK._replace(leaving=True)
+    candidate = CANDIDATE._replace(group_unchanged_s=0.0, since_move_s=0.0)
     assert (
-        decide_claim(OwnerObservation(), OwnerReply(True, word), candidate)
+        decide_claim(OwnerObservation(), OwnerReply(True, status), candidate)
         == ClaimReason.LEAVING
     )
 
 
 def test_an_owner_that_only_the_store_cannot_hear_is_followed():
     # Guards against a unit in which nothing starts while its owner is cut off.
-    word = AT_WORK._replace(confirmed_s=3.0)
+    status = AT_WORK._replace(confirmation_age_s=3.0)
     assert (
-        decide_claim(OwnerObservation(), OwnerReply(True, word), CANDIDATE)
+        decide_claim(OwnerObservation(), OwnerReply(True, status), CANDIDATE)
         == ClaimReason.CUT_OFF
     )
 
 
 def test_owners_stay_at_the_end_of_an_outage_of_the_store():
     # Guards against all owners being replaced in the moment of the store's return.
-    word = AT_WORK._replace(confirmed_s=9.0)
-    candidate = CANDIDATE._replace(steady_s=0.5)
-    assert decide_claim(OwnerObservation(), OwnerReply(True, word), candidate) == ""
+    status = AT_WORK._replace(confirmation_age_s=9.0)
+    candidate = CANDIDATE._replace(store_answered_s=0.5)
+    assert decide_claim(OwnerObservation(), OwnerReply(True, status), candidate) == ""
 
 
 @pytest.mark.parametrize(
@@ -108,7 +115,7 @@
         (AT_WORK._replace(units=2), CANDIDATE, ""),
         (
             AT_WORK._replace(units=3),
-            CANDIDATE._replace(rested_s=MIN_MOVE_INTERVAL_S / 2),
+            CANDIDATE._replace(since_move_s=MIN_MOVE_INTERVAL_S / 2),
             "",
         ),
         (AT_WORK._replace(reserve=True), CANDIDATE, ClaimReason.RESERVE),
@@ -116,9 +123,9 @@
         (AT_WORK._replace(units=3), CANDIDATE._replace(reserve=True), ""),
     ],
 )
-def test_units_even_out_one_at_a_time(word, candidate, why):
+def test_units_even_out_one_at_a_time(status, candidate, why):
     # Guards against one instance that owns most units for good.
-    assert decide_claim(OwnerObservation(), OwnerReply(True, word), candidate) == why
+    assert decide_claim(OwnerObservation(), OwnerReply(True, status), candidate) == why
 
 
 @given(st.lists(st.sampled_from([None, False, True]), max_size=40))
@@ -127,8 +134,8 @@
     seen, silent = OwnerObservation(), 0
     for reply in replies:
         silent = silent + 1 if reply is None else 0
-        word = AT_WORK if reply else None
-        found = decide_claim(seen, OwnerReply(reply is not None, word), CANDIDATE)
+        status = AT_WORK if reply else None
+        found = decide_claim(seen, OwnerReply(reply is not None, status), CANDIDATE)
         absent = reply is False or silent >= UNANSWERED_LIMIT
         assert bool(found) == absent
 
@@ -192,10 +199,10 @@
     with run_instance(store) as instance:
         assert fetch_owner_status(instance, 0) == OwnerReply(True)
         instance.claims[0] = Claim(5, read_clock())
-        word = fetch_owner_status(instance, 0).word
-        assert word is not None and word.units == 1 and not word.leaving
+        status = fetch_owner_status(instance, 0).status
+        assert status is not None and status.units == 1 and not status.leaving
         instance.leaving.set()
-        leaving = fetch_owner_status(instance, 0).word
+        leaving = fetch_owner_status(instance, 0).status
         assert leaving is not None and leaving.leaving
 
 
