--- a/plantainyard/dispatch/balancing.py
+++ b/plantainyard/dispatch/balancing.py
@@ -17,10 +17,10 @@
 from plantainyard.dispatch.state import Dispatcher
 
 __all__ = [
-    "add_finite_demand",
     "count_slots",
     "find_less_utilized_unit",
     "measure_finite_demand",
+    "add_finite_demand",
 ]
 
 MAX_UTILIZATION = 1.0
--- a/plantainyard/dispatch/baselines.py
+++ b/plantainyard/dispatch/baselines.py
@@ -14,10 +14,10 @@
     "BASELINE_MAX_AGE_S",
     "MAX_MARGIN",
     "MIN_MARGIN",
-    "detect_slow_runner",
     "estimate_baseline",
     "forecast_baseline",
     "update_trend",
+    "detect_slow_runner",
 ]
 
 MAX_DRIFT = 0.25
--- a/plantainyard/dispatch/estimates.py
+++ b/plantainyard/dispatch/estimates.py
@@ -8,10 +8,10 @@
 
 __all__ = [
     "Baseline",
+    "WeightEstimate",
     "InterferenceModel",
     "Reading",
     "Trend",
-    "WeightEstimate",
 ]
 
 
--- a/plantainyard/dispatch/handover.py
+++ b/plantainyard/dispatch/handover.py
@@ -19,8 +19,8 @@
 
 __all__ = [
     "MOST_HOPS",
-    "measure_lasting_room",
     "measure_load",
+    "measure_lasting_room",
     "plan_handovers",
     "plan_task_handovers",
 ]
--- a/plantainyard/dispatch/leases.py
+++ b/plantainyard/dispatch/leases.py
@@ -3,7 +3,7 @@
 from plantainyard.dispatch.limits import Limits
 from plantainyard.dispatch.model import Runner
 
-__all__ = ["grant_lease", "has_lease_expired", "record_clock"]
+__all__ = ["has_lease_expired", "grant_lease", "record_clock"]
 
 
 def record_clock(runner: Runner, clock_ms: int, now: float) -> None:
--- a/plantainyard/dispatch/pacing.py
+++ b/plantainyard/dispatch/pacing.py
@@ -16,10 +16,10 @@
     "SERVING_UTILIZATION",
     "choose_paces",
     "find_spare_load",
-    "get_pace",
     "has_backfill_tasks",
     "has_serving_tasks",
     "update_headroom",
+    "get_pace",
 ]
 
 FULL_PACE = 100
--- a/plantainyard/dispatch/placing.py
+++ b/plantainyard/dispatch/placing.py
@@ -12,17 +12,17 @@
 from plantainyard.dispatch.pacing import SERVING_UTILIZATION, find_spare_load
 
 __all__ = [
-    "accepts_tasks",
     "can_start",
-    "count_step_tasks",
     "estimate_speed",
     "find_min_speed",
     "get_reserved_cpu",
+    "count_step_tasks",
     "has_capacity",
     "measure_unused_cpu",
     "record_free_cpu",
     "release_resources",
     "reserve_resources",
+    "accepts_tasks",
 ]
 
 MIN_SPEED = 0.85
--- a/plantainyard/dispatch/timing.py
+++ b/plantainyard/dispatch/timing.py
@@ -12,9 +12,9 @@
 
 __all__ = [
     "TimePart",
+    "explain_wait",
     "add_elapsed_time",
     "count_lost_run",
-    "explain_wait",
     "summarize_times",
 ]
 
--- a/plantainyard/dispatch/weights.py
+++ b/plantainyard/dispatch/weights.py
@@ -13,15 +13,15 @@
     "MARGIN_ERROR",
     "PRIOR_WEIGHT",
     "add_images",
-    "compute_headroom",
     "decode_interference",
+    "remove_image",
     "encode_interference",
     "find_weight",
     "find_weight_bound",
     "is_known",
     "list_known_images",
+    "compute_headroom",
     "merge_interference",
-    "remove_image",
     "update_estimate",
 ]
 
--- a/plantainyard/execution/planning.py
+++ b/plantainyard/execution/planning.py
@@ -36,12 +36,12 @@
     "Decision",
     "PlanState",
     "Recording",
+    "start_plan",
     "decide",
     "learn_rack",
     "learn_record",
     "learn_usage",
     "learn_workers",
-    "start_plan",
     "withdraw",
 ]
 
--- a/plantainyard/routing/tests/processes.py
+++ b/plantainyard/routing/tests/processes.py
@@ -15,14 +15,14 @@
 __all__ = [
     "AUTHORITY_S",
     "DOMAINS",
+    "Message",
+    "Process",
     "RACKS",
     "ROUTING",
     "RUNNERS",
+    "Run",
     "SLOTS",
     "WALL",
-    "Message",
-    "Process",
-    "Run",
 ]
 
 ROUTING = RoutingSettings(
--- a/plantainyard/state/__init__.py
+++ b/plantainyard/state/__init__.py
@@ -156,10 +156,6 @@
 )
 
 __all__ = [
-    "MAX_COMPLETED",
-    "MAX_DELETED",
-    "MAX_HISTORY",
-    "MAX_VERDICTS",
     "AbandonRecord",
     "AcceptRecord",
     "Answered",
@@ -193,6 +189,10 @@
     "JobSummary",
     "LogRecord",
     "Lost",
+    "MAX_COMPLETED",
+    "MAX_DELETED",
+    "MAX_HISTORY",
+    "MAX_VERDICTS",
     "MoveRecord",
     "Outcome",
     "Ranges",
