--- a/plantainyard/dispatch/tests/test_timing.py
+++ b/plantainyard/dispatch/tests/test_timing.py
@@ -19,10 +19,10 @@
     world.run(6.0)
     found = summary(world, "second")
     assert found.state == "completed"
-    assert 2.0 < found.times[TimePart.WAITING_CAPACITY] < 4.0
-    assert 0.5 < found.times[TimePart.WORKING] < 1.5
-    assert TimePart.WAITING_RUNNER not in found.times
-    assert found.took_s > 3.0
+    assert 2.0 < found.task_time_s[TimePart.WAITING_CAPACITY] < 4.0
+    assert 0.5 < found.task_time_s[TimePart.WORKING] < 1.5
+    assert TimePart.WAITING_RUNNER not in found.task_time_s
+    assert found.duration_s > 3.0
 
 
 def test_a_job_that_no_runner_may_take_says_so():
@@ -34,8 +34,8 @@
     world.run(0.5)
     found = summary(world, "lost")
     assert found.state == "cancelled"
-    assert found.times[TimePart.WAITING_RUNNER] > 1.0
-    assert TimePart.WORKING not in found.times
+    assert found.task_time_s[TimePart.WAITING_RUNNER] > 1.0
+    assert TimePart.WORKING not in found.task_time_s
 
 
 def test_runs_that_failed_are_counted():
@@ -47,7 +47,7 @@
     world.run(8.0)
     found = summary(world, "bad")
     assert found.state == "failed"
-    assert found.lost == {"failed": 3}
+    assert found.lost_runs == {"failed": 3}
 
 
 def test_time_is_counted_once_after_a_change_of_owner():
@@ -60,7 +60,7 @@
     world.begin()
     world.run(5.0)
     found = summary(world, "long")
-    assert 2.0 < found.times[TimePart.WORKING] < 3.5
+    assert 2.0 < found.task_time_s[TimePart.WORKING] < 3.5
 
 
 def test_a_long_running_task_that_is_done_is_not_lost():
@@ -73,4 +73,4 @@
     assert len(world.starts("watch")) > 1
     world.cancel("watch")
     world.run(2.0)
-    assert "done" not in summary(world, "watch").lost
+    assert "done" not in summary(world, "watch").lost_runs
