--- a/plantainyard/batch/__init__.py
+++ b/plantainyard/batch/__init__.py
@@ -1,7 +1,7 @@
-"""Jobs as every instance knows them: values, checks, stored records and the replica.
+"""The job model shared by all instances: values, validation, records and replicas.
 
-Nothing here opens a socket or decides where a task runs; `plantainyard.dispatch` does
-the latter.
+This package opens no sockets and makes no placement decisions; placement is the task
+of `plantainyard.dispatch`.
 """
 
 from plantainyard.batch.checks import validate_submission
--- a/plantainyard/batch/checks.py
+++ b/plantainyard/batch/checks.py
@@ -1,21 +1,23 @@
-"""Checks of a submission that need no knowledge of the fleet."""
+"""Validation of submissions, independent of the state of the fleet."""
 
 from plantainyard.batch.values import Step, Submission
 
 __all__ = ["MAX_SPEC_BYTES", "MAX_STEPS", "MAX_TASKS", "validate_submission"]
 
 MAX_SPEC_BYTES = 4_000
-"""Longest `spec` in bytes; the platform's documented limit."""
+"""Maximum length of `spec` in bytes; the limit that the platform documents."""
 
 MAX_STEPS = 1_000
-"""Steps of a job; bounds the work of one request, far above what callers use."""
+"""Maximum number of steps in a job; bounds the work of validating one request.
+
+The limit is far above what callers use."""
 
 MAX_TASKS = 100_000
-"""Tasks of a job over all steps; bounds the memory that one request can take."""
+"""Maximum number of tasks over all steps of a job; bounds the memory of a request."""
 
 
 def validate_submission(submission: Submission) -> str:
-    """Return why `submission` can't be accepted, or an empty string.
+    """Return the reason for rejecting `submission`, or an empty string if it is valid.
 
     Examples
     --------
@@ -30,37 +32,39 @@
         return f"a job has 1 to {MAX_STEPS} steps"
     if sum(step.size for step in steps) > MAX_TASKS:
         return f"a job has at most {MAX_TASKS} tasks"
-    faults = (
-        f"steps[{number}]: {fault}"
+    errors = (
+        f"steps[{number}]: {error}"
         for number, step in enumerate(steps)
-        if (fault := _find_step_fault(step, len(steps)))
+        if (error := _validate_step(step, len(steps)))
     )
-    return next(faults, "") or _find_cycle(steps)
+    return next(errors, "") or _find_cycle(steps)
 
 
-def _find_step_fault(step: Step, steps: int) -> str:
+def _validate_step(step: Step, step_count: int) -> str:
     if step.size < 1:
         return "count is below 1"
     if min(step.resources) < 0:
         return "a resource is below 0"
-    if any(not 0 <= number < steps for number in step.after):
+    if any(not 0 <= number < step_count for number in step.after):
         return "after names a step that isn't there"
     return ""
 
 
 def _find_cycle(steps: tuple[Step, ...]) -> str:
-    """Return a message if the steps wait for each other, or an empty string.
+    """Return an error message if the dependencies form a cycle, or an empty string.
 
     Notes
     -----
-    Removes steps whose predecessors are gone until nothing changes; the cost is the
-    number of steps times the number of edges at worst.
+    Repeatedly removes the steps that have no remaining predecessor. The worst-case cost
+    is the number of steps times the number of edges.
     """
-    left = dict(enumerate(steps))
-    while left:
-        free = [n for n, step in left.items() if not left.keys() & set(step.after)]
-        if not free:
-            return f"steps {sorted(left)} wait for each other"
-        for number in free:
-            del left[number]
+    remaining = dict(enumerate(steps))
+    while remaining:
+        ready = [
+            n for n, step in remaining.items() if not remaining.keys() & set(step.after)
+        ]
+        if not ready:
+            return f"steps {sorted(remaining)} wait for each other"
+        for number in ready:
+            del remaining[number]
     return ""
--- a/plantainyard/batch/pending.py
+++ b/plantainyard/batch/pending.py
@@ -1,4 +1,8 @@
-"""Counting the jobs for which no task has started, over units that hand jobs on."""
+"""Counts of the jobs of which no task has started, summed over all units.
+
+Units hand jobs over to each other while they are counted, so a job in transit must
+neither be missed nor be counted twice.
+"""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -9,22 +13,22 @@
 
 
 class Pending(NamedTuple):
-    """Jobs of a queue for which no task is known to have started, by one unit's word.
+    """The jobs of a queue of which no task is known to have started, as seen by a unit.
 
     Attributes
     ----------
     waiting : int
-        Those of which no run was assigned.
+        Number of jobs without an assigned run.
     assigned : int
-        Those of which a run was, and no runner is known to have taken it.
+        Number of jobs with an assigned run that no runner is known to have accepted.
     moving : frozenset of str
-        Those that were handed over whole, and that their new unit may not know of yet.
+        Jobs that were handed over whole and that their new unit may not know yet.
     arrived : frozenset of str
-        Jobs that were handed to this unit whole, whether they count here or not.
+        Jobs that this unit received whole, whether or not they count as pending here.
     divided : frozenset of str
-        Those some of whose tasks other units have.
+        Jobs some of whose tasks were handed over to other units.
     begun : frozenset of str
-        Jobs of other units of which a task has started here.
+        Jobs of other units of which a task has started in this unit.
     """
 
     waiting: int = 0
@@ -36,43 +40,45 @@
 
 
 def sum_pending(units: Iterable[Pending]) -> int:
-    """Return the number of jobs that wait in all units together.
+    """Return the number of pending jobs in all units together.
 
     Parameters
     ----------
     units : iterable of Pending
-        The word of each.
+        The count of each unit.
 
     Notes
     -----
-    Units are asked one after the other, so that a job on its way may be told by both or
-    by none. The unit that it leaves goes on telling it by name until the other one must
-    know it, and whoever has it tells that it has arrived: it counts once.
+    Units are queried one after the other, so both units or neither could report a job
+    that is being handed over. The sending unit therefore lists the job by name until
+    the receiving unit is certain to know it, and the receiving unit lists it as
+    arrived, so that it counts once.
 
     Examples
     --------
-    >>> old = Pending(waiting=3, moving=frozenset({"a", "b"}))
-    >>> new = Pending(waiting=1, arrived=frozenset({"a"}))
-    >>> sum_pending([old, new])
+    >>> sender = Pending(waiting=3, moving=frozenset({"a", "b"}))
+    >>> receiver = Pending(waiting=1, arrived=frozenset({"a"}))
+    >>> sum_pending([sender, receiver])
     5
     """
-    found = list(units)
-    none: frozenset[str] = frozenset()
-    moving = none.union(*(unit.moving for unit in found))
-    arrived = none.union(*(unit.arrived for unit in found))
-    divided = none.union(*(unit.divided for unit in found))
-    begun = none.union(*(unit.begun for unit in found))
-    here = sum(unit.waiting + unit.assigned for unit in found)
-    return here + len(moving - arrived) + len(divided - begun)
+    counts = list(units)
+    empty: frozenset[str] = frozenset()
+    moving = empty.union(*(count.moving for count in counts))
+    arrived = empty.union(*(count.arrived for count in counts))
+    divided = empty.union(*(count.divided for count in counts))
+    begun = empty.union(*(count.begun for count in counts))
+    local = sum(count.waiting + count.assigned for count in counts)
+    return local + len(moving - arrived) + len(divided - begun)
 
 
 def count_pending(replica: Replica, queue: str) -> Pending:
-    """Return what a unit's records say of a queue's jobs that wait.
+    """Return the pending jobs of a queue according to the records of one unit.
 
     Notes
     -----
-    An assignment is stored before its start is sent, so a job with one may wait all the
-    same; only `JobView.begun` tells. One pass over the unit's jobs.
+    An assignment is stored before its start order is sent, so a job with an assignment
+    may still be pending; only `JobView.started` is conclusive. The function makes one
+    pass over the jobs of the unit.
     """
     views = [
         (job_id, view, view.submission)
@@ -81,16 +87,16 @@
         and view.submission is not None
         and view.submission.queue == queue
     ]
-    open_ = [(j, v, s) for j, v, s in views if not (v.started or s.piece)]
-    here = [(j, v, s) for j, v, s in open_ if v.handed_to is None]
-    own = [v for _, v, _ in here if not is_divided(v)]
+    unstarted = [(j, v, s) for j, v, s in views if not (v.started or s.piece)]
+    local = [(j, v, s) for j, v, s in unstarted if v.handed_to is None]
+    undivided = [v for _, v, _ in local if not is_divided(v)]
     return Pending(
-        waiting=sum(not view.steps for view in own),
-        assigned=sum(bool(view.steps) for view in own),
+        waiting=sum(not view.steps for view in undivided),
+        assigned=sum(bool(view.steps) for view in undivided),
         moving=frozenset(
-            j for j, v, _ in open_ if v.handed_to is not None and not v.delivered
+            j for j, v, _ in unstarted if v.handed_to is not None and not v.delivered
         ),
-        arrived=frozenset(j for j, _, s in here if s.hops),
-        divided=frozenset(j for j, v, _ in here if is_divided(v)),
+        arrived=frozenset(j for j, _, s in local if s.hops),
+        divided=frozenset(j for j, v, _ in local if is_divided(v)),
         begun=frozenset(s.job_id for _, v, s in views if s.piece and v.started),
     )
--- a/plantainyard/batch/records.py
+++ b/plantainyard/batch/records.py
@@ -1,7 +1,7 @@
 """The stored form of submissions and of the progress of steps.
 
-Every value replaces the one before it under the same key, so that the newest record
-of each key is the whole truth and a repeated or reordered read does no harm.
+Every record replaces the previous record of its key, so the newest record of each key
+is sufficient, and reading a record again or in a different order is harmless.
 """
 
 import json
@@ -34,15 +34,15 @@
 ]
 
 CANCEL_VALUE = b"1"
-"""Value of the record that a job is to be cancelled."""
+"""Value of the record that requests the cancellation of a job."""
 
 
 DELIVERED_VALUE = b"1"
-"""Value of the record that a job's new unit has it."""
+"""Value of the record that confirms the delivery of a job to its new unit."""
 
 
 class RecordKind:
-    """First parts of the keys of records about jobs."""
+    """Key prefixes of the kinds of records about jobs."""
 
     SUBMISSION = "j"
     CANCEL = "c"
@@ -53,16 +53,16 @@
 
 
 class StoredKey(NamedTuple):
-    """The parts of a key.
+    """The parts of a record's key.
 
     Attributes
     ----------
     kind : str
         One of `RecordKind`.
     job_id : str
-        The job; a task that was handed over alone has an id of its own.
+        The job; a task that was handed over on its own has an id of its own.
     place : tuple of int
-        Occurrence and step; empty but for progress.
+        Occurrence and step of a progress record; empty for all other kinds.
     """
 
     kind: str
@@ -89,27 +89,27 @@
 
 
 def make_handover_key(job_id: str) -> str:
-    """Return the key of the number of the unit that a job was handed to."""
+    """Return the key of the number of the unit that a job was handed over to."""
     return f"{RecordKind.HANDOVER}/{job_id}"
 
 
 def make_delivery_key(job_id: str) -> str:
-    """Return the key of the record that a job's new unit, or a task's, has it."""
+    """Return the key of the confirmation that a job or a task reached its new unit."""
     return f"{RecordKind.DELIVERY}/{job_id}"
 
 
 def make_progress_key(job_id: str, occurrence: int, step: int) -> str:
-    """Return the key of the progress of one step of one occurrence."""
+    """Return the key of the progress of a step in one occurrence of a job."""
     return f"{RecordKind.PROGRESS}/{job_id}/{occurrence}/{step}"
 
 
 def parse_key(key: str) -> StoredKey:
-    """Return the parts of a key that one of the functions above made.
+    """Return the parts of a key that was built by one of the functions above.
 
     Raises
     ------
     ValueError
-        If the key's place is no pair of numbers.
+        If the occurrence or the step in the key is not a number.
 
     Examples
     --------
@@ -129,12 +129,12 @@
 
 
 def decode_submission(value: bytes) -> Submission:
-    """Return the submission that `encode_submission` wrote.
+    """Return the submission from its stored form; see `encode_submission`.
 
     Raises
     ------
     ValueError, TypeError, KeyError
-        If the bytes aren't such a record.
+        If the value is not an encoded submission.
     """
     data = json.loads(value)
     data["steps"] = tuple(_unpack_step(step) for step in data["steps"])
@@ -147,8 +147,8 @@
 
     Notes
     -----
-    Finished tasks are a bit set in hexadecimal, so that a wide step costs a quarter
-    of a byte for each finished task.
+    Finished tasks are encoded as a hexadecimal bit set, so a step with many tasks takes
+    a quarter of a byte for each finished task.
     """
     done = sum(1 << index for index in progress.done)
     tasks = {str(index): list(task) for index, task in progress.tasks.items()}
@@ -157,7 +157,7 @@
 
 
 def decode_progress(value: bytes) -> StepProgress:
-    """Return the progress that `encode_progress` wrote.
+    """Return the progress from its stored form; see `encode_progress`.
 
     Examples
     --------
--- a/plantainyard/batch/replica.py
+++ b/plantainyard/batch/replica.py
@@ -1,4 +1,4 @@
-"""A copy of one unit's jobs, made of nothing but the newest stored records."""
+"""An in-memory replica of the jobs of a unit, built from the newest stored records."""
 
 import logging
 from collections.abc import Iterable
@@ -26,34 +26,34 @@
 ]
 
 OWNER_KEY = "owner"
-"""Key of the address of a unit's owner; writing it fences the owners before."""
+"""Key of the address of a unit's owner; writing it fences off previous owners."""
 
 INTERFERENCE_KEY = "harms"
-"""Key of what owners have learnt of interference."""
+"""Key of the interference estimates that the owners of a unit have learned."""
 
 _logger = logging.getLogger(__name__)
 
 
 @dataclass(slots=True)
 class JobView:
-    """What the store says of one job.
+    """The state of one job according to the store.
 
     Attributes
     ----------
     submission : Submission or None
-        None until its record is read; other records may come first.
+        None until its record is read; other records of the job may be read first.
     cancelled : bool
-        A caller asked to cancel it.
+        A caller requested the cancellation of the job.
     final_state : str
-        Final state, or empty.
+        One of `FinalStates.ALL`, or empty while the job is open.
     steps : dict
-        Progress by (occurrence, step).
+        Progress of the steps by (occurrence, step).
     handed_to : int or None
-        The unit that the job was handed to.
+        The unit that the job was handed over to.
     delivered : bool
-        That unit has its record, and has had the time to read it.
+        That unit has the record of the job and has had the time to read it.
     started : bool
-        A task of it is known to have started.
+        A task of the job is known to have started.
     """
 
     submission: Submission | None = None
@@ -67,14 +67,14 @@
 
 @dataclass(slots=True)
 class Replica:
-    """What the store holds of a unit.
+    """The state of one unit according to the store.
 
     Attributes
     ----------
     jobs : dict
         Jobs by id.
     interference : bytes
-        What owners have learnt of interference.
+        Encoded interference estimates that the owners of the unit have learned.
     """
 
     jobs: dict[str, JobView] = field(default_factory=dict)
@@ -82,27 +82,27 @@
 
 
 def apply_record(replica: Replica, key: str, value: bytes) -> str:
-    """Take the newest record of `key` into `replica` and return the job's id.
+    """Apply the newest record of `key` to `replica` and return the id of the job.
 
     Parameters
     ----------
     replica : Replica
-        Changed in place.
+        Modified in place.
     key : str
         One of the keys of `plantainyard.batch.records`, `OWNER_KEY` or
         `INTERFERENCE_KEY`.
     value : bytes
-        Empty where the key was dropped.
+        Value of the record; empty if the key was deleted.
 
     Returns
     -------
     str
-        Empty where the record is about no job, or can't be read.
+        The job id; empty if the record does not concern a job or cannot be decoded.
 
     Notes
     -----
-    A record that can't be read is passed over with one log line: it must not stop
-    the reading of all that follow.
+    A record that cannot be decoded is skipped with a warning, because it must not stop
+    the reader from applying the records that follow.
     """
     if key == OWNER_KEY:
         return ""
@@ -147,12 +147,13 @@
 
 
 def describe_state(view: JobView) -> str:
-    """Return the name of the state that a caller is told of an accepted job.
+    """Return the state of an accepted job as it is reported to callers.
 
     Notes
     -----
-    Of a job some of whose tasks other units have, only those know whether one has
-    started; they get tasks for which they have room, so it is told as running.
+    If some tasks of a job were handed over to other units, only those units know
+    whether a task has started. Tasks are handed over only to units with free capacity,
+    so such a job is reported as running.
     """
     if view.final_state:
         return view.final_state
@@ -163,20 +164,23 @@
 
 
 def is_divided(view: JobView) -> bool:
-    """Return whether other units have some tasks of a job; any thread may ask."""
+    """Return whether some tasks of a job were handed over to other units.
+
+    The function may be called from any thread.
+    """
     steps = list(view.steps.values())
     tasks = (task for step in steps for task in step.tasks.values())
     return any(task.unit is not None for task in tasks)
 
 
 def mark_jobs_delivered(replica: Replica, job_ids: Iterable[str]) -> None:
-    """Take note that the new units of jobs know of them, ahead of the record."""
+    """Mark jobs as known to their new units, before the record is read."""
     for job_id in job_ids:
         replica.jobs.setdefault(job_id, JobView()).delivered = True
 
 
 def mark_job_started(replica: Replica, job_id: str) -> None:
-    """Take note that a task of a job has started, ahead of the stored record."""
+    """Mark a job as started, before the stored record is read."""
     view = replica.jobs.get(job_id)
     if view is not None:
         view.started = True
--- a/plantainyard/batch/tasks.py
+++ b/plantainyard/batch/tasks.py
@@ -1,4 +1,4 @@
-"""Names of tasks."""
+"""The key that identifies a task."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class TaskKey(NamedTuple):
-    """A task: the job, the occurrence, the step and the number in it."""
+    """The key of a task: its job, occurrence and step, and its number in the step."""
 
     job_id: str
     occurrence: int
--- a/plantainyard/batch/values.py
+++ b/plantainyard/batch/values.py
@@ -1,4 +1,4 @@
-"""Values that describe a job, its steps and how far their tasks are."""
+"""Values that describe a job, its steps and the progress of their tasks."""
 
 from typing import NamedTuple
 
@@ -14,7 +14,7 @@
 
 
 class JobState:
-    """Names of the states that a caller is told."""
+    """Names of the job states that are reported to callers."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -24,7 +24,7 @@
 
 
 class FinalStates:
-    """Names of the states in which a job stays for good."""
+    """Names of the final states of a job."""
 
     ALL = frozenset({JobState.COMPLETED, JobState.FAILED, JobState.CANCELLED})
 
@@ -48,42 +48,42 @@
 
 
 class Step(NamedTuple):
-    """One step of a job: a number of alike tasks.
+    """One step of a job: a number of identical tasks.
 
     Attributes
     ----------
     size : int
         Number of tasks.
     resources : Resources
-        What each task asks for.
+        The amount that each task requests.
     estimate_ms : int
         The submitter's rough estimate of a task's run time.
     after : tuple of int
-        Earlier steps whose tasks must all have finished first.
+        Indices of the steps whose tasks must all finish before this step starts.
     saves_progress : bool
-        Tasks write checkpoints and can resume.
+        Tasks write checkpoints and can resume from them.
     gang : bool
-        Tasks work only while all of them are present.
+        Tasks make progress only while all of them are running.
     same_rack : bool
-        Tasks are slower when spread over racks.
+        Tasks run more slowly when they are spread over several racks.
     requires : str
-        Label that the runner must have; empty for none.
+        Label that the runner must have; empty if any runner will do.
     preferred_rack : str
-        Rack near the data; elsewhere tasks take longer.
+        Rack that is close to the data; tasks take longer on other racks.
     max_per_runner : int
-        At most so many tasks of the step on one runner; zero for no limit.
+        Maximum number of tasks of the step on one runner; zero for no limit.
     speculative : bool
-        Copies of a task may run in parallel.
+        Several copies of a task may run in parallel.
     long_running : bool
         Tasks run until the job is cancelled.
     image : str
-        What the tasks run; tasks of one image behave alike.
+        Image that the tasks run; tasks of one image have similar behaviour.
     target_ms : float
         Upper bound for the tail latency of a serving task; zero for none.
     backfill : bool
-        The tasks' processor time comes from what others leave unused.
+        The tasks use only processor time that other tasks leave idle.
     max_unavailable : int
-        Tasks of a long-running step that the scheduler may take away at a time.
+        Number of tasks of a long-running step that the scheduler may stop at a time.
     """
 
     size: int
@@ -105,42 +105,44 @@
 
 
 class Submission(NamedTuple):
-    """A job as it was accepted, with the part of its queue's configuration it needs.
+    """A job as it was accepted, with the relevant part of its queue's configuration.
 
     Attributes
     ----------
     job_id : str
-        Chosen by the submitter.
+        Id chosen by the submitter.
     queue : str
         Name of the queue.
     service : str
         Service whose runners run the tasks.
     spec : str
-        Opaque text for the runners.
+        Opaque text that is passed to the runners.
     steps : tuple of Step
         At least one.
     priority : int
-        Zero comes first.
+        Zero is the highest priority.
     max_attempts : int
-        Runs of a task that may fail before the job does.
+        Number of failed runs of a task after which the job fails.
     stretch : float
-        The latency objective is this many times the longest chain of work, ...
+        Factor of the latency objective, which is `stretch` times the duration of the
+        longest chain of dependent work, plus `target_latency_ms`.
     target_latency_ms : float
-        ... and this much more.
+        Constant part of the latency objective, in milliseconds.
     times : int
-        Number of scheduled occurrences; zero for a job that runs at once.
+        Number of scheduled occurrences; zero for a job that runs immediately.
     start_at_ms, interval_ms : int
-        First due time in Unix milliseconds, and the time between occurrences.
+        Due time of the first occurrence in Unix milliseconds, and the period between
+        occurrences.
     accepted_at_ms : int
-        Unix milliseconds at the instance that accepted it; for ages after a change
-        of owner only.
+        Time of acceptance in Unix milliseconds by the clock of the accepting instance;
+        used only to compute ages after a change of owner.
     hops : int
-        Units that passed the job on.
+        Number of units that have handed the job over.
     piece : tuple of int
-        Occurrence, step and number of the one task that was passed on; empty for a
-        whole job.
+        Occurrence, step and number of the single task that was handed over; empty for
+        a whole job.
     first_run : int
-        Highest run number of that task before.
+        Highest run number of that task before it was handed over.
     """
 
     job_id: str
@@ -162,7 +164,7 @@
 
     @property
     def record_id(self) -> str:
-        """Return what the job is stored under; pieces of one job differ, hop by hop."""
+        """Return the id of the stored job, which is unique for each piece and hop."""
         if not self.piece:
             return self.job_id
         place = ".".join(map(str, self.piece))
@@ -170,20 +172,21 @@
 
 
 class TaskProgress(NamedTuple):
-    """What is stored of a task that isn't done.
+    """The stored state of an unfinished task.
 
     Attributes
     ----------
     run : int
-        Highest run number ordered so far.
+        Highest run number that has been ordered.
     runner : str
-        Life of the runner that the run was ordered at; empty if none is out.
+        Incarnation of the runner that was ordered to run it; empty if no run is
+        outstanding.
     failures : int
-        Runs that ended as failed.
+        Number of failed runs.
     checkpoint : str
-        Newest known checkpoint; empty for none.
+        Newest known checkpoint; empty if there is none.
     unit : int or None
-        The unit that the task was handed to.
+        The unit that the task was handed over to.
     """
 
     run: int = 0
@@ -194,14 +197,14 @@
 
 
 class StepProgress(NamedTuple):
-    """What is stored of one step of one occurrence.
+    """The stored progress of a step in one occurrence of a job.
 
     Attributes
     ----------
     done : frozenset of int
         Indices of finished tasks.
     tasks : dict of int to TaskProgress
-        The tasks that were ordered at least once and aren't done.
+        Unfinished tasks that were ordered at least once.
     started : bool
         A task of the job is known to have started.
     """
