--- a/plantainyard/platform/__init__.py
+++ b/plantainyard/platform/__init__.py
@@ -1,8 +1,8 @@
-"""Adapter to the users' platform: its names, formats and calls, and no decisions.
+"""Adapter to the users' platform: its names, formats and calls.
 
-Everything that the platform spells is decoded here into types whose fields say what
-they hold, and encoded here from the product's own words. `docs/glossary.md` maps the
-words.
+The package decodes the formats of the platform into types with descriptive field names,
+and encodes requests in those formats. It makes no scheduling decisions.
+`docs/glossary.md` maps the names of the platform to the names used here.
 """
 
 from plantainyard.platform.configuration import (
--- a/plantainyard/platform/bodies.py
+++ b/plantainyard/platform/bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of calls to the platform: JSON objects, written compactly."""
+"""Encoding and decoding of JSON bodies in calls to the platform."""
 
 import json
 from typing import Any
@@ -9,7 +9,7 @@
 
 
 def encode_body(data: Any) -> bytes:
-    """Return the body of a call.
+    """Return `data` as compact JSON, for use as the body of a request.
 
     Examples
     --------
@@ -19,16 +19,16 @@
     return json.dumps(data, separators=(",", ":")).encode()
 
 
-def read_object(answer: HttpResponse) -> dict[str, Any]:
-    """Return the object in an answer's body, empty where there is none.
+def read_object(response: HttpResponse) -> dict[str, Any]:
+    """Return the JSON object in the body of a response, or an empty dictionary.
 
     Notes
     -----
-    What an answer means is told by its status first; fields that are missing are then
-    named by whoever reads them.
+    The outcome of a call is determined by the status of the response. Errors about
+    missing fields are left to the function that reads them.
     """
     try:
-        data = json.loads(answer.body)
+        data = json.loads(response.body)
     except ValueError:
         return {}
     return data if isinstance(data, dict) else {}
--- a/plantainyard/platform/configuration.py
+++ b/plantainyard/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration as the platform publishes it."""
+"""Decoding of the operators' configuration that the platform publishes."""
 
 import json
 from typing import Any, NamedTuple
@@ -6,7 +6,7 @@
 __all__ = ["Configuration", "Queue", "decode_configuration", "find_queue"]
 
 DEFAULT_BODY_BYTES = 262_144
-"""Longest body of a request where the configuration names none; the platform's own."""
+"""Default of the maximum size of a request body in bytes, defined by the platform."""
 
 
 class Queue(NamedTuple):
@@ -15,15 +15,15 @@
     Attributes
     ----------
     name : str
-        Stable over versions of the configuration.
+        Name of the queue; the same in all versions of the configuration.
     host, prefix : str
-        Requests with this host whose path begins with the prefix belong to it.
+        Requests to this host whose path begins with this prefix belong to the queue.
     service : str
         Service whose runners run the tasks.
     priority : int
-        Zero comes first.
+        Zero is the highest priority.
     max_attempts : int
-        Runs of a task that may fail.
+        Number of failed runs of a task after which the job fails.
     stretch, target_latency_ms : float
         See `plantainyard.batch.Submission`.
     """
@@ -44,11 +44,11 @@
     Attributes
     ----------
     version : int
-        Rises, in uneven steps.
+        Increases with each version, but not always by one.
     queues : tuple of Queue
         All queues of this version.
     body_bytes : int
-        Longest body of a request.
+        Maximum size of a request body in bytes.
     """
 
     version: int
@@ -57,12 +57,12 @@
 
 
 def decode_configuration(value: bytes) -> Configuration:
-    """Decode the record that holds the newest configuration.
+    """Decode the record that holds the operators' configuration.
 
     Raises
     ------
     ValueError, TypeError, KeyError, AttributeError
-        If it isn't a configuration.
+        If the record is not a valid configuration.
     """
     data = json.loads(value)
     return Configuration(
@@ -88,29 +88,29 @@
 def find_queue(
     configuration: Configuration, host: str, path: str
 ) -> tuple[Queue, str] | None:
-    """Return the queue that a request names and the rest of its path.
+    """Return the queue that a request addresses and the rest of its path.
 
     Parameters
     ----------
     configuration : Configuration
         The version in force.
     host : str
-        The ``Host`` header; a port in it is passed over.
+        The ``Host`` header; a port in it is ignored.
     path : str
         The request's path.
 
     Returns
     -------
     tuple of Queue and str, or None
-        The queue with the longest prefix, and what follows the prefix.
+        The matching queue with the longest prefix, and the path after that prefix.
     """
     name = host.partition(":")[0].lower()
-    found = [
+    matches = [
         queue
         for queue in configuration.queues
         if queue.host == name and path.startswith(queue.prefix)
     ]
-    if not found:
+    if not matches:
         return None
-    queue = max(found, key=lambda queue: len(queue.prefix))
+    queue = max(matches, key=lambda queue: len(queue.prefix))
     return queue, path[len(queue.prefix) :].strip("/")
--- a/plantainyard/platform/entries.py
+++ b/plantainyard/platform/entries.py
@@ -1,4 +1,4 @@
-"""What runners write about themselves into the platform's store."""
+"""Decoding of the entries that runners publish about themselves in the store."""
 
 import json
 from typing import NamedTuple
@@ -11,27 +11,27 @@
 
 
 class RunnerEntry(NamedTuple):
-    """A runner's newest report about itself.
+    """The newest entry of a runner.
 
     Attributes
     ----------
     runner : str
-        Its id, which a later life of it may have again.
+        Id of the runner, which a later incarnation may use again.
     started_at_ms : int
-        Start of this life in Unix milliseconds by the runner's clock; tells lives of
-        one id apart.
+        Start of this incarnation in Unix milliseconds by the runner's clock;
+        distinguishes incarnations with the same id.
     service, address, domain : str
-        What it serves, ``ip:port``, and its failure domain.
+        Service whose tasks it runs, address as ``ip:port``, and failure domain.
     draining : bool
-        It is about to leave.
+        The runner is about to leave.
     leaves_in_ms : float or None
-        Shortest time that it stays while draining, where it says so.
+        Minimum time in milliseconds for which a draining runner remains, if known.
     capacity : Resources
-        What it can hold.
+        Total amount of resources that its tasks can use.
     labels : tuple of str
-        Its kind and its rack, in this order where it has both.
+        Kind and rack of the runner, in this order if it has both.
     machine : str
-        The machine that it runs on, where it says so.
+        Name of its machine; empty if unknown.
     """
 
     runner: str
@@ -52,38 +52,38 @@
 
     @property
     def rack(self) -> str:
-        """Return the rack, the last of the labels; empty where there is none."""
+        """Return the rack, which is the last label; empty if there are no labels."""
         return self.labels[-1] if self.labels else ""
 
 
 def decode_entry(runner: str, value: bytes) -> RunnerEntry | None:
-    """Decode a runner's entry.
+    """Decode the entry of a runner.
 
     Returns
     -------
     RunnerEntry or None
-        None where the record doesn't describe a usable runner: other writers leave
-        records with missing fields, other types, or bytes that aren't text.
+        None if the record does not describe a usable runner. Other programs write
+        records with missing fields, other types or invalid text to the same topic.
     """
     try:
         data = json.loads(value)
-        room = data["capacity"]
-        leaves = data.get("remainingMs")
+        capacity = data["capacity"]
+        remaining_ms = data.get("remainingMs")
         entry = RunnerEntry(
             runner=runner,
-            started_at_ms=_whole(data.get("born", 0)),
-            service=_text(data["service"]),
-            address=_text(data["address"]),
-            domain=_text(data["zone"]),
+            started_at_ms=_read_int(data.get("born", 0)),
+            service=_read_str(data["service"]),
+            address=_read_str(data["address"]),
+            domain=_read_str(data["zone"]),
             draining=data["state"] == "draining",
-            leaves_in_ms=None if leaves is None else float(leaves),
+            leaves_in_ms=None if remaining_ms is None else float(remaining_ms),
             capacity=Resources(
-                _whole(room.get("cpu", 0)),
-                _whole(room.get("memMb", 0)),
-                _whole(room.get("gpu", 0)),
+                _read_int(capacity.get("cpu", 0)),
+                _read_int(capacity.get("memMb", 0)),
+                _read_int(capacity.get("gpu", 0)),
             ),
-            labels=tuple(_text(label) for label in data.get("labels", ())),
-            machine=_text(data.get("machine", "")),
+            labels=tuple(_read_str(label) for label in data.get("labels", ())),
+            machine=_read_str(data.get("machine", "")),
         )
     except (ValueError, TypeError, KeyError, AttributeError):
         return None
@@ -92,13 +92,13 @@
     return entry if usable else None
 
 
-def _whole(value: object) -> int:
+def _read_int(value: object) -> int:
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise TypeError(f"expected a number, found {value!r}")
     return int(value)
 
 
-def _text(value: object) -> str:
+def _read_str(value: object) -> str:
     if not isinstance(value, str):
-        raise TypeError(f"expected text, found {value!r}")
+        raise TypeError(f"expected a string, found {value!r}")
     return value
--- a/plantainyard/platform/runners.py
+++ b/plantainyard/platform/runners.py
@@ -1,4 +1,4 @@
-"""Calls to runners: start, stop, pace, and hold with its report."""
+"""Calls to runners: start, stop and pace a run, renew a lease and read the report."""
 
 from collections.abc import Callable
 from functools import lru_cache
@@ -34,26 +34,27 @@
 
 
 class Order(NamedTuple):
-    """An order about one run of a task at one life of a runner.
+    """An order about one run of a task, for one incarnation of a runner.
 
     Attributes
     ----------
     runner, started_at_ms, address : str, int, str
-        The life it is meant for, and where to reach it.
+        The incarnation that the order is meant for, and its ``ip:port``.
     task : TaskKey
-        The task.
+        Key of the task.
     run : int
         Number of the run.
     fence : int
-        Fencing token of the sender.
+        Fencing token of the sending owner.
     spec : str
-        The job's opaque text; for starts.
+        Opaque text of the job; used by start orders.
     lease_until_ms : int
-        Time on the runner's clock at which everything there stops; for starts.
+        Time on the runner's clock at which it stops all its runs unless the lease is
+        renewed; used by start orders.
     checkpoint : str
-        Where to resume; for starts.
+        Checkpoint from which to resume; used by start orders.
     percent : int
-        Share of full speed; for pacing.
+        Share of full speed in percent; used by pace orders.
     """
 
     runner: str
@@ -69,26 +70,27 @@
 
 
 class OrderOutcome:
-    """What became of an order.
+    """The outcomes of an order.
 
     Notes
     -----
     ``DONE``
-        The runner has taken it.
+        The runner has accepted the order.
     ``FENCED``
         The runner has seen a higher fencing token.
     ``STALE_RUN``
-        A run with this number or a later one has ended there.
+        A run of the task with this or a higher number has already ended on the runner.
     ``LEASE_EXPIRED``
-        The lease in the order is over already.
+        The lease in the order has already expired.
     ``NO_CAPACITY``
-        The runner refuses what doesn't fit.
+        The runner has too little free capacity for the task.
     ``REFUSED``
-        It did nothing, for another reason.
+        The runner did not act, for another reason.
     ``OTHER_INCARNATION``
-        The life that was meant is over.
+        The addressed incarnation has ended.
     ``UNKNOWN``
-        No answer: it may be carried out at once, seconds later, or never.
+        There was no response: the order may be executed immediately, seconds later, or
+        never.
     """
 
     DONE = "done"
@@ -101,37 +103,41 @@
     UNKNOWN = "unknown"
 
 
-_OUTCOMES = {
+_OUTCOME_BY_REASON = {
     "fence": OrderOutcome.FENCED,
     "old": OrderOutcome.STALE_RUN,
     "late": OrderOutcome.LEASE_EXPIRED,
     "room": OrderOutcome.NO_CAPACITY,
 }
 
-_ERROR_KINDS = {
+_ERROR_KIND_BY_OUTCOME = {
     OrderOutcome.FENCED: ErrorKind.CONFLICT,
     OrderOutcome.OTHER_INCARNATION: ErrorKind.OTHER_INCARNATION,
     OrderOutcome.UNKNOWN: ErrorKind.LOST,
 }
 
 MISDIRECTED_STATUS = 421
+"""HTTP status with which a runner rejects an order for another incarnation."""
 
 TASK_NAME_CACHE_SIZE = 8192
-"""Parsed names of tasks that are kept: each is in one report after the other for as
-long as it runs, and an owner has a few thousand."""
+"""Number of parsed task names to cache.
+
+A task name recurs in every report while the task runs, and an owner has a few thousand
+tasks.
+"""
 
 
 class OrderResult(NamedTuple):
-    """An order's outcome.
+    """The outcome of an order.
 
     Attributes
     ----------
     outcome : str
         One of `OrderOutcome`.
     clock_ms : int or None
-        The runner's clock when it answered.
+        The runner's clock at the time of its response.
     detail : str
-        For the log.
+        Description for the log.
     """
 
     outcome: str
@@ -140,19 +146,19 @@
 
 
 class ReportedRun(NamedTuple):
-    """A run that is at a runner.
+    """A run that a runner reports as running.
 
     Attributes
     ----------
     task, run : TaskKey, int
-        Which one.
+        The run.
     checkpoint : str
-        Newest one; empty for none.
+        Newest checkpoint; empty if there is none.
     percent : int
-        How far it is; 100 for a long-running task that is at work.
+        Progress of the run in percent; 100 for a long-running task that is running.
     load : float or None
-        Over the last half second: the tail latency in milliseconds of a serving
-        task, the processor time in use (thousandths of a core) of any other.
+        Measured over the last half second: the tail latency in milliseconds of a
+        serving task, or the processor time in thousandths of a core of any other task.
     """
 
     task: TaskKey
@@ -163,18 +169,18 @@
 
 
 class RunEnd(NamedTuple):
-    """The end of a run, as the runner numbers them.
+    """The end of a run, numbered by the runner.
 
     Attributes
     ----------
     number : int
-        Rises by one within a life.
+        Increases by one with each end in an incarnation.
     task, run : TaskKey, int
-        Which one.
+        The run.
     outcome : str
         ``done``, ``failed``, ``stopped``, ``lapsed``, ``broken`` or ``alone``.
     checkpoint : str
-        Newest one; empty for none.
+        Newest checkpoint; empty if there is none.
     """
 
     number: int
@@ -185,18 +191,18 @@
 
 
 class RunnerReport(NamedTuple):
-    """A runner's report of all that runs and has ended there.
+    """A runner's report of its running and ended runs.
 
     Attributes
     ----------
     clock_ms : int
-        The runner's clock.
+        The runner's clock at the time of its response.
     started_at_ms : int or None
-        Life that answered, where it says so.
+        Start time of the incarnation that responded, if given.
     running : list of ReportedRun
-        Everything that runs or is being stopped.
+        All runs that are running or being stopped.
     ended : list of RunEnd
-        Ends that weren't acknowledged yet.
+        Ends of runs that have not been acknowledged yet.
     """
 
     clock_ms: int
@@ -206,32 +212,32 @@
 
 
 OrderCallback = Callable[[OrderResult], None]
-"""Told what became of an order."""
+"""Receives the outcome of an order."""
 
 ReportCallback = Callable[[Result[RunnerReport, CallError]], None]
-"""Told a runner's report, or why there is none."""
+"""Receives a runner's report or the error of the call."""
 
 
 class RunnerCalls(NamedTuple):
-    """Calls to runners; each is told to a function what came of it.
+    """Asynchronous calls to runners, whose results are passed to callbacks.
 
     Attributes
     ----------
     multiplexer : Multiplexer
-        The connections.
+        The connections to the runners.
     observe : CallObserver
-        Told of each call.
+        Receives the duration and the result of each call.
 
     Notes
     -----
-    The functions that are told run on the multiplexer's thread and must not wait.
+    The callbacks run on the thread of the multiplexer and must not block.
     """
 
     multiplexer: Multiplexer
     observe: CallObserver = discard_observation
 
-    def start(self, order: Order, timeout_s: float, answered: OrderCallback) -> None:
-        """Order a run to start; a repeat of the same order does no harm."""
+    def start(self, order: Order, timeout_s: float, on_result: OrderCallback) -> None:
+        """Order a runner to start a run; repeating the same order is harmless."""
         body: dict[str, Any] = {
             "task": format_task(order.task),
             "run": order.run,
@@ -241,22 +247,22 @@
         }
         if order.checkpoint:
             body["checkpoint"] = order.checkpoint
-        self._order("run-start", order, body, timeout_s, answered)
+        self._order("run-start", order, body, timeout_s, on_result)
 
-    def stop(self, order: Order, timeout_s: float, answered: OrderCallback) -> None:
-        """Order a run to stop; one that isn't there yet will be refused."""
+    def stop(self, order: Order, timeout_s: float, on_result: OrderCallback) -> None:
+        """Order a runner to stop a run, or to refuse it if it arrives later."""
         body = {"task": format_task(order.task), "run": order.run, "fence": order.fence}
-        self._order("run-stop", order, body, timeout_s, answered)
+        self._order("run-stop", order, body, timeout_s, on_result)
 
-    def pace(self, order: Order, timeout_s: float, answered: OrderCallback) -> None:
-        """Let a run work at a share of its full speed."""
+    def pace(self, order: Order, timeout_s: float, on_result: OrderCallback) -> None:
+        """Order a runner to limit a run to a share of its full speed."""
         body = {
             "task": format_task(order.task),
             "run": order.run,
             "percent": order.percent,
             "fence": order.fence,
         }
-        self._order("pace", order, body, timeout_s, answered)
+        self._order("pace", order, body, timeout_s, on_result)
 
     def renew_lease(
         self,
@@ -264,22 +270,24 @@
         last_seen: int,
         wait_s: float,
         timeout_s: float,
-        answered: ReportCallback,
+        on_report: ReportCallback,
     ) -> None:
-        """Renew the lease of all that runs at a runner, and read its report.
+        """Renew the lease of all runs on a runner, and request its report.
 
         Parameters
         ----------
         order : Order
-            Names the life; a zero `lease_until_ms` renews nothing.
+            Identifies the incarnation; if `lease_until_ms` is zero, the lease is not
+            renewed.
         last_seen : int
-            Ends up to this number are forgotten by the runner.
+            Acknowledges the ends up to this number, which the runner then discards.
         wait_s : float
-            The answer waits so long for an end that isn't acknowledged.
+            Maximum time for which the runner delays its response while there is no
+            unacknowledged end.
         timeout_s : float
-            Longest time for the answer beyond `wait_s`.
-        answered : ReportCallback
-            Told the report, or why there is none.
+            Maximum time to wait for the response, in addition to `wait_s`.
+        on_report : ReportCallback
+            Receives the report or the error.
         """
         body: dict[str, Any] = {"fence": order.fence, "lastSeen": last_seen}
         if order.lease_until_ms:
@@ -287,13 +295,13 @@
         if wait_s:
             body["waitMs"] = round(wait_s * 1000)
 
-        def take(answer: Result[HttpResponse, CallError]) -> None:
-            answered(answer.and_then(lambda found: decode_report(found, order)))
+        def handle(result: Result[HttpResponse, CallError]) -> None:
+            on_report(result.and_then(lambda response: decode_report(response, order)))
 
-        self._call("hold", order, body, timeout_s + wait_s, take)
+        self._call("hold", order, body, timeout_s + wait_s, handle)
 
     def close(self) -> None:
-        """Close all connections; calls that are out end untold."""
+        """Close all connections; the callbacks of outstanding calls are not called."""
         self.multiplexer.close()
 
     def _order(
@@ -302,16 +310,16 @@
         order: Order,
         body: dict[str, Any],
         timeout_s: float,
-        answered: OrderCallback,
+        on_result: OrderCallback,
     ) -> None:
-        def take(answer: Result[HttpResponse, CallError]) -> None:
-            if isinstance(answer, Err):
-                detail = answer.err_value.detail
-                answered(OrderResult(OrderOutcome.UNKNOWN, None, detail))
+        def handle(result: Result[HttpResponse, CallError]) -> None:
+            if isinstance(result, Err):
+                detail = result.err_value.detail
+                on_result(OrderResult(OrderOutcome.UNKNOWN, None, detail))
             else:
-                answered(decode_result(answer.ok_value))
+                on_result(decode_result(result.ok_value))
 
-        self._call(name, order, body, timeout_s, take)
+        self._call(name, order, body, timeout_s, handle)
 
     def _call(
         self,
@@ -319,14 +327,14 @@
         order: Order,
         body: dict[str, Any],
         timeout_s: float,
-        answered: ResultCallback,
+        on_response: ResultCallback,
     ) -> None:
         step = f"runner.{name}"
-        began = read_clock()
+        started_at = read_clock()
 
-        def take(answer: Result[HttpResponse, CallError]) -> None:
-            self.observe(step, classify_result(answer), read_clock() - began)
-            answered(answer)
+        def handle(result: Result[HttpResponse, CallError]) -> None:
+            self.observe(step, classify_result(result), read_clock() - started_at)
+            on_response(result)
 
         headers = {
             "Content-Type": "application/json",
@@ -335,48 +343,49 @@
         data = build_request(
             "POST", f"/v1/{name}", order.address, headers, encode_body(body)
         )
-        call = Call(step, order.runner, order.address, data, timeout_s, take)
+        call = Call(step, order.runner, order.address, data, timeout_s, handle)
         self.multiplexer.send(call)
 
 
 def build_runner_calls(observe: CallObserver = discard_observation) -> RunnerCalls:
-    """Return calls to runners with connections of their own."""
+    """Return calls to runners that use their own connections."""
     return RunnerCalls(Multiplexer(), observe)
 
 
-def decode_result(answer: HttpResponse) -> OrderResult:
-    data = read_object(answer)
+def decode_result(response: HttpResponse) -> OrderResult:
+    """Return the outcome of an order from the runner's response."""
+    data = read_object(response)
     clock = data.get("clockMs")
     clock_ms = clock if isinstance(clock, int) else None
-    if answer.status == 200:
+    if response.status == 200:
         return OrderResult(OrderOutcome.DONE, clock_ms)
-    detail = f"status {answer.status} {answer.body[:100]!r}"
-    if answer.status == 409:
-        outcome = _OUTCOMES.get(data.get("reason", ""), OrderOutcome.REFUSED)
+    detail = f"status {response.status} {response.body[:100]!r}"
+    if response.status == 409:
+        outcome = _OUTCOME_BY_REASON.get(data.get("reason", ""), OrderOutcome.REFUSED)
         return OrderResult(outcome, clock_ms, detail)
-    if answer.status == MISDIRECTED_STATUS:
+    if response.status == MISDIRECTED_STATUS:
         return OrderResult(OrderOutcome.OTHER_INCARNATION, None, detail)
-    if 400 <= answer.status < 500 or answer.status == 503:
+    if 400 <= response.status < 500 or response.status == 503:
         return OrderResult(OrderOutcome.REFUSED, clock_ms, detail)
     return OrderResult(OrderOutcome.UNKNOWN, clock_ms, detail)
 
 
 def decode_report(
-    answer: HttpResponse, order: Order
+    response: HttpResponse, order: Order
 ) -> Result[RunnerReport, CallError]:
-    """Return a runner's report, or why there is none.
+    """Return a runner's report, or the error that the response stands for.
 
     Notes
     -----
     ``CONFLICT`` means that the runner has seen a higher fencing token,
-    ``OTHER_INCARNATION`` that the incarnation that was meant is over.
+    ``OTHER_INCARNATION`` that the addressed incarnation has ended.
     """
     step, peer = "runner.hold", order.runner
-    if answer.status != 200:
-        result = decode_result(answer)
-        kind = _ERROR_KINDS.get(result.outcome, ErrorKind.REFUSED)
+    if response.status != 200:
+        result = decode_result(response)
+        kind = _ERROR_KIND_BY_OUTCOME.get(result.outcome, ErrorKind.REFUSED)
         return Err(CallError(kind, step, peer, result.detail))
-    data = read_object(answer)
+    data = read_object(response)
     try:
         running = [_decode_running(row) for row in data["running"]]
         ended = [_decode_end(row) for row in data["endedRuns"]]
@@ -395,7 +404,7 @@
 
 
 def format_task(task: TaskKey) -> str:
-    """Return a task's name on the wire.
+    """Return the name of a task on the wire.
 
     Examples
     --------
@@ -407,6 +416,12 @@
 
 @lru_cache(maxsize=TASK_NAME_CACHE_SIZE)
 def parse_task(name: str) -> TaskKey:
-    """Return the task that `format_task` named; ValueError if it is no such name."""
+    """Return the task key for a name that was made by `format_task`.
+
+    Raises
+    ------
+    ValueError
+        If the name does not have that form.
+    """
     job_id, occurrence, step, index = name.split(".")
     return TaskKey(job_id, int(occurrence), int(step), int(index))
--- a/plantainyard/platform/settings.py
+++ b/plantainyard/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform writes for a process."""
+"""Reading of the settings file that the platform writes for each process."""
 
 import re
 import tomllib
@@ -23,7 +23,7 @@
 
 
 class SettingsFault(NamedTuple):
-    """Why a settings file can't be used, with the place in it."""
+    """The reason why a settings file is invalid, with its location in the file."""
 
     path: str
     line: int
@@ -32,40 +32,41 @@
 
 
 class InstanceSettings(NamedTuple):
-    """What one process learns about itself and the platform.
+    """The settings of one process and of the platform that it runs on.
 
     Attributes
     ----------
     instance : str
-        Name of this instance; unique while it lives.
+        Name of this instance; unique among running instances.
     domain, region : str
         Failure domain and region of the instance.
     ip : str
-        Own address.
+        IP address of this instance.
     caller_address, ready_address : str
-        ``ip:port`` where callers and the readiness check come in.
+        ``ip:port`` at which callers and the readiness check connect.
     peer_port, metrics_port : int
-        Ports for calls between instances and for metrics.
+        Ports of the calls between instances and of the metrics.
     store_address : str
         ``ip:port`` of the platform's store.
     store_partitions : int
-        Partitions of each topic.
+        Number of partitions of each topic.
     shortest_ttl_s : float
-        Shortest time to live that a group member may ask for.
+        Minimum time to live that a group member may request, in seconds.
     longest_lease_s : float
-        Longest lease that a runner grants.
+        Maximum length of a lease that a runner grants, in seconds.
     cancel_deadline_s : float
-        Time after a cancel was acknowledged in which all of the job's work must end.
+        Maximum time from the acknowledgement of a cancellation until all work of the
+        job has ended, in seconds.
     grace_s : float
-        Time between the request to stop and the kill.
+        Time between the request to stop and the kill signal, in seconds.
     max_target_violation_s : float
-        Longest time for which a serving task may be over its target.
+        Maximum time for which a serving task may exceed its latency target, in seconds.
     remote_factor : float
-        How many times as long tasks take away from their rack.
+        Factor by which tasks take longer outside their preferred rack.
     link_mbps : float
-        Bandwidth of the instance's own link, in megabits a second.
+        Bandwidth of the instance's own link, in megabits per second.
     cores : float
-        Processors that the instance has, in cores of usual speed.
+        Processor capacity of the instance, in cores of standard speed.
     """
 
     instance: str
@@ -94,7 +95,7 @@
     Returns
     -------
     Result[InstanceSettings, SettingsFault]
-        The fault names file, line and key.
+        The settings, or a fault with file, line and key.
     """
     try:
         text = path.read_text()
@@ -106,7 +107,7 @@
 def parse_instance_settings(
     text: str, path: str = ""
 ) -> Result[InstanceSettings, SettingsFault]:
-    """Decode the text of a settings file; fields that aren't known are passed over."""
+    """Decode the text of a settings file; unknown fields are ignored."""
     try:
         data = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -121,7 +122,7 @@
 
 
 class _SettingError(Exception):
-    """A key that is missing or of another type."""
+    """A key that is missing or has a value of the wrong type."""
 
     def __init__(self, key: str, detail: str) -> None:
         super().__init__(key, detail)
@@ -132,13 +133,13 @@
 def _decode(data: Mapping[str, Any]) -> InstanceSettings:
     ports = _get(data, "internalPorts", list)
     if len(ports) != 2 or not all(isinstance(port, int) for port in ports):
-        raise _SettingError("internalPorts", "expected two port numbers")
+        raise _SettingError("internalPorts", "expected a list of two port numbers")
     listen = _get(data, "listen", dict)
     platform = _get(data, "platform", dict)
     bounds = data.get("bounds", {})
     limits = data.get("limits", {})
-    # The platform mixes units by key: names that end in S hold seconds, all others
-    # milliseconds.
+    # The unit depends on the key: names that end in S hold seconds, all other times
+    # are in milliseconds.
     defaults = InstanceSettings._field_defaults
     return InstanceSettings(
         instance=_get(data, "node", str),
@@ -150,20 +151,21 @@
         peer_port=ports[0],
         metrics_port=ports[1],
         store_address=_get(platform, "address", str, "platform"),
-        store_partitions=int(_number(platform, "parts", 12)),
-        shortest_ttl_s=_number(platform, "minTtlMs", 1000) / MS_IN_S,
-        longest_lease_s=_number(bounds, "maxHoldMs", 10_000) / MS_IN_S,
-        # Until the last start, and from there until the last stop has taken effect.
+        store_partitions=int(_get_number(platform, "parts", 12)),
+        shortest_ttl_s=_get_number(platform, "minTtlMs", 1000) / MS_IN_S,
+        longest_lease_s=_get_number(bounds, "maxHoldMs", 10_000) / MS_IN_S,
+        # The time until the last possible start of a run, plus the time until the last
+        # stop order has taken effect.
         cancel_deadline_s=(
-            _number(bounds, "cancel_ms", 3000) + _number(bounds, "stopMs", 900)
+            _get_number(bounds, "cancel_ms", 3000) + _get_number(bounds, "stopMs", 900)
         )
         / MS_IN_S,
-        grace_s=_number(bounds, "graceS", defaults["grace_s"]),
-        max_target_violation_s=_number(bounds, "harmMs", 4000) / MS_IN_S,
-        remote_factor=_number(bounds, "remoteFactor", 1.0),
-        link_mbps=_number(limits, "linkMbps", 1000.0),
-        # A share of one core, and how many times as fast that core is.
-        cores=_number(limits, "cpuShare", 1.0) * _number(limits, "cores", 1.0),
+        grace_s=_get_number(bounds, "graceS", defaults["grace_s"]),
+        max_target_violation_s=_get_number(bounds, "harmMs", 4000) / MS_IN_S,
+        remote_factor=_get_number(bounds, "remoteFactor", 1.0),
+        link_mbps=_get_number(limits, "linkMbps", 1000.0),
+        # The instance's share of a core, times the speed factor of that core.
+        cores=_get_number(limits, "cpuShare", 1.0) * _get_number(limits, "cores", 1.0),
     )
 
 
@@ -177,7 +179,7 @@
     return value
 
 
-def _number(data: Mapping[str, Any], key: str, default: float) -> float:
+def _get_number(data: Mapping[str, Any], key: str, default: float) -> float:
     value = data.get(key, default)
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise _SettingError(key, f"expected a number, found {value!r}")
--- a/plantainyard/platform/store.py
+++ b/plantainyard/platform/store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store: appends, reads, newest records, groups."""
+"""Calls to the platform's store: appends, reads, newest records and groups."""
 
 import base64
 import struct
@@ -35,33 +35,35 @@
 
 HEADER = struct.Struct(">QQ")
 LENGTH = struct.Struct(">I")
-CONNECTIONS = 16
-"""Idle connections kept: one for each thread that calls the store."""
+MAX_IDLE_CONNECTIONS = 16
+"""Maximum number of idle connections: one for each thread that calls the store."""
 
 GONE = 410
+"""HTTP status with which the store reports that records were dropped."""
 
 
 class Record(NamedTuple):
-    """A record of a keyed topic; an empty value drops the key."""
+    """A record of a keyed topic; an empty value deletes the key."""
 
     key: str
     value: bytes
 
 
 class Append(NamedTuple):
-    """Records to be appended to one partition, all or none of them.
+    """Records to be appended atomically to one partition.
 
     Attributes
     ----------
     topic, partition : str, int
-        Where to.
+        The partition.
     records : sequence of Record
-        May be empty where an epoch is given: this fences older epochs off.
+        May be empty if an epoch is given, to fence off older epochs.
     producer, epoch, sequence
-        Where `producer` isn't empty: the store takes the append only from the highest
-        epoch it has seen, and once for each sequence number.
+        If `producer` is not empty, the store accepts the append only from the highest
+        epoch that it has seen, and only once for each sequence number.
     expected_end : int or None
-        The store takes the append only if the partition ends there.
+        If given, the store accepts the append only if the partition ends at this
+        offset.
     """
 
     topic: str
@@ -74,17 +76,17 @@
 
 
 class AppendResult(NamedTuple):
-    """What became of an append that was answered.
+    """The result of an append to which the store responded.
 
     Attributes
     ----------
     accepted : bool
-        The records are stored.
+        The records were stored.
     fenced : bool
-        Another has written under a higher epoch, or under this one: this producer's
-        time is over.
+        Another producer has written with the same or a higher epoch, so this producer
+        must stop.
     end : int
-        The partition's end after it, where the store says so.
+        End of the partition after the append, if the store reports it.
     """
 
     accepted: bool
@@ -93,18 +95,19 @@
 
 
 class Slice(NamedTuple):
-    """Records of a partition from some offset on.
+    """Records of a partition from an offset onwards.
 
     Attributes
     ----------
     records : list of Record
-        In order; records that can't be read are left out.
+        Records in order, without those that cannot be decoded.
     next_offset : int
-        Where to go on.
+        Offset of the next read.
     end : int
-        End of the partition when the store answered.
+        End of the partition when the store responded.
     dropped : bool
-        The records asked for are gone; read the newest of each key instead.
+        The store no longer has the requested records; the newest record of each key
+        must be read instead.
     """
 
     records: list[Record]
@@ -114,18 +117,18 @@
 
 
 class Page(NamedTuple):
-    """Newest records of some keys of a partition.
+    """The newest records of a range of keys of a partition.
 
     Attributes
     ----------
     records : list of Record
-        Ordered by key.
+        Records ordered by key.
     last_key : str
-        Where to go on if `more`.
+        Key after which the next page starts, if `more`.
     more : bool
-        Further keys follow.
+        There are further keys.
     end : int
-        End of the partition when the store answered.
+        End of the partition when the store responded.
     """
 
     records: list[Record]
@@ -135,14 +138,14 @@
 
 
 class Assignment(NamedTuple):
-    """A partition that a group has dealt to a member."""
+    """A partition that a group has assigned to a member."""
 
     topic: str
     partition: int
 
 
 class PartitionOwner(NamedTuple):
-    """A partition and the group's member that has it; empty for nobody."""
+    """A partition and the group member that owns it, which is empty if none does."""
 
     topic: str
     partition: int
@@ -150,23 +153,23 @@
 
 
 class Membership(NamedTuple):
-    """What a group's member is told: the generation and its partitions."""
+    """The generation of a group and the partitions assigned to one member."""
 
     generation: int
     assignments: frozenset[Assignment]
 
 
 class StoreCalls(NamedTuple):
-    """The platform's store.
+    """Blocking calls to the platform's store.
 
     Attributes
     ----------
     address : str
-        ``ip:port``.
+        Address of the store as ``ip:port``.
     multiplexer : Multiplexer
-        The connections.
+        The connections to the store.
     observe : CallObserver
-        Told of each call.
+        Receives the duration and the result of each call.
     """
 
     address: str
@@ -176,13 +179,13 @@
     def append(
         self, append: Append, timeout_s: float
     ) -> Result[AppendResult, CallError]:
-        """Append records.
+        """Append records to a partition.
 
         Returns
         -------
         Result[AppendResult, CallError]
-            ``REFUSED`` or ``UNREACHABLE`` means that nothing was and nothing will be
-            done; after ``LOST`` the append may take effect even seconds later.
+            After ``REFUSED`` or ``UNREACHABLE`` the append has not taken effect and
+            never will; after ``LOST`` it may still take effect, even seconds later.
         """
         query: dict[str, Any] = {"topic": append.topic, "part": append.partition}
         if append.producer:
@@ -192,8 +195,8 @@
         if append.expected_end is not None:
             query["at"] = append.expected_end
         body = b"".join(_pack_record(record) for record in append.records)
-        answer = self._call("POST", "log-append", query, body, timeout_s)
-        return answer.and_then(_decode_appended)
+        result = self._call("POST", "log-append", query, body, timeout_s)
+        return result.and_then(_decode_append_result)
 
     def read(
         self,
@@ -203,22 +206,22 @@
         wait_s: float,
         timeout_s: float,
     ) -> Result[Slice, CallError]:
-        """Read records from `offset` on, waiting up to `wait_s` for the first one."""
+        """Return the records from `offset` on, waiting up to `wait_s` for the first."""
         query = {"topic": topic, "part": partition, "from": offset}
         if wait_s:
             query["waitMs"] = round(wait_s * 1000)
-        answer = self._call("GET", "log-read", query, None, timeout_s + wait_s)
-        return answer.and_then(lambda found: _decode_slice(found, offset))
+        result = self._call("GET", "log-read", query, None, timeout_s + wait_s)
+        return result.and_then(lambda response: _decode_slice(response, offset))
 
     def read_newest(
         self, topic: str, partition: int, after: str, timeout_s: float
     ) -> Result[Page, CallError]:
-        """Read the newest record of each key that follows `after`."""
+        """Return the newest record of each key that follows `after`."""
         query = {"topic": topic, "part": partition}
         if after:
             query["after"] = after
-        answer = self._call("GET", "log-newest", query, None, timeout_s)
-        return answer.and_then(_decode_page)
+        result = self._call("GET", "log-newest", query, None, timeout_s)
+        return result.and_then(_decode_page)
 
     def join(
         self,
@@ -229,7 +232,7 @@
         generation: int,
         timeout_s: float,
     ) -> Result[Membership, CallError]:
-        """Join a group or stay in it, and learn which partitions are the member's."""
+        """Join a group or renew its membership, and return the member's partitions."""
         body = {
             "group": group,
             "member": member,
@@ -237,24 +240,27 @@
             "ttlMs": round(ttl_s * 1000),
             "generation": generation,
         }
-        answer = self._call("POST", "log-join", {}, encode_body(body), timeout_s)
-        return answer.and_then(_decode_membership)
+        result = self._call("POST", "log-join", {}, encode_body(body), timeout_s)
+        return result.and_then(_decode_membership)
 
     def read_partition_owners(
         self, group: str, timeout_s: float
     ) -> Result[list[PartitionOwner], CallError]:
-        """Return which member of a group has which partition; anybody may ask."""
+        """Return the owner of each partition of a group.
+
+        The caller does not have to be a member of the group.
+        """
         query = {"group": group}
-        answer = self._call("GET", "log-owners", query, None, timeout_s)
-        return answer.and_then(_decode_holdings)
+        result = self._call("GET", "log-owners", query, None, timeout_s)
+        return result.and_then(_decode_partition_owners)
 
     def leave(
         self, group: str, member: str, timeout_s: float
     ) -> Result[None, CallError]:
-        """Leave a group, so that its partitions are dealt to others at once."""
+        """Leave a group, so that its partitions are reassigned immediately."""
         body = encode_body({"group": group, "member": member})
-        answer = self._call("POST", "log-leave", {}, body, timeout_s)
-        return answer.and_then(_expect_ok)
+        result = self._call("POST", "log-leave", {}, body, timeout_s)
+        return result.and_then(_expect_ok)
 
     def _call(
         self,
@@ -270,21 +276,21 @@
         headers = {"Content-Type": "application/json"} if body is not None else {}
         step = "store." + name.removeprefix("log-")
         data = build_request(method, path, self.address, headers, body)
-        began = read_clock()
-        answer = self.multiplexer.call(step, "store", self.address, data, timeout_s)
-        self.observe(step, classify_result(answer), read_clock() - began)
-        return answer
+        started_at = read_clock()
+        result = self.multiplexer.call(step, "store", self.address, data, timeout_s)
+        self.observe(step, classify_result(result), read_clock() - started_at)
+        return result
 
     def close(self) -> None:
-        """Close all connections; calls that are out fail."""
+        """Close all connections; outstanding calls fail."""
         self.multiplexer.close()
 
 
 def build_store_calls(
     address: str, observe: CallObserver = discard_observation
 ) -> StoreCalls:
-    """Return the calls to the store at ``ip:port``, with connections of their own."""
-    return StoreCalls(address, Multiplexer(CONNECTIONS), observe)
+    """Return calls to the store at ``ip:port`` that use their own connections."""
+    return StoreCalls(address, Multiplexer(MAX_IDLE_CONNECTIONS), observe)
 
 
 def _pack_record(record: Record) -> bytes:
@@ -307,46 +313,49 @@
         return None
 
 
-def _decode_appended(answer: HttpResponse) -> Result[AppendResult, CallError]:
-    if answer.status == 200:
-        return Ok(AppendResult(True, False, int(read_object(answer).get("end", 0))))
-    if answer.status == 409 and read_object(answer).get("reason") in ("fenced", "seq"):
+def _decode_append_result(response: HttpResponse) -> Result[AppendResult, CallError]:
+    if response.status == 200:
+        return Ok(AppendResult(True, False, int(read_object(response).get("end", 0))))
+    if response.status == 409 and read_object(response).get("reason") in (
+        "fenced",
+        "seq",
+    ):
         return Ok(AppendResult(False, True, 0))
-    if answer.status == 412:
-        return Ok(AppendResult(False, False, int(read_object(answer).get("end", 0))))
-    return Err(_judge(answer, "store.append"))
+    if response.status == 412:
+        return Ok(AppendResult(False, False, int(read_object(response).get("end", 0))))
+    return Err(_classify_error(response, "store.append"))
 
 
-def _decode_slice(answer: HttpResponse, offset: int) -> Result[Slice, CallError]:
-    if answer.status == GONE:
+def _decode_slice(response: HttpResponse, offset: int) -> Result[Slice, CallError]:
+    if response.status == GONE:
         return Ok(Slice([], offset, 0, dropped=True))
-    if answer.status != 200 or len(answer.body) < HEADER.size:
-        return Err(_judge(answer, "store.read"))
-    end, first = HEADER.unpack_from(answer.body)
+    if response.status != 200 or len(response.body) < HEADER.size:
+        return Err(_classify_error(response, "store.read"))
+    end, first = HEADER.unpack_from(response.body)
     if first > offset:
         return Ok(Slice([], offset, end, dropped=True))
-    raw = _split(answer.body)
+    raw = _split_records(response.body)
     records = [record for data in raw if (record := _unpack_record(data))]
     return Ok(Slice(records, offset + len(raw), end))
 
 
-def _split(body: bytes) -> list[bytes]:
+def _split_records(body: bytes) -> list[bytes]:
     raw = []
-    place = HEADER.size
-    while place + LENGTH.size <= len(body):
-        (size,) = LENGTH.unpack_from(body, place)
-        place += LENGTH.size
-        if place + size > len(body):
+    position = HEADER.size
+    while position + LENGTH.size <= len(body):
+        (size,) = LENGTH.unpack_from(body, position)
+        position += LENGTH.size
+        if position + size > len(body):
             break
-        raw.append(body[place : place + size])
-        place += size
+        raw.append(body[position : position + size])
+        position += size
     return raw
 
 
-def _decode_page(answer: HttpResponse) -> Result[Page, CallError]:
-    if answer.status != 200:
-        return Err(_judge(answer, "store.newest"))
-    data = read_object(answer)
+def _decode_page(response: HttpResponse) -> Result[Page, CallError]:
+    if response.status != 200:
+        return Err(_classify_error(response, "store.newest"))
+    data = read_object(response)
     try:
         items = data["items"]
         records = [Record(item["key"], _decode_value(item)) for item in items]
@@ -361,10 +370,10 @@
     return base64.b64decode(item.get("value") or "")
 
 
-def _decode_membership(answer: HttpResponse) -> Result[Membership, CallError]:
-    if answer.status != 200:
-        return Err(_judge(answer, "store.join"))
-    data = read_object(answer)
+def _decode_membership(response: HttpResponse) -> Result[Membership, CallError]:
+    if response.status != 200:
+        return Err(_classify_error(response, "store.join"))
+    data = read_object(response)
     try:
         rows = frozenset(Assignment(row[0], int(row[1])) for row in data["parts"])
         return Ok(Membership(int(data["generation"]), rows))
@@ -373,27 +382,33 @@
         return Err(CallError(ErrorKind.MALFORMED, "store.join", "store", detail))
 
 
-def _decode_holdings(answer: HttpResponse) -> Result[list[PartitionOwner], CallError]:
-    if answer.status != 200:
-        return Err(_judge(answer, "store.owners"))
+def _decode_partition_owners(
+    response: HttpResponse,
+) -> Result[list[PartitionOwner], CallError]:
+    if response.status != 200:
+        return Err(_classify_error(response, "store.owners"))
     try:
-        # The fourth column is a committed offset, which nothing here uses.
-        rows = read_object(answer)["parts"]
-        holdings = [
+        # The fourth column, a committed offset, is not used.
+        rows = read_object(response)["parts"]
+        owners = [
             PartitionOwner(str(row[0]), int(row[1]), str(row[2] or "")) for row in rows
         ]
-        return Ok(holdings)
+        return Ok(owners)
     except (ValueError, TypeError, KeyError, IndexError) as error:
         detail = f"{error!r}"
         return Err(CallError(ErrorKind.MALFORMED, "store.owners", "store", detail))
 
 
-def _expect_ok(answer: HttpResponse) -> Result[None, CallError]:
-    return Ok(None) if answer.status == 200 else Err(_judge(answer, "store.leave"))
+def _expect_ok(response: HttpResponse) -> Result[None, CallError]:
+    return (
+        Ok(None)
+        if response.status == 200
+        else Err(_classify_error(response, "store.leave"))
+    )
 
 
-def _judge(answer: HttpResponse, step: str) -> CallError:
-    refused = 400 <= answer.status < 500 or answer.status == 503
+def _classify_error(response: HttpResponse, step: str) -> CallError:
+    refused = 400 <= response.status < 500 or response.status == 503
     kind = ErrorKind.REFUSED if refused else ErrorKind.LOST
-    text = answer.body[:200].decode(errors="replace")
-    return CallError(kind, step, "store", f"status {answer.status} {text}".strip())
+    text = response.body[:200].decode(errors="replace")
+    return CallError(kind, step, "store", f"status {response.status} {text}".strip())
--- a/plantainyard/platform/tests/test_decoding.py
+++ b/plantainyard/platform/tests/test_decoding.py
@@ -1,4 +1,4 @@
-"""What the platform writes is decoded, or passed over, or named with its place."""
+"""Tests that the platform's formats are decoded, skipped, or reported with location."""
 
 import json
 
@@ -50,7 +50,7 @@
 }
 
 
-def test_settings_are_decoded_with_their_units():
+def test_settings_are_converted_to_seconds():
     found = parse_instance_settings(SETTINGS).unwrap()
     assert found.instance == "edge-1"
     assert (found.peer_port, found.metrics_port) == (7720, 7735)
@@ -58,7 +58,7 @@
     assert found.max_target_violation_s == 4.5
 
 
-def test_the_bound_on_cancelled_work_is_the_sum_of_two():
+def test_cancel_deadline_is_the_sum_of_two_bounds():
     bounds = "[bounds]\ncancel_ms = 4000\nstopMs = 200\n"
     found = parse_instance_settings(SETTINGS.replace("[bounds]\n", bounds)).unwrap()
     assert found.cancel_deadline_s == 4.2
@@ -74,12 +74,12 @@
         ("parts = 12", "parts =", "", 16),
     ],
 )
-def test_a_wrong_settings_file_is_named_with_key_and_line(old, new, key, line):
+def test_an_invalid_settings_file_is_reported_with_key_and_line(old, new, key, line):
     fault = parse_instance_settings(SETTINGS.replace(old, new), "file").unwrap_err()
     assert (fault.path, fault.key, fault.line) == ("file", key, line)
 
 
-def test_an_entry_is_decoded():
+def test_a_runner_entry_is_decoded():
     entry = decode_entry("i-1", json.dumps(ENTRY).encode())
     assert entry is not None
     assert entry.incarnation == "i-1@1700000000000"
@@ -102,19 +102,19 @@
         {"zone": True},
     ],
 )
-def test_entries_of_other_writers_name_no_runner(changes):
-    # Something else writes records among the runners' entries. Taken for a runner, or
-    # failing the reader, it would stop all placement.
+def test_entries_of_other_writers_are_skipped(changes):
+    # Other programs write records to the topic of the runners' entries. Treating one as
+    # a runner, or failing to read past it, would stop all placement.
     assert decode_entry("i-1", json.dumps({**ENTRY, **changes}).encode()) is None
 
 
 @settings(derandomize=True, deadline=None)
 @given(value=st.binary(max_size=60) | st.text(max_size=60).map(str.encode))
-def test_no_bytes_break_the_reading_of_entries(value):
+def test_arbitrary_bytes_are_skipped_as_runner_entries(value):
     assert decode_entry("i-1", value) is None
 
 
-def test_the_longest_prefix_names_the_queue():
+def test_the_longest_matching_prefix_selects_the_queue():
     routes = [
         {"name": n, "host": "Nony.example", "pathPrefix": p, "service": "s"}
         for n, p in (("short", "/a/"), ("long", "/a/b/"))
@@ -127,7 +127,7 @@
     assert find_queue(configuration, "other.example", "/a/b/0123") is None
 
 
-def test_a_submission_is_decoded_under_the_product_s_names():
+def test_a_submission_is_decoded_into_descriptive_fields():
     routes = [
         {
             "name": "q",
@@ -150,12 +150,12 @@
 
 @given(st.text(max_size=20), st.binary(max_size=50))
 @settings(derandomize=True, deadline=None)
-def test_records_keep_key_and_value(key, value):
+def test_packed_records_keep_key_and_value(key, value):
     packed = _pack_record(Record(key, value))
     assert _unpack_record(packed[4:]) == Record(key, value)
 
 
-def test_names_of_tasks_go_both_ways():
+def test_task_names_survive_parsing_and_formatting():
     assert format_task(parse_task("5c0e7a21d94b36f8.0.1.17")) == (
         "5c0e7a21d94b36f8.0.1.17"
     )
@@ -171,11 +171,9 @@
         (500, "", ErrorKind.LOST),
     ],
 )
-def test_a_refused_report_is_told_by_its_reason_and_not_by_its_text(
-    status, reason, kind
-):
-    # A runner refuses a report for another reason, and its answer names the fencing
-    # token that it holds. Taken for a successor's, the owner of the unit gives it up.
+def test_a_rejected_report_is_classified_by_its_reason(status, reason, kind):
+    # Every rejection includes the runner's fencing token. If a rejection for another
+    # reason were taken for a higher token, the owner would give up its unit.
     order = Order("r0", 1, "a:1", parse_task("a.0.0.0"), 0, 7)
     body = json.dumps({"reason": reason, "fence": 7, "clockMs": 5}).encode()
     error = decode_report(HttpResponse(status, {}, body), order).unwrap_err()
