--- a/plantainyard/dispatch/baselines.py
+++ b/plantainyard/dispatch/baselines.py
@@ -1,7 +1,8 @@
-"""Margins of serving tasks without backfilling work.
+"""Baseline margins: the margins of serving tasks in the absence of backfill work.
 
-They are read off where nothing harms: at the job's other tasks, or a moment ago. A
-job's tasks share its load, so one reading tells of all of them.
+A task's margin is its latency target over its tail latency. The baseline is taken from
+tasks that no backfill work disturbs: the other tasks of the same job, or the same task
+a moment earlier. A job's tasks share its load, so that one reading holds for all.
 """
 
 import math
@@ -21,72 +22,74 @@
 ]
 
 MAX_DRIFT = 0.25
-"""Most by which a base changes in a second, as a part of itself: loads that swing by
-half in 14 s change it so fast."""
+"""Largest relative change of a baseline per second, as caused by a load that swings by
+half in 14 s."""
 
 BASELINE_MAX_AGE_S = 2.0
-"""Age up to which a reading counts for a base; it may be off by half by then."""
+"""Age up to which a reading is used; by then it may be off by half."""
 
 SLOW_RUNNER_RATIO = 1.6
-"""Margin of the job's other tasks, over that of a task without backfilling work beside
-it, from which its runner counts as slow by itself."""
+"""Ratio of the margin of the job's other tasks to that of an undisturbed task above
+which the task's runner is considered slow for reasons of its own."""
 
 SLOW_RUNNER_S = 3.0
-"""Time for which nothing is learnt from such a runner; they turn slow for seconds."""
+"""Time for which nothing is learnt from a slow runner; slow phases last seconds."""
 
 FAST_AVERAGE_S, SLOW_AVERAGE_S = 0.3, 1.0
-"""Times of the two moving averages of a job's base whose difference is its trend."""
+"""Time constants of the two moving averages of a job's baseline; the trend is derived
+from their difference."""
 
 MIN_MARGIN, MAX_MARGIN = 0.02, 8.0
-"""Bounds of margins: tails of fifty targets and of an eighth of one."""
+"""Bounds of margins: tail latencies of fifty targets and of an eighth of a target."""
 
 
 def estimate_baseline(
     interference: InterferenceModel, task: TaskKey, incarnation: str, now: float
 ) -> Baseline | None:
-    """Return a task's base as its job's other tasks show it, or None.
+    """Return a task's baseline according to its job's other tasks, or None.
 
     Parameters
     ----------
     interference : InterferenceModel
-        With the job's readings.
+        Holds the job's readings.
     task : TaskKey
         The task.
     incarnation : str
-        Its runner. Of what was read there only what was read without backfilling work
-        counts: the rest rests on the weights that are to be learnt.
+        Incarnation of its runner. Of this runner's readings only undisturbed ones are
+        used, since the others depend on the weights that are being learnt.
     now : float
         The dispatcher's clock.
 
     Notes
     -----
-    The median by weight, so that one task on a slow runner doesn't count.
+    Returns the weighted median, so that a single task on a slow runner has no effect.
     """
-    bases = sorted(_list_bases(interference, task, incarnation, now))
-    if not bases:
+    baselines = sorted(_list_baselines(interference, task, incarnation, now))
+    if not baselines:
         return None
-    total = sum(1 / base.variance for base in bases)
+    total = sum(1 / baseline.variance for baseline in baselines)
     passed = 0.0
-    for base in bases:
-        passed += 1 / base.variance
+    for baseline in baselines:
+        passed += 1 / baseline.variance
         if passed >= total / 2:
-            return Baseline(base.value, 1 / total)
+            return Baseline(baseline.value, 1 / total)
     return None
 
 
-def _list_bases(
+def _list_baselines(
     interference: InterferenceModel, task: TaskKey, incarnation: str, now: float
 ) -> Iterator[Baseline]:
+    """Yield the recent baselines of the task's job, with variances grown by age."""
     for reading in interference.readings.get(task.job_id, {}).values():
-        age_s = now - reading.at
+        age_s = now - reading.received_at
         if age_s > BASELINE_MAX_AGE_S or (
-            reading.incarnation == incarnation and not reading.clean
+            reading.incarnation == incarnation and not reading.undisturbed
         ):
             continue
         if interference.slow_until.get(reading.incarnation, 0.0) > now:
             continue
-        drift = MAX_DRIFT * age_s * reading.base.value
-        yield Baseline(reading.base.value, reading.base.variance + drift**2)
+        drift = MAX_DRIFT * age_s * reading.baseline.value
+        yield Baseline(reading.baseline.value, reading.baseline.variance + drift**2)
 
 
 def detect_slow_runner(
@@ -96,12 +99,12 @@
     others: Baseline,
     now: float,
 ) -> bool:
-    """Take note of a runner that is slow by itself, and return whether it is.
+    """Return whether a runner is slow for reasons of its own, and record it if so.
 
     Notes
     -----
-    Guards against harmless work that takes the blame for a slow runner, and is then
-    kept from all serving tasks: nothing is learnt there while the runner is slow.
+    Guards against harmless backfill work that is blamed for a slow runner and then kept
+    away from all serving tasks: nothing is learnt from the runner while it is slow.
     """
     slow = others.value > SLOW_RUNNER_RATIO * margin
     if slow:
@@ -110,50 +113,50 @@
 
 
 def update_trend(
-    interference: InterferenceModel, job_id: str, base: Baseline, now: float
+    interference: InterferenceModel, job_id: str, baseline: Baseline, now: float
 ) -> None:
-    """Take a job's base of now into its moving averages."""
-    track = interference.tracks.get(job_id)
-    if track is None or now - track.at > BASELINE_MAX_AGE_S:
-        interference.tracks[job_id] = Trend(base.value, base.value, now)
+    """Update the moving averages of a job's baseline with its current value."""
+    trend = interference.trends.get(job_id)
+    if trend is None or now - trend.updated_at > BASELINE_MAX_AGE_S:
+        interference.trends[job_id] = Trend(baseline.value, baseline.value, now)
         return
-    elapsed_s = max(now - track.at, 0.01)
-    track.fast += (base.value - track.fast) * (
+    elapsed_s = max(now - trend.updated_at, 0.01)
+    trend.fast += (baseline.value - trend.fast) * (
         1 - math.exp(-elapsed_s / FAST_AVERAGE_S)
     )
-    track.slow += (base.value - track.slow) * (
+    trend.slow += (baseline.value - trend.slow) * (
         1 - math.exp(-elapsed_s / SLOW_AVERAGE_S)
     )
-    track.at = now
+    trend.updated_at = now
 
 
 def forecast_baseline(
     interference: InterferenceModel,
     job_id: str,
     own: float,
-    ahead_s: float,
+    horizon_s: float,
     default: float,
 ) -> float:
-    """Return the margin that a job's tasks will have without backfilling work.
+    """Return the baseline that a job's tasks are expected to have in the near future.
 
     Parameters
     ----------
     interference : InterferenceModel
-        What is learnt.
+        Holds the job's trend.
     job_id : str
         The serving job.
     own : float
-        Its base as the runner in question showed it last.
-    ahead_s : float
-        How far to look.
+        The job's baseline according to the last report of the runner in question.
+    horizon_s : float
+        How far to look ahead.
     default : float
-        Taken where the job has told nothing yet.
+        Upper bound of the result for a job without a trend.
     """
-    track = interference.tracks.get(job_id)
-    if track is None:
+    trend = interference.trends.get(job_id)
+    if trend is None:
         return min(own, default)
-    trend = (track.fast - track.slow) / (SLOW_AVERAGE_S - FAST_AVERAGE_S)
-    coming = track.fast + trend * (ahead_s + FAST_AVERAGE_S)
-    least, most = (1 - MAX_DRIFT * ahead_s), (1 + MAX_DRIFT * ahead_s)
-    bounded = min(max(coming, track.fast * least), track.fast * most)
+    slope = (trend.fast - trend.slow) / (SLOW_AVERAGE_S - FAST_AVERAGE_S)
+    predicted = trend.fast + slope * (horizon_s + FAST_AVERAGE_S)
+    least, most = (1 - MAX_DRIFT * horizon_s), (1 + MAX_DRIFT * horizon_s)
+    bounded = min(max(predicted, trend.fast * least), trend.fast * most)
     return min(bounded, own * most)
--- a/plantainyard/dispatch/estimates.py
+++ b/plantainyard/dispatch/estimates.py
@@ -1,4 +1,4 @@
-"""State of what is learnt of interference; `interference` says what it means."""
+"""State of the interference model; `interference` documents the model itself."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
@@ -17,16 +17,16 @@
 
 @dataclass(slots=True, eq=False)
 class WeightEstimate:
-    """What is learnt of one serving image, by recursive least squares.
+    """Recursive least-squares estimate for one serving image.
 
     Attributes
     ----------
     weights : dict
-        Weight by backfilling image.
-    doubts : dict
-        Covariance of the weights, row by row.
+        Weight by backfill image.
+    covariance : dict
+        Covariance matrix of the weights, row by row.
     unseen_s : dict
-        Seconds since an image was last at work beside it.
+        By backfill image, seconds since it last ran beside the serving image.
     """
 
     weights: dict[str, float] = field(default_factory=dict)
@@ -35,53 +35,66 @@
 
 
 class Baseline(NamedTuple):
-    """A margin as it is, or would be, without backfilling work, and its variance."""
+    """A task's margin in the absence of backfill work, and the estimate's variance."""
 
     value: float
     variance: float
 
 
 class Reading(NamedTuple):
-    """What one report told of one task's base; `at` is the dispatcher's clock."""
+    """The baseline of one task according to one report.
 
-    base: Baseline
+    Attributes
+    ----------
+    baseline : Baseline
+        The estimate.
+    incarnation : str
+        Incarnation of the runner that reported.
+    received_at : float
+        When the report came, on the dispatcher's clock.
+    undisturbed : bool
+        No backfill work ran beside the task.
+    """
+
+    baseline: Baseline
     incarnation: str
-    at: float
-    clean: bool
+    received_at: float
+    undisturbed: bool
 
 
 @dataclass(slots=True, eq=False)
 class Trend:
-    """Two moving averages of the base of a job, and when they were last moved."""
+    """Two moving averages of a job's baseline, and the time of their last update."""
 
     fast: float
     slow: float
-    at: float
+    updated_at: float
 
 
 @dataclass(slots=True, eq=False)
 class InterferenceModel:
-    """What is learnt of a fleet.
+    """What one owner has learnt about interference in its unit.
 
     Attributes
     ----------
     estimates : dict
-        Estimates by serving image.
+        Weight estimates by serving image.
     readings : dict
-        By job, the last reading of each task and its last one without backfilling work
-        beside it (the key's second part tells).
-    tracks : dict
-        How the bases of serving jobs move.
-    last : dict
-        By runner's life, its last sample and when it came.
+        By job, the last reading of each task, and its last reading without backfill
+        work beside it (where the second part of the key is true).
+    trends : dict
+        Trend of the baseline by serving job.
+    last_samples : dict
+        By incarnation of a runner, when its last sample came, and that sample.
     slow_until : dict
-        Runners' lives that were slow by themselves, and until when they count as such.
+        By incarnation of a runner that was slow for reasons of its own, the time until
+        which it counts as slow.
     """
 
     estimates: dict[str, WeightEstimate] = field(default_factory=dict)
     readings: dict[str, dict[tuple[TaskKey, bool], Reading]] = field(
         default_factory=dict
     )
-    tracks: dict[str, Trend] = field(default_factory=dict)
-    last: dict[str, tuple[float, Sample]] = field(default_factory=dict)
+    trends: dict[str, Trend] = field(default_factory=dict)
+    last_samples: dict[str, tuple[float, Sample]] = field(default_factory=dict)
     slow_until: dict[str, float] = field(default_factory=dict)
--- a/plantainyard/dispatch/interference.py
+++ b/plantainyard/dispatch/interference.py
@@ -1,20 +1,20 @@
-"""What is learnt of how much backfilling tasks harm serving ones.
+"""Learning how much backfill tasks slow down serving tasks that share their runner.
 
-The load that it answers: of all pairs of a serving and a backfilling image some are
-harmless and some, a few tasks of seven cores, drive the serving tasks' tail latency to
-fifty targets. Nobody declares which, and the serving tasks' own load swings within
-seconds, alike for all tasks of one job.
+Of all pairs of a serving and a backfill image some are harmless, while in others a few
+backfill tasks of seven cores raise the tail latency of the serving tasks to fifty
+targets. Nobody declares which pairs these are, and the load of the serving tasks itself
+swings within seconds, alike for all tasks of one job.
 
-A serving task behaves like a queue. Backfilling work stretches its service time by one
-plus, for each backfilling image, a weight times the share of the runner's processors in
-use by that image. The margin, the target over the tail latency, is then
+The model treats a serving task as a queue. Backfill work stretches its service time by
+a factor of one plus, for each backfill image, a weight times the share of the runner's
+processors that the image uses. The margin, the target over the tail latency, is then
 
-    margin = base - (1 - 1 / stretch) / IDLE_TAIL,
+    margin = baseline - (1 - 1 / stretch) / IDLE_TAIL,
 
-where the base, the margin without backfilling work, follows the job's own load. It is
-read off where nothing harms it: at the job's other tasks, or at the same task a moment
-ago. Weights belong to a pair of images, stay what they are, and are learnt by recursive
-least squares.
+where the baseline, the margin without backfill work, follows the job's own load. It is
+taken from undisturbed tasks: the other tasks of the job, or the same task a moment
+earlier. Weights belong to a pair of images, are constant over time, and are learnt by
+recursive least squares.
 """
 
 from collections.abc import Mapping
@@ -54,24 +54,25 @@
 ]
 
 UNSTEADY_ERROR = 0.25
-"""Relative error of one reported margin while what works beside the task has just
-changed; `MARGIN_ERROR` else."""
+"""Relative error of one reported margin if the backfill load beside the task has just
+changed; `MARGIN_ERROR` applies otherwise."""
 
 UNSTEADY_DISCOUNT = 2
-"""Reports beside loads that have just changed that tell as much as a steady one."""
+"""Number of reports with a changed load that carry as much information as one report
+with a steady load."""
 
 NEGLIGIBLE_LOAD = 0.01
-"""Share of a runner's processors below which backfilling work counts as none."""
+"""Share of a runner's processors below which backfill work is disregarded."""
 
 RETENTION_S = 60.0
-"""Time after which a pair that isn't seen is forgotten: a weight that came out too high
-keeps its image from where it could be corrected."""
+"""Time after which a pair that is no longer observed is forgotten: an overestimated
+weight keeps its image from the runners where the weight could be corrected."""
 
 
 def learn_from_sample(
     interference: InterferenceModel, sample: Sample, now: float
 ) -> dict[str, float]:
-    """Take in a report, and return the bases of the runner's serving jobs.
+    """Update the model with a report, and return the runner's baselines.
 
     Parameters
     ----------
@@ -85,36 +86,38 @@
     Returns
     -------
     dict
-        For each serving job at work there the least base as that runner shows it.
+        By serving job with running tasks, the lowest baseline on this runner.
 
     Notes
     -----
-    The cost is, for each serving task, a pass over its job's tasks and the square of
-    the number of backfilling images.
+    The cost per serving task is a pass over its job's tasks plus the square of the
+    number of backfill images.
     """
-    at, before = interference.last.get(
+    received_at, before = interference.last_samples.get(
         sample.incarnation, (now, Sample(sample.incarnation))
     )
-    interference.last[sample.incarnation] = (now, sample)
+    interference.last_samples[sample.incarnation] = (now, sample)
     steady = is_steady(before, sample)
-    idle = steady and _is_idle(sample)
+    undisturbed = steady and _has_no_load(sample)
     tails = {tail.task: tail.value for tail in before.tails}
-    bases: dict[str, float] = {}
+    baselines: dict[str, float] = {}
     for tail in sample.tails:
-        sharp = undo_smoothing(tail.value, tails.get(tail.task, tail.value), now - at)
-        margin = min(MAX_MARGIN, max(MIN_MARGIN, 1 / max(sharp, 1e-6)))
-        own = _learn_margin(interference, tail, margin, sample, steady, now)
-        reading = Reading(own, sample.incarnation, now, idle)
+        current = undo_smoothing(
+            tail.value, tails.get(tail.task, tail.value), now - received_at
+        )
+        margin = min(MAX_MARGIN, max(MIN_MARGIN, 1 / max(current, 1e-6)))
+        own = _learn_from_margin(interference, tail, margin, sample, steady, now)
+        reading = Reading(own, sample.incarnation, now, undisturbed)
         readings = interference.readings.setdefault(tail.task.job_id, {})
         readings[tail.task, False] = reading
-        if idle:
+        if undisturbed:
             readings[tail.task, True] = reading
         job_id = tail.task.job_id
-        bases[job_id] = min(bases.get(job_id, MAX_MARGIN), own.value)
-    return bases
+        baselines[job_id] = min(baselines.get(job_id, MAX_MARGIN), own.value)
+    return baselines
 
 
-def _learn_margin(
+def _learn_from_margin(
     interference: InterferenceModel,
     tail: Tail,
     margin: float,
@@ -122,21 +125,21 @@
     steady: bool,
     now: float,
 ) -> Baseline:
-    """Take in one margin and return its base as the weights show it."""
+    """Update the model with one margin, and return the baseline that it implies."""
     estimate = interference.estimates.setdefault(tail.image, WeightEstimate())
     loads = sample.loads
     add_images(estimate, loads)
     others = estimate_baseline(interference, tail.task, sample.incarnation, now)
     slow = interference.slow_until.get(sample.incarnation, 0.0) > now
     if others is not None:
-        idle = _is_idle(sample)
-        if steady and idle:
+        has_no_load = _has_no_load(sample)
+        if steady and has_no_load:
             slow |= detect_slow_runner(
                 interference, sample.incarnation, margin, others, now
             )
-        elif not slow and not idle:
+        elif not slow and not has_no_load:
             _learn_weights(interference, tail, margin, sample, others, steady)
-    own = _undo_pressure(estimate, loads, margin, steady)
+    own = _infer_baseline(estimate, loads, margin, steady)
     if not slow:
         update_trend(interference, tail.task.job_id, others or own, now)
     return own
@@ -147,53 +150,55 @@
     tail: Tail,
     margin: float,
     sample: Sample,
-    base: Baseline,
+    baseline: Baseline,
     steady: bool,
 ) -> None:
-    """Take one margin beside backfilling work into the weights of its image.
+    """Update the weights of a serving image with one margin under backfill load.
 
     Notes
     -----
-    Guards against harmful images that stay unknown: where tasks run for a second or
-    two, loads have just changed in every other report. Passed over, these reports
-    leave a pair unknown for as long as a burst goes on, and its work is slowed and kept
-    waiting like harmful work. They count for less, as they may cover a part of the time
-    before the change.
+    Guards against harmful images that stay unknown: where tasks run for one or two
+    seconds, every other report follows a change of the loads. Ignoring these reports
+    would leave a pair unknown for as long as a burst lasts, and its tasks would be
+    slowed and kept waiting as if they were harmful. Such reports get less weight, since
+    they may cover part of the time before the change.
     """
-    alike = sum(other.image == tail.image for other in sample.tails)
-    count = 1 if steady else UNSTEADY_DISCOUNT
+    same_image = sum(other.image == tail.image for other in sample.tails)
+    discount = 1 if steady else UNSTEADY_DISCOUNT
     estimate = interference.estimates[tail.image]
-    update_estimate(estimate, sample.loads, margin, base, count * alike)
+    update_estimate(estimate, sample.loads, margin, baseline, discount * same_image)
 
 
-def _is_idle(sample: Sample) -> bool:
-    """Return whether no backfilling work is at work at the runner."""
+def _has_no_load(sample: Sample) -> bool:
+    """Return whether the runner's backfill load is negligible."""
     return sum(sample.loads.values()) < NEGLIGIBLE_LOAD
 
 
-def _undo_pressure(
+def _infer_baseline(
     estimate: WeightEstimate, loads: Mapping[str, float], margin: float, steady: bool
 ) -> Baseline:
-    """Return the base that a margin shows, by the weights of what works beside it."""
+    """Return the baseline implied by a margin and the weights of the current loads."""
     stretch = 1.0 + sum(estimate.weights[i] * load for i, load in loads.items() if load)
-    doubt = sum(
+    variance = sum(
         estimate.covariance[i][i] * load**2 for i, load in loads.items() if load
     )
-    base = margin + (1 - 1 / stretch) / IDLE_TAIL
+    baseline = margin + (1 - 1 / stretch) / IDLE_TAIL
     error = MARGIN_ERROR if steady else UNSTEADY_ERROR
-    return Baseline(base, doubt / (IDLE_TAIL * stretch**2) ** 2 + (error * margin) ** 2)
+    return Baseline(
+        baseline, variance / (IDLE_TAIL * stretch**2) ** 2 + (error * margin) ** 2
+    )
 
 
 def expire_unobserved(
     interference: InterferenceModel, seconds: float, now: float
 ) -> None:
-    """Forget pairs that weren't seen together for long, and old readings.
+    """Remove pairs that haven't been observed for `RETENTION_S`, and old readings.
 
     Notes
     -----
-    Guards against work that waits for ever: a weight that came out too high, on a
-    runner that was slow for other reasons, keeps the image from where it could show
-    that it is harmless. Forgotten, the pair is tried like one that was never seen.
+    Guards against work that waits for ever: an overestimated weight, learnt on a runner
+    that was slow for other reasons, keeps the image from the runners where it could
+    prove harmless. Once forgotten, the pair is tried again like a new one.
     """
     for estimate in interference.estimates.values():
         for image in list(estimate.weights):
@@ -201,14 +206,22 @@
             if estimate.unseen_s[image] > RETENTION_S:
                 remove_image(estimate, image)
     for job_id, readings in list(interference.readings.items()):
-        fresh = {k: r for k, r in readings.items() if now - r.at <= BASELINE_MAX_AGE_S}
-        interference.readings[job_id] = fresh
-        if not fresh:
+        recent = {
+            key: reading
+            for key, reading in readings.items()
+            if now - reading.received_at <= BASELINE_MAX_AGE_S
+        }
+        interference.readings[job_id] = recent
+        if not recent:
             del interference.readings[job_id]
-            interference.tracks.pop(job_id, None)
-    interference.last = {
-        k: v for k, v in interference.last.items() if now - v[0] <= RETENTION_S
+            interference.trends.pop(job_id, None)
+    interference.last_samples = {
+        incarnation: last
+        for incarnation, last in interference.last_samples.items()
+        if now - last[0] <= RETENTION_S
     }
     interference.slow_until = {
-        k: at for k, at in interference.slow_until.items() if at > now
+        incarnation: until
+        for incarnation, until in interference.slow_until.items()
+        if until > now
     }
--- a/plantainyard/dispatch/samples.py
+++ b/plantainyard/dispatch/samples.py
@@ -1,6 +1,7 @@
-"""What a report tells of serving tails, and of the work beside them.
+"""Tail latencies of serving tasks, and the backfill load beside them, from reports.
 
-Runners smooth the tails that they report; processor time in use they report as it is.
+Runners smooth the tail latencies that they report; the processor time in use is
+reported unsmoothed.
 """
 
 import math
@@ -23,26 +24,26 @@
 ]
 
 QUIET_UTILIZATION = 0.85
-"""Part of the processor time that a backfilling task may use at its pace, below which
-it is in a quiet phase: such phases last seconds and use 0.68 of it."""
+"""Utilization of the processor time allowed by its pace below which a backfill task is
+considered to be in a quiet phase; such phases last seconds and use 0.68 of it."""
 
 QUIET_WEIGHT = 0.25
-"""Part of its usual weight that a task has in a quiet phase."""
+"""Factor on a task's weight during a quiet phase."""
 
 STEADY_TOLERANCE = 0.02
-"""Change of a load from one report to the next up to which it is steady."""
+"""Change of a load between two reports up to which it counts as steady."""
 
 SMOOTHING_S = 0.42
-"""Time over which runners smooth the tails that they report: after a stop of what
-harmed, a tail falls by 40 to 50 % in 0.28 s."""
+"""Time constant of the runners' smoothing of tail latencies: after interfering work is
+stopped, a reported tail falls by 40 to 50 % in 0.28 s."""
 
 DESMOOTHING_THRESHOLD = 0.15
-"""Change of a tail between two reports from which the smoothing is undone; a smaller
-one would only be made noisier."""
+"""Relative change of a tail between two reports from which the smoothing is undone; for
+smaller changes that would only add noise."""
 
 
 class Tail(NamedTuple):
-    """The reported tail of a serving task at work, in targets."""
+    """The reported tail latency of a running serving task, in units of its target."""
 
     task: TaskKey
     image: str
@@ -56,12 +57,12 @@
     Attributes
     ----------
     incarnation : str
-        The runner's life.
+        Incarnation of the runner.
     tails : list of Tail
-        Serving tasks at work.
+        Tail latencies of the running serving tasks.
     loads : dict
-        Share of the runner's processors in use by backfilling image; what is in a quiet
-        phase counts as the part that harms.
+        Share of the runner's processors in use by backfill image; of a task in a quiet
+        phase only the part that interferes is counted.
     """
 
     incarnation: str
@@ -70,7 +71,7 @@
 
 
 def read_sample(runner: Runner, running: Iterable[HeldRun]) -> Sample:
-    """Return what a report says about harm at the runner."""
+    """Return the tail latencies and backfill loads in a runner's report."""
     sample = Sample(runner.incarnation)
     assert runner.entry is not None
     cpu = max(1, runner.entry.capacity.cpu)
@@ -84,17 +85,17 @@
             sample.tails.append(Tail(task.key, spec.image, value))
         elif spec.backfill:
             load = sample.loads.get(spec.image, 0.0)
-            sample.loads[spec.image] = load + _weigh_load(task, row.load) / cpu
+            sample.loads[spec.image] = load + _weigh_usage(task, row.load) / cpu
     return sample
 
 
-def _weigh_load(task: Task, used: float) -> float:
-    """Return the processor time in use by a backfilling task, as far as it harms.
+def _weigh_usage(task: Task, used: float) -> float:
+    """Return the part of a backfill task's processor time that interferes.
 
     Notes
     -----
-    Guards against a harmful image that is taken for harmless after seconds in which
-    its tasks were in quiet phases, and is let go just before they end.
+    Guards against a harmful image that is considered harmless after its tasks have been
+    in quiet phases for seconds, and is run at full speed just before these phases end.
     """
     pace = min(task.pace, task.pace_before) / 100
     busy = used >= QUIET_UTILIZATION * pace * task.step.spec.resources.cpu
@@ -102,7 +103,7 @@
 
 
 def is_steady(before: Sample, sample: Sample) -> bool:
-    """Return whether the same loads work beside the tasks as at the last report."""
+    """Return whether the backfill loads are the same as in the previous report."""
     images = before.loads.keys() | sample.loads.keys()
     return all(
         abs(before.loads.get(image, 0.0) - sample.loads.get(image, 0.0))
@@ -112,8 +113,8 @@
 
 
 def undo_smoothing(value: float, before: float, elapsed_s: float) -> float:
-    """Return a tail as it was at the end of the time over which it was smoothed."""
+    """Return the unsmoothed tail at the time of the report."""
     if elapsed_s <= 0 or abs(value - before) < DESMOOTHING_THRESHOLD * value:
         return value
-    kept = math.exp(-elapsed_s / SMOOTHING_S)
-    return max(value / 4, (value - kept * before) / (1 - kept))
+    retained = math.exp(-elapsed_s / SMOOTHING_S)
+    return max(value / 4, (value - retained * before) / (1 - retained))
--- a/plantainyard/dispatch/tests/test_pacing.py
+++ b/plantainyard/dispatch/tests/test_pacing.py
@@ -144,7 +144,7 @@
         runner.bases = learn_from_sample(interference, sample, now)
         apply_paces(runner, interference)
     runner.bases = {"web": 1.6}
-    interference.tracks.clear()
+    interference.trends.clear()
     for _ in range(3):
         apply_paces(runner, interference)
     assert get_pace(runner, "heavy") < 40
@@ -160,7 +160,7 @@
     for runner, base in ((busy, 1.6), (calm, 3.8)):
         task = put(runner, serving())
         runner.bases = {task.key.job_id: base}
-        interference.tracks[task.key.job_id] = Trend(base, base, 0.0)
+        interference.trends[task.key.job_id] = Trend(base, base, 0.0)
         update_headroom(runner, interference)
     task = put(make_runner("r2@1"), filling("heavy"))
     task.phase = Phase.WAITING
@@ -180,7 +180,7 @@
     put(runner, filling("heavy"))
     put(runner, filling("heavy"))
     runner.bases = {neighbour.key.job_id: 2.0}
-    interference.tracks[neighbour.key.job_id] = Trend(2.0, 2.0, 0.0)
+    interference.trends[neighbour.key.job_id] = Trend(2.0, 2.0, 0.0)
     update_headroom(runner, interference)
 
     def choose(image: str) -> Runner | None:
@@ -216,7 +216,7 @@
     runner = make_runner("r0@1")
     neighbour = put(runner, serving())
     runner.bases = {neighbour.key.job_id: 1.3}
-    interference.tracks[neighbour.key.job_id] = Trend(1.3, 1.3, 0.0)
+    interference.trends[neighbour.key.job_id] = Trend(1.3, 1.3, 0.0)
     update_headroom(runner, interference)
     task = put(make_runner("r2@1"), filling("heavy"))
     task.phase = Phase.WAITING
@@ -264,7 +264,7 @@
     put(runner, filling("light"))
     play_harms(interference)
     runner.bases = {"web": 4.0}
-    interference.tracks["web"] = Trend(4.0, 4.0, 0.0)
+    interference.trends["web"] = Trend(4.0, 4.0, 0.0)
     runner.paces = {"light": 0}
     apply_paces(runner, interference)
     assert 0 < get_pace(runner, "light") <= 50
