--- a/bench/dispatch/site.py
+++ b/bench/dispatch/site.py
@@ -71,7 +71,7 @@
         """Return what the runner writes about itself."""
         return RunnerEntry(
             runner=self.name,
-            born_ms=self.incarnation,
+            started_at_ms=self.incarnation,
             service=SERVICE,
             address="",
             domain="",
--- a/plantainyard/batch/__init__.py
+++ b/plantainyard/batch/__init__.py
@@ -4,8 +4,8 @@
 the latter.
 """
 
-from plantainyard.batch.checks import find_fault
-from plantainyard.batch.pending import Pending, add_up, count_pending
+from plantainyard.batch.checks import validate_submission
+from plantainyard.batch.pending import Pending, count_pending, sum_pending
 from plantainyard.batch.records import (
     decode_progress,
     decode_submission,
@@ -19,7 +19,7 @@
     describe_state,
 )
 from plantainyard.batch.values import (
-    JobEnd,
+    FinalStates,
     JobState,
     Resources,
     Step,
@@ -29,23 +29,23 @@
 )
 
 __all__ = [
-    "JobEnd",
+    "FinalStates",
     "JobState",
     "JobView",
-    "Pending",
     "Replica",
     "Resources",
     "Step",
     "StepProgress",
     "Submission",
     "TaskProgress",
-    "add_up",
     "apply_record",
+    "Pending",
+    "sum_pending",
     "count_pending",
     "decode_progress",
     "decode_submission",
     "describe_state",
     "encode_progress",
     "encode_submission",
-    "find_fault",
+    "validate_submission",
 ]
--- a/plantainyard/dispatch/samples.py
+++ b/plantainyard/dispatch/samples.py
@@ -11,7 +11,7 @@
 
 from plantainyard.batch.tasks import TaskKey
 from plantainyard.dispatch.model import Phase, Runner, Task
-from plantainyard.platform.runners import HeldRun
+from plantainyard.platform.runners import ReportedRun
 
 __all__ = [
     "QUIET_WEIGHT",
@@ -70,7 +70,7 @@
     loads: dict[str, float] = field(default_factory=dict)
 
 
-def read_sample(runner: Runner, running: Iterable[HeldRun]) -> Sample:
+def read_sample(runner: Runner, running: Iterable[ReportedRun]) -> Sample:
     """Return the tail latencies and backfill loads in a runner's report."""
     sample = Sample(runner.incarnation)
     assert runner.entry is not None
