--- a/plantainyard/membership/__init__.py
+++ b/plantainyard/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Who owns a rack and who may act for it."""
+"""Ownership of racks, and the authority to act for them."""
 
 from plantainyard.membership.authority import (
     EPOCHS_PER_TERM,
--- a/plantainyard/membership/authority.py
+++ b/plantainyard/membership/authority.py
@@ -1,8 +1,9 @@
-"""Authority over a rack, arbitrated by the rack's workers.
+"""Authority of an instance over a rack, arbitrated by the rack's workers.
 
-A worker refuses an epoch older than the greatest it has seen. An instance acts for a
-rack only while more than half of the workers named in the claim accepted its epoch
-within the lease; two such majorities share a worker, which refused one of the two.
+A worker rejects epochs lower than the highest that it has seen. An instance acts for a
+rack only while more than half of the workers named in the claim have accepted its epoch
+within the lease. Any two such majorities share a worker, which rejects one of the two
+epochs.
 """
 
 from collections.abc import Iterable
@@ -23,18 +24,20 @@
 ]
 
 EPOCHS_PER_TERM = 1000
+"""Epochs reserved for each term: the owner's, and those of takeovers after it."""
+
 _NEVER = float("-inf")
 
 
 class AuthorityTerms(NamedTuple):
-    """Lengths that bound an authority.
+    """Parameters of the lease on which an authority rests.
 
     Attributes
     ----------
     lease_s : float
-        Seconds for which an acceptance counts.
+        Seconds for which a worker's acceptance is valid.
     drift : float
-        Largest relative difference of two clocks' speeds.
+        Largest relative difference between the rates of two clocks.
     """
 
     lease_s: float
@@ -42,21 +45,34 @@
 
 
 class Authority:
-    """What one instance knows of its authority under one epoch.
+    """State of one instance's authority over a rack under one epoch.
 
     Parameters
     ----------
     terms : AuthorityTerms
-        Lengths.
+        Parameters of the lease.
     workers : iterable of str
-        Workers named in the claim; a majority of them makes the authority.
+        Workers named in the claim; the authority requires a majority of them.
     previous : iterable of iterable of str
-        Workers of earlier claims whose holders, or their caretakers, may still act; a
-        majority of each set must be fenced before the first authority, since theirs
-        rests on it. Empty for the first claim.
-    stopped : bool
-        Whether the last owner had authority when it stopped. Then only a caretaker can
-        be left to wait for, and none where the workers say so.
+        Workers of earlier claims whose holders or caretakers may still act. Their
+        authority rests on a majority of each set, so a majority of each set must be
+        fenced before this authority begins. Empty for the first claim.
+    clean_handover : bool
+        Whether the last owner had authority when it stopped acting. Then only a
+        caretaker can still act, and the workers' epochs show whether there is one.
+
+    Attributes
+    ----------
+    read_at : dict
+        For each worker that showed no caretaker's epoch, when it was asked.
+    accepted_at : dict
+        For each worker that accepted this epoch, when the latest call was sent.
+    terminated : frozenset of str
+        Workers that certainly run nothing any more.
+    waits_for_lease : bool
+        Whether the lease of a former holder has to expire first.
+    established_at : float or None
+        Time at which the authority begins, once a majority has accepted this epoch.
     """
 
     def __init__(
@@ -64,41 +80,43 @@
         terms: AuthorityTerms,
         workers: Iterable[str],
         previous: Iterable[Iterable[str]],
-        stopped: bool = False,
+        clean_handover: bool = False,
     ) -> None:
         self.terms = terms
         self.workers = frozenset(workers)
         self.previous = [frozenset(members) for members in previous]
-        self.stopped = stopped
-        self.read: dict[str, float] = {}
-        self.accepted: dict[str, float] = {}
-        self.gone: frozenset[str] = frozenset()
-        self.waited = False
+        self.clean_handover = clean_handover
+        self.read_at: dict[str, float] = {}
+        self.accepted_at: dict[str, float] = {}
+        self.terminated: frozenset[str] = frozenset()
+        self.waits_for_lease = False
         self.established_at: float | None = None
 
 
-def make_epoch(term: int, takeover: int = 0) -> int:
+def make_epoch(term: int, takeovers: int = 0) -> int:
     """Return the epoch of a rack's term.
 
     Parameters
     ----------
     term : int
-        Offset of the claim.
-    takeover : int
-        Number of takings over since, while the log was out.
+        Offset of the claim in the log.
+    takeovers : int
+        Number of takeovers by caretakers since the claim, while the log was
+        unavailable.
 
     Notes
     -----
-    The first record of a stream stands at offset zero; an epoch of zero would look
-    like none to a worker that was never commanded, and to whoever asks for authority.
+    The offset is increased by one because the first record of a stream has offset zero,
+    and an epoch of zero means "none", both to workers that never received a command
+    and to callers that ask for the authority.
     """
-    return (term + 1) * EPOCHS_PER_TERM + takeover
+    return (term + 1) * EPOCHS_PER_TERM + takeovers
 
 
 def record_read_epoch(
     authority: Authority, worker: str, epoch: int, sent_at: float
 ) -> None:
-    """Note the epoch that `worker` showed, before it accepted this one.
+    """Record the epoch that `worker` reported before it accepted this one.
 
     Parameters
     ----------
@@ -107,18 +125,18 @@
     worker : str
         The worker.
     epoch : int
-        The greatest epoch that it had seen; below one where it saw none.
+        The highest epoch that it had seen; less than one if none.
     sent_at : float
-        This instance's clock before the asking.
+        This instance's clock before the request was sent.
     """
     if epoch <= 0 or epoch % EPOCHS_PER_TERM == 0:
-        authority.read[worker] = sent_at
+        authority.read_at[worker] = sent_at
 
 
 def record_acceptance(
     authority: Authority, worker: str, sent_at: float, now: float
 ) -> None:
-    """Note that `worker` accepted the epoch in a call sent at `sent_at`.
+    """Record that `worker` accepted the epoch in a call sent at `sent_at`.
 
     Parameters
     ----------
@@ -127,71 +145,74 @@
     worker : str
         The worker.
     sent_at : float
-        This instance's clock before the sending: the worker may have accepted at any
-        time after it, and the authority must end by the earliest.
+        This instance's clock before the call was sent. The worker may have accepted at
+        any later time, so the lease is counted from the earliest possible one.
     now : float
-        This instance's clock on receiving the answer: the former owner was refused
-        from that time at the latest.
+        This instance's clock when the response arrived. The worker has rejected the
+        former owner since then at the latest.
     """
-    earlier = authority.accepted.get(worker, _NEVER)
-    authority.accepted[worker] = max(earlier, sent_at)
-    _note_fenced(authority, now)
+    earlier = authority.accepted_at.get(worker, _NEVER)
+    authority.accepted_at[worker] = max(earlier, sent_at)
+    _update_established(authority, now)
 
 
-def record_terminated(authority: Authority, gone: Iterable[str], now: float) -> None:
-    """Note workers that are vouched to run nothing and to answer nobody."""
-    authority.gone = frozenset(gone)
-    _note_fenced(authority, now)
+def record_terminated(authority: Authority, workers: Iterable[str], now: float) -> None:
+    """Set the workers that certainly run nothing and respond to nobody."""
+    authority.terminated = frozenset(workers)
+    _update_established(authority, now)
 
 
-def _note_fenced(authority: Authority, now: float) -> None:
+def _update_established(authority: Authority, now: float) -> None:
     if authority.established_at is not None:
         return
-    fenced = authority.accepted.keys() | authority.gone
+    fenced = authority.accepted_at.keys() | authority.terminated
     sets = [authority.workers, *authority.previous]
     if not all(_is_majority(fenced & members, members) for members in sets if members):
         return
-    authority.waited = bool(authority.previous) and not _is_free(authority, now)
+    authority.waits_for_lease = bool(authority.previous) and not _can_act_at_once(
+        authority, now
+    )
     lease_s = authority.terms.lease_s * (1.0 + 2.0 * authority.terms.drift)
-    authority.established_at = now + (lease_s if authority.waited else 0.0)
+    authority.established_at = now + (lease_s if authority.waits_for_lease else 0.0)
 
 
-def _is_free(authority: Authority, now: float) -> bool:
-    """Tell whether nobody can have, or still gain, authority before this epoch.
+def _can_act_at_once(authority: Authority, now: float) -> bool:
+    """Return whether no former holder has, or can still gain, authority.
 
-    Guards a hand-over by an owner that didn't know of a caretaker: two instances would
-    act at once. A majority of the former workers had seen no caretaker's epoch when
-    they were read, so a caretaker can only have fenced a majority since; it may not act
-    before a lease has passed and a majority has confirmed it after that. By then a
-    majority refuses it, for this epoch took less than a lease from the reading.
+    Guards against two instances that act at once after a hand-over by an owner that
+    didn't know of a caretaker. A majority of the former workers had seen no caretaker's
+    epoch when they were read, so a caretaker can only have fenced a majority later. It
+    may act only after a lease has passed and a majority has confirmed its epoch again.
+    By then a majority rejects it, because this epoch was accepted less than a lease
+    after the reading.
     """
-    newest = now - authority.terms.lease_s * (1.0 - 2.0 * authority.terms.drift)
-    recent = {worker for worker, at in authority.read.items() if at > newest}
-    former = [members for members in authority.previous if members]
-    return authority.stopped and all(
-        _is_majority(recent & members, members) for members in former
+    oldest = now - authority.terms.lease_s * (1.0 - 2.0 * authority.terms.drift)
+    recent = {worker for worker, at in authority.read_at.items() if at > oldest}
+    former_sets = [members for members in authority.previous if members]
+    return authority.clean_handover and all(
+        _is_majority(recent & members, members) for members in former_sets
     )
 
 
 def has_majority(authority: Authority) -> bool:
-    """Tell whether a majority of every worker set has accepted this epoch."""
+    """Return whether a majority of every worker set has accepted this epoch."""
     return authority.established_at is not None
 
 
 def find_confirmation_time(authority: Authority) -> float:
-    """Return the latest time since which a majority accepted this epoch.
+    """Return the latest time after which a majority has accepted this epoch.
 
     Returns
     -------
     float
-        This instance's clock; no newer epoch had a majority before it. Minus infinity
-        where there is no majority.
+        Time on this instance's clock; no newer epoch had a majority before it. Minus
+        infinity if there is no majority.
     """
-    counted = authority.workers
-    live = counted - authority.gone
-    times = sorted((authority.accepted.get(w, _NEVER) for w in live), reverse=True)
-    majority = len(counted) // 2
-    return times[majority] if len(times) > majority else _NEVER
+    named = authority.workers
+    live = named - authority.terminated
+    times = sorted((authority.accepted_at.get(w, _NEVER) for w in live), reverse=True)
+    half = len(named) // 2
+    return times[half] if len(times) > half else _NEVER
 
 
 def _is_majority(part: Iterable[str], whole: frozenset[str]) -> bool:
@@ -199,31 +220,33 @@
 
 
 def find_authority_end(authority: Authority) -> float:
-    """Return the time at which the authority ends if nothing more is accepted.
+    """Return the time at which the authority ends unless it is renewed.
 
     Returns
     -------
     float
-        Minus infinity where there is none.
+        Minus infinity if there is no authority.
     """
     lease_s = authority.terms.lease_s * (1.0 - authority.terms.drift)
     return find_confirmation_time(authority) + lease_s
 
 
 def has_authority(authority: Authority, now: float) -> bool:
-    """Tell whether this instance may act for the rack at `now`.
+    """Return whether this instance may act for the rack at `now`.
 
     Notes
     -----
-    Guards against two instances that both lend a runner's slots or both let a
-    request id run. The failure: an owner pauses past its lease and wakes while its
-    successor acts. The guard holds on both sides: the former owner counts its
-    acceptances from before their sending and checks again after every wait; the new
-    one, once a majority refuses the old epoch, still waits the lease that the former
-    owner could have gained just before. Having waited, it must be confirmed once more:
-    a still newer epoch may have taken the majority meanwhile.
+    Guards against two instances that both lend a runner's slots or both let a request
+    id run, because an owner is paused past the end of its lease and resumes while its
+    successor acts. Both sides take precautions. The former owner counts the lease from
+    before its calls were sent and checks it again after every wait. The new owner,
+    once a majority rejects the old epoch, waits for the lease that the former owner
+    could have renewed just before. After the wait a majority must confirm its epoch
+    again, because a still newer epoch may have gained the majority meanwhile.
     """
-    begins = authority.established_at
-    if begins is None or not begins <= now < find_authority_end(authority):
+    begins_at = authority.established_at
+    if begins_at is None or not begins_at <= now < find_authority_end(authority):
         return False
-    return not authority.waited or find_confirmation_time(authority) >= begins
+    return (
+        not authority.waits_for_lease or find_confirmation_time(authority) >= begins_at
+    )
--- a/plantainyard/membership/ownership.py
+++ b/plantainyard/membership/ownership.py
@@ -1,7 +1,9 @@
-"""Who owns a rack: when to claim it, when to give it up, when to care for it.
+"""Decisions on the ownership of a rack: when to claim it, release it or take it over.
 
-`step` is the entry point, for one rack at one instance. The log's claim says who
-owns; rendezvous hashing only says who should claim where nobody does.
+`step_ownership` is the entry point, for one rack at one instance. The claim in the log
+determines the owner; rendezvous hashing only determines which instance should claim a
+rack without an owner. While the log is unavailable, an instance can act as the
+caretaker of a silent owner's rack.
 """
 
 from typing import NamedTuple
@@ -29,20 +31,21 @@
 
 
 class OwnershipSettings(NamedTuple):
-    """Times of ownership, in seconds.
+    """Timeouts of ownership, in seconds.
 
     Attributes
     ----------
     retry_s : float
-        Time after which a claim that was not seen is written again.
+        Time after which a claim that has not appeared in the log is written again.
     rebalance_s : float
         Time for which another instance must have been the preferred owner before
-        the rack is handed to it.
+        the rack is handed over to it.
     silence_s : float
-        Time for which a holder may be unheard before it counts as silent, from when
-        its claim was first seen.
+        Time after its claim was first seen during which a holder counts as live without
+        a heartbeat.
     outage_s : float
-        Age of the knowledge of the stream from which the log counts as out.
+        Age of the last certainly current read above which the log counts as
+        unavailable.
     """
 
     retry_s: float = 10.0
@@ -52,13 +55,13 @@
 
 
 class ClaimSeen(NamedTuple):
-    """The rack's valid claim, None for none."""
+    """The rack's valid claim in the log; None if there is none."""
 
     claim: Claim | None
 
 
 class Superseded(NamedTuple):
-    """A worker of the rack holds a newer epoch, from `holder`."""
+    """A worker of the rack has accepted a newer epoch from `holder`."""
 
     epoch: int
     holder: str
@@ -70,19 +73,20 @@
     Attributes
     ----------
     live : frozenset of str
-        Processes of the domain that are thought to live, this one included.
+        Processes of the domain that are presumed live, including this one.
     workers : frozenset of str
-        The rack's workers by the lagging list, those gone left out.
+        The rack's workers according to the instance list, which lags, without
+        terminated ones.
     is_current : bool
-        Whether everything known to exist in the stream is folded.
+        Whether all records known to exist in the stream have been applied.
     log_age_s : float
         Seconds since that was last certain.
     stopping : bool
-        Whether this instance is stopping as planned.
+        Whether this instance is stopping gracefully.
     draining : frozenset of str
-        Other processes of the domain that are heard and stopping as planned. They give
-        their racks up themselves; a claim on top of theirs would cost the rack a
-        lease's time without authority.
+        Other processes of the domain that send heartbeats and are stopping gracefully.
+        They release their racks themselves; a claim on top of theirs would leave the
+        rack without authority for the length of a lease.
     """
 
     live: frozenset[str]
@@ -104,7 +108,7 @@
 
 
 class ReleaseRack(NamedTuple):
-    """Write a claim with an empty holder on top of `base`, having stopped acting."""
+    """Write a claim without a holder on top of `base`; this process no longer acts."""
 
     base: int
 
@@ -115,11 +119,11 @@
     Attributes
     ----------
     claim : Claim
-        The claim on which the term rests.
+        The claim on which the term is based.
     epoch : int
-        Its fence.
+        The fencing token of its commands.
     caretaker : bool
-        Whether this instance only keeps a silent owner's work alive.
+        Whether this instance only keeps the running tasks of a silent owner alive.
     """
 
     claim: Claim
@@ -140,12 +144,29 @@
     Parameters
     ----------
     name : str
-        This process; unique for each start, so that a restarted instance is not
-        taken for the owner that it was.
+        Name of this process; unique for each start, so that a restarted instance is
+        not mistaken for the owner that it was before.
     rack : str
         The rack.
     settings : OwnershipSettings
-        Times.
+        Timeouts.
+
+    Attributes
+    ----------
+    claim : Claim or None
+        Latest valid claim in the log.
+    released_term : int
+        Term of the claim that this process released; -1 for none.
+    epoch : int
+        Epoch under which this process acts; zero if it doesn't.
+    highest_epoch : int
+        Highest epoch that is known for the rack.
+    claim_seen_at : float
+        Time at which the latest claim was first seen.
+    claimed_base, claimed_at
+        Term on top of which this process last wrote a claim, and when.
+    preferred, preferred_since
+        Preferred owner by rendezvous hashing, and since when.
     """
 
     def __init__(self, name: str, rack: str, settings: OwnershipSettings) -> None:
@@ -153,11 +174,11 @@
         self.rack = rack
         self.settings = settings
         self.claim: Claim | None = None
-        self.given_up = -1
+        self.released_term = -1
         self.epoch = 0
         self.caretaker = False
-        self.top_epoch = 0
-        self.seen_at = float("-inf")
+        self.highest_epoch = 0
+        self.claim_seen_at = float("-inf")
         self.claimed_base: int | None = None
         self.claimed_at = float("-inf")
         self.preferred = name
@@ -167,73 +188,73 @@
 def step_ownership(
     state: OwnershipState, event: OwnershipEvent, now: float
 ) -> list[OwnershipAction]:
-    """Take `event` in and return what to do, in order."""
+    """Apply `event` to `state` and return the resulting actions in order."""
     match event:
         case ClaimSeen(claim):
-            return _take_claim(state, claim, now)
+            return _handle_claim(state, claim, now)
         case Superseded(epoch, _):
-            return _take_epoch(state, epoch)
+            return _handle_superseded(state, epoch)
         case OwnershipTick():
-            return _take_tick(state, event, now)
+            return _handle_tick(state, event, now)
 
 
 def reset_claim(state: OwnershipState) -> None:
-    """Start over from the log, whose state was replaced by a snapshot.
+    """Discard the claim after the state of the log was replaced by a snapshot.
 
     Notes
     -----
-    What this process gave up stays given up: the record that says so may still be on
-    its way to the log, and whoever reads it there acts at once.
+    A term that this process has released stays released: the record of the release may
+    still be on its way to the log, and its successor acts as soon as it reads it.
     """
     state.claim = None
     state.epoch, state.caretaker = 0, False
 
 
-def _take_claim(
+def _handle_claim(
     state: OwnershipState, claim: Claim | None, now: float
 ) -> list[OwnershipAction]:
     if claim == state.claim:
         return []
     state.claim = claim
-    state.seen_at = now
+    state.claim_seen_at = now
     ended: list[OwnershipAction] = [EndTerm()] if state.epoch else []
     state.epoch, state.caretaker = 0, False
-    if claim is None or claim.holder != state.name or claim.term == state.given_up:
+    if claim is None or claim.holder != state.name or claim.term == state.released_term:
         return ended
-    return [*ended, _begin(state, claim, make_epoch(claim.term), caretaker=False)]
+    return [*ended, _begin_term(state, claim, make_epoch(claim.term), caretaker=False)]
 
 
-def _begin(
+def _begin_term(
     state: OwnershipState, claim: Claim, epoch: int, caretaker: bool
 ) -> OwnershipAction:
     state.epoch = epoch
     state.caretaker = caretaker
-    state.top_epoch = max(state.top_epoch, epoch)
+    state.highest_epoch = max(state.highest_epoch, epoch)
     return BeginTerm(claim, epoch, caretaker)
 
 
-def _take_epoch(state: OwnershipState, epoch: int) -> list[OwnershipAction]:
-    state.top_epoch = max(state.top_epoch, epoch)
+def _handle_superseded(state: OwnershipState, epoch: int) -> list[OwnershipAction]:
+    state.highest_epoch = max(state.highest_epoch, epoch)
     if not state.epoch or epoch <= state.epoch:
         return []
-    # Whoever holds the newer epoch acts for the rack. To go on here would only have
-    # every command refused, and look to this domain like an owner that works.
+    # The holder of the newer epoch acts for the rack. If this process continued, all
+    # its commands would be rejected while the domain still considered it a live owner.
     state.epoch = 0
     return [EndTerm()]
 
 
-def _take_tick(
+def _handle_tick(
     state: OwnershipState, tick: OwnershipTick, now: float
 ) -> list[OwnershipAction]:
-    _note_preferred(state, tick.live, now)
+    _update_preferred(state, tick.live, now)
     if tick.is_current and tick.log_age_s <= state.settings.outage_s:
         return _decide_claim(state, tick, now)
     if state.epoch or tick.stopping or tick.log_age_s <= state.settings.outage_s:
         return []
-    return _decide_care(state, tick, now)
+    return _decide_takeover(state, tick, now)
 
 
-def _note_preferred(state: OwnershipState, live: frozenset[str], now: float) -> None:
+def _update_preferred(state: OwnershipState, live: frozenset[str], now: float) -> None:
     preferred = rank_names(state.rack, live)[0] if live else state.name
     if preferred != state.preferred:
         state.preferred = preferred
@@ -244,8 +265,8 @@
     state: OwnershipState, tick: OwnershipTick, now: float
 ) -> list[OwnershipAction]:
     base = state.claim.term if state.claim else -1
-    waiting = now - state.claimed_at < state.settings.retry_s
-    if state.claimed_base == base and waiting:
+    awaiting_claim = now - state.claimed_at < state.settings.retry_s
+    if state.claimed_base == base and awaiting_claim:
         return []
     action = _choose_claim(state, tick, base, now)
     if action is None:
@@ -253,7 +274,7 @@
     state.claimed_base = base
     state.claimed_at = now
     if isinstance(action, ReleaseRack):
-        state.given_up = action.base
+        state.released_term = action.base
     if isinstance(action, ReleaseRack) and state.epoch:
         state.epoch = 0
         return [EndTerm(), action]
@@ -265,66 +286,68 @@
 ) -> ClaimRack | ReleaseRack | None:
     holder = state.claim.holder if state.claim else ""
     if holder == state.name:
-        return _review_own(state, tick, base, now)
-    # A live owner is not displaced because the hash now prefers another: each change
-    # of owner costs the rack a lease's time without authority.
-    if tick.stopping or not tick.workers or _is_thought_live(state, tick, holder, now):
+        return _review_own_claim(state, tick, base, now)
+    # A live owner keeps the rack even if rendezvous hashing now prefers another: each
+    # change of owner leaves the rack without authority for the length of a lease.
+    if tick.stopping or not tick.workers or _is_presumed_live(state, tick, holder, now):
         return None
     return ClaimRack(base, tick.workers) if state.preferred == state.name else None
 
 
-def _is_thought_live(
+def _is_presumed_live(
     state: OwnershipState, tick: OwnershipTick, holder: str, now: float
 ) -> bool:
-    """Tell whether a holder lives, as far as this instance can know.
+    """Return whether a holder is live as far as this instance can know.
 
     Notes
     -----
-    Guards against two live instances that take a rack from each other by turns. The
-    failure: an instance that has just started has heard nobody yet, takes the holder
-    for dead and claims; the former holder has not heard the new one either and claims
-    back. The guard gives each holder the time in which it must have been heard.
+    Guards against two live instances that repeatedly take a rack from each other. An
+    instance that has just started has received no heartbeats yet, considers the holder
+    dead and claims the rack; the former holder has received no heartbeat of the new one
+    either and claims it back. Each holder is therefore presumed live until its
+    heartbeats must have arrived.
     """
     if not holder:
         return False
-    unheard_s = now - state.seen_at
-    heard = holder in tick.live or holder in tick.draining
-    return heard or unheard_s < state.settings.silence_s
+    claim_age_s = now - state.claim_seen_at
+    is_heard = holder in tick.live or holder in tick.draining
+    return is_heard or claim_age_s < state.settings.silence_s
 
 
-def _review_own(
+def _review_own_claim(
     state: OwnershipState, tick: OwnershipTick, base: int, now: float
 ) -> ClaimRack | ReleaseRack | None:
-    settled = now - state.preferred_since >= state.settings.rebalance_s
-    if tick.stopping or (state.preferred != state.name and settled):
+    is_stable = now - state.preferred_since >= state.settings.rebalance_s
+    if tick.stopping or (state.preferred != state.name and is_stable):
         return ReleaseRack(base)
     named = frozenset(state.claim.workers if state.claim else ())
-    # Too few of the workers on which the authority rests are left, or most of the
-    # rack's workers have no say: claim again, naming those that there are.
-    few = 3 * len(named & tick.workers) < 2 * len(named)
-    many = len(tick.workers) > 2 * len(named)
-    if tick.workers and (not state.epoch or few or many):
+    # Claim again with the present workers if too few of those on which the authority
+    # rests are left, or if most of the rack's workers are not among them.
+    too_few_left = 3 * len(named & tick.workers) < 2 * len(named)
+    mostly_unnamed = len(tick.workers) > 2 * len(named)
+    if tick.workers and (not state.epoch or too_few_left or mostly_unnamed):
         return ClaimRack(base, tick.workers)
     return None
 
 
-def _decide_care(
+def _decide_takeover(
     state: OwnershipState, tick: OwnershipTick, now: float
 ) -> list[OwnershipAction]:
-    """Keep a silent owner's work alive while the log is out.
+    """Become the caretaker of a silent owner's rack while the log is unavailable.
 
     Notes
     -----
-    Guards against tasks that lapse because their owner died while nobody could claim
-    its rack. A caretaker fences the workers like an owner, so the two never both
-    act; it starts nothing, since only the log says what was assigned before.
+    Guards against tasks whose leases expire because their owner died while nobody could
+    claim its rack. A caretaker fences the workers like an owner, so the two never act
+    at the same time. It starts no tasks, because only the log says what was already
+    assigned.
     """
     claim = state.claim
     if claim is None or not claim.holder:
         return []
-    if _is_thought_live(state, tick, claim.holder, now):
+    if _is_presumed_live(state, tick, claim.holder, now):
         return []
     if state.preferred != state.name:
         return []
-    epoch = max(state.top_epoch, make_epoch(claim.term)) + 1
-    return [_begin(state, claim, epoch, caretaker=True)]
+    epoch = max(state.highest_epoch, make_epoch(claim.term)) + 1
+    return [_begin_term(state, claim, epoch, caretaker=True)]
--- a/plantainyard/membership/tests/test_authority.py
+++ b/plantainyard/membership/tests/test_authority.py
@@ -1,4 +1,4 @@
-"""Authority over a rack: at most one instance at any moment."""
+"""Tests that at most one instance has authority over a rack at any time."""
 
 from typing import Any, NamedTuple
 
@@ -18,9 +18,9 @@
 TERMS = AuthorityTerms(lease_s=10.0, drift=0.05)
 
 
-def test_claim_at_offset_zero_has_an_epoch_that_counts():
-    # A domain's very first record is the claim of a rack. Its runners start, yet every
-    # request to them is refused: an epoch of zero was read as "no authority".
+def test_claim_at_offset_zero_has_a_positive_epoch():
+    # Guards against runners that start but get no requests: if the claim of a rack is
+    # the first record of a domain, an epoch of zero would mean "no authority".
     assert make_epoch(0) > 0
     assert make_epoch(0, 999) < make_epoch(1)
 
@@ -34,23 +34,23 @@
     authority: Authority
 
 
-class Contest(RuleBasedStateMachine):
-    """Owners and caretakers of one rack, whose commands and answers come late.
+class AuthorityMachine(RuleBasedStateMachine):
+    """Owners and caretakers of one rack, with delayed commands and responses.
 
-    A user sees an order taken twice, or a runner with more requests than it holds: an
-    owner that was paused, or handed over without knowing of a caretaker, acts beside
-    another instance.
+    Guards against two instances that act at once, because an owner was paused or handed
+    the rack over without knowing of a caretaker. An order would then be executed twice,
+    or a runner would get more requests than it can hold.
     """
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 100.0
-        self.fence = dict.fromkeys("abcd", -1)
+        self.highest_epochs = dict.fromkeys("abcd", -1)
         self.calls: list[Any] = []
         self.term = 0
-        self.takeover = 0
-        self.earlier: list[frozenset[str]] = []
-        self.stopped = False
+        self.takeovers = 0
+        self.former_workers: list[frozenset[str]] = []
+        self.clean_handover = False
         self.owner: Contender | None = None
         self.acting: list[Contender] = []
         self.claim(frozenset("abc"), 1.0)
@@ -64,12 +64,14 @@
         rate=st.sampled_from([0.98, 1.0, 1.02]),
     )
     def claim(self, workers: frozenset[str], rate: float) -> None:
-        """Claim on top of the present claim, whether its holder lives or not."""
+        """Claim on top of the present claim, whether its holder is live or not."""
         if self.owner is not None:
-            self.earlier.append(self.owner.workers)
-            self.stopped = False
-        self.term, self.takeover = self.term + 1, 0
-        authority = Authority(TERMS, workers, list(self.earlier), self.stopped)
+            self.former_workers.append(self.owner.workers)
+            self.clean_handover = False
+        self.term, self.takeovers = self.term + 1, 0
+        authority = Authority(
+            TERMS, workers, list(self.former_workers), self.clean_handover
+        )
         self.owner = Contender(make_epoch(self.term), rate, workers, authority)
         self.acting.append(self.owner)
 
@@ -77,37 +79,39 @@
     @rule()
     def hand_over(self) -> None:
         assert self.owner is not None
-        self.stopped = has_authority(self.owner.authority, self.read_clock(self.owner))
-        self.earlier = [] if self.stopped else self.earlier
-        self.earlier.append(self.owner.workers)
+        self.clean_handover = has_authority(
+            self.owner.authority, self.read_clock(self.owner)
+        )
+        self.former_workers = [] if self.clean_handover else self.former_workers
+        self.former_workers.append(self.owner.workers)
         if self.owner in self.acting:
             self.acting.remove(self.owner)
         self.owner = None
 
-    @precondition(lambda self: self.earlier or self.owner)
+    @precondition(lambda self: self.former_workers or self.owner)
     @rule(rate=st.sampled_from([0.98, 1.0, 1.02]))
-    def care(self, rate: float) -> None:
-        """Care for the last owner that is known where the log is out of reach."""
-        workers = self.owner.workers if self.owner else self.earlier[-1]
-        self.takeover += 1
-        epoch = make_epoch(self.term, self.takeover)
+    def start_caretaker(self, rate: float) -> None:
+        """Start a caretaker for the last known owner while the log is unavailable."""
+        workers = self.owner.workers if self.owner else self.former_workers[-1]
+        self.takeovers += 1
+        epoch = make_epoch(self.term, self.takeovers)
         authority = Authority(TERMS, workers, [workers])
         self.acting.append(Contender(epoch, rate, workers, authority))
 
     @rule(
         who=st.integers(0, 9),
-        reached=st.sampled_from(["abcd", "abcd", "ab", "cd", "bc"]),
+        workers=st.sampled_from(["abcd", "abcd", "ab", "cd", "bc"]),
         reads=st.booleans(),
         seconds=st.floats(0.0, 2.0),
     )
-    def call_some(self, who: int, reached: str, reads: bool, seconds: float) -> None:
+    def call_several(self, who: int, workers: str, reads: bool, seconds: float) -> None:
         contender = self.acting[who % len(self.acting)] if self.acting else None
         if contender is None:
             return
-        for worker in reached:
+        for worker in workers:
             self.call(contender, worker, reads)
         self.pass_time(seconds)
-        self.answer_all()
+        self.deliver_responses()
 
     @rule(who=st.integers(0, 9), worker=st.sampled_from("abcd"), reads=st.booleans())
     def call_one(self, who: int, worker: str, reads: bool) -> None:
@@ -119,28 +123,30 @@
         self.calls.append([contender, worker, reads, sent_at, None])
 
     @rule(index=st.integers(0, 30))
-    def reach(self, index: int) -> None:
-        """Let one call reach its worker; its answer comes later."""
-        waiting = [call for call in self.calls if call[4] is None]
-        if not waiting:
+    def deliver_call(self, index: int) -> None:
+        """Deliver one call to its worker; the response is delivered later."""
+        undelivered = [call for call in self.calls if call[4] is None]
+        if not undelivered:
             return
-        call = waiting[index % len(waiting)]
+        call = undelivered[index % len(undelivered)]
         contender, worker, reads, *_ = call
         if reads:
-            call[4] = self.fence[worker]
+            call[4] = self.highest_epochs[worker]
         else:
-            call[4] = contender.epoch >= self.fence[worker]
-            self.fence[worker] = max(self.fence[worker], contender.epoch)
+            call[4] = contender.epoch >= self.highest_epochs[worker]
+            self.highest_epochs[worker] = max(
+                self.highest_epochs[worker], contender.epoch
+            )
 
-    def answer_all(self) -> None:
+    def deliver_responses(self) -> None:
         while any(call[4] is None for call in self.calls):
-            self.reach(0)
+            self.deliver_call(0)
         calls, self.calls = self.calls, []
-        for contender, worker, reads, sent_at, answer in calls:
+        for contender, worker, reads, sent_at, response in calls:
             clock = self.read_clock(contender)
             if reads:
-                record_read_epoch(contender.authority, worker, answer, sent_at)
-            elif answer:
+                record_read_epoch(contender.authority, worker, response, sent_at)
+            elif response:
                 record_acceptance(contender.authority, worker, sent_at, clock)
 
     @rule(seconds=st.one_of(st.floats(0.0, 2.0), st.floats(8.0, 12.0)))
@@ -148,7 +154,7 @@
         self.now += seconds
 
     @invariant()
-    def has_one_authority(self) -> None:
+    def at_most_one_has_authority(self) -> None:
         holders = [
             contender.epoch
             for contender in self.acting
@@ -157,22 +163,23 @@
         assert len(holders) <= 1
 
 
-TestContest = Contest.TestCase
-TestContest.settings = settings(
+TestAuthority = AuthorityMachine.TestCase
+TestAuthority.settings = settings(
     derandomize=True, deadline=None, max_examples=400, stateful_step_count=30
 )
 
 
-def test_caretaker_that_fenced_between_a_reading_and_a_hand_over() -> None:
-    """An order is taken twice, seconds after a planned stop.
+def test_caretaker_that_fences_between_the_reading_and_the_hand_over() -> None:
+    """Guards against an order that is executed twice, seconds after a graceful stop.
 
-    The successor reads the workers, which know of no caretaker; then a caretaker
-    fences a majority and renews once; then the successor fences them. It acts at
-    once, and the caretaker, whose wait is over before its last lease, acts too.
+    The successor reads the workers, which have seen no caretaker. A caretaker then
+    fences a majority and renews its lease once, and after that the successor fences the
+    workers. The successor acts at once; the caretaker must not act, although its wait
+    ends before its last lease does.
     """
     workers = ["w0", "w1", "w2"]
     caretaker = Authority(TERMS, workers, [workers])
-    successor = Authority(TERMS, workers, [workers], stopped=True)
+    successor = Authority(TERMS, workers, [workers], clean_handover=True)
     for worker in workers:
         record_read_epoch(successor, worker, make_epoch(3), 100.0)
     for sent_at in (101.0, 104.0):
@@ -182,7 +189,7 @@
         record_acceptance(successor, worker, 105.0, 105.0)
     assert has_authority(successor, 105.0)
     assert not any(has_authority(caretaker, 100.0 + n / 10) for n in range(300))
-    slow = Authority(TERMS, workers, [workers], stopped=True)
+    slow = Authority(TERMS, workers, [workers], clean_handover=True)
     for worker in workers:
         record_read_epoch(slow, worker, make_epoch(3), 100.0)
         record_acceptance(slow, worker, 110.0, 110.0)
@@ -190,10 +197,10 @@
 
 
 def test_claim_that_names_other_workers() -> None:
-    """An order is taken twice after half of a rack's workers were replaced.
+    """Guards against an order executed twice after a rack's workers were replaced.
 
     The owner still reaches two of the three workers that its claim names. A successor
-    claims with the workers of today, and all of them accept it.
+    claims the rack with half of its workers replaced, and all present ones accept it.
     """
     owner = Authority(TERMS, ["w0", "w1", "w2"], [])
     successor = Authority(TERMS, ["w2", "w3", "w4"], [["w0", "w1", "w2"]])
--- a/plantainyard/membership/tests/test_ownership.py
+++ b/plantainyard/membership/tests/test_ownership.py
@@ -1,3 +1,5 @@
+"""Tests of the decisions to claim, release and take over racks."""
+
 from plantainyard.membership import (
     BeginTerm,
     ClaimRack,
@@ -21,16 +23,16 @@
 
 
 def test_instance_that_has_just_started_does_not_displace_a_live_owner():
-    # Two instances of a domain give up and claim a rack by turns for a second after
-    # one of them started. It had heard nobody yet and took the owner for dead; the
-    # owner had not heard it either and claimed back.
+    # Guards against two instances that claim a rack from each other for a second after
+    # one of them has started: it had received no heartbeat yet and considered the owner
+    # dead; the owner had received none of it either and claimed the rack back.
     state = OwnershipState("new", "rack", SETTINGS)
     step_ownership(state, ClaimSeen(Claim("old", 7, tuple(WORKERS))), 100.0)
     assert step_ownership(state, _tick({"new"}), 100.1) == []
     assert step_ownership(state, _tick({"new", "old"}), 105.0) == []
 
 
-def test_owner_that_stays_unheard_is_replaced():
+def test_owner_without_heartbeats_is_replaced():
     state = OwnershipState("new", "rack", SETTINGS)
     step_ownership(state, ClaimSeen(Claim("old", 7, tuple(WORKERS))), 100.0)
     actions = step_ownership(state, _tick({"new"}), 104.1)
@@ -42,15 +44,15 @@
     assert step_ownership(state, _tick({"new"}), 0.0) == [ClaimRack(-1, WORKERS)]
 
 
-def test_what_was_given_up_stays_given_up_over_a_snapshot():
-    # An order is taken twice after a planned stop. The record that gives the rack up is
-    # held back; the instance meets a gap in the log, starts over from a snapshot, finds
-    # itself to be the holder and acts again. Then the record arrives, and the successor
-    # acts at once.
+def test_released_rack_stays_released_after_a_snapshot():
+    # Guards against an order that is executed twice after a graceful stop. The record
+    # that releases the rack is delayed; the instance finds a gap in the log, restores a
+    # snapshot in which it is the holder, and acts again. Then the record arrives in the
+    # log, and the successor acts at once.
     state = OwnershipState("a", "rack", SETTINGS)
     claim = Claim("a", 7, tuple(WORKERS))
-    begun = step_ownership(state, ClaimSeen(claim), 100.0)
-    assert [type(action) for action in begun] == [BeginTerm]
+    started = step_ownership(state, ClaimSeen(claim), 100.0)
+    assert [type(action) for action in started] == [BeginTerm]
     stop = _tick({"a"})._replace(stopping=True)
     assert step_ownership(state, stop, 120.0) == [EndTerm(), ReleaseRack(7)]
     reset_claim(state)
