--- a/plantainyard/entry/reserves.py
+++ b/plantainyard/entry/reserves.py
@@ -15,7 +15,7 @@
 from plantainyard.entry.topics import PROGRESS
 from plantainyard.errors import CallError
 from plantainyard.platform.settings import InstanceSettings
-from plantainyard.platform.store import Holding
+from plantainyard.platform.store import PartitionOwner
 
 __all__ = [
     "ReserveState",
@@ -72,14 +72,18 @@
     return member.endswith(RESERVE_SUFFIX)
 
 
-def needs_reserves(holdings: Iterable[Holding], units: int) -> bool:
+def needs_reserves(holdings: Iterable[PartitionOwner], units: int) -> bool:
     """Return whether the strong instances of a group are too few for all units.
 
     Examples
     --------
-    >>> needs_reserves([Holding(PROGRESS, 0, "a/1"), Holding(PROGRESS, 1, "b/2")], 4)
+    >>> owners = [
+    ...     PartitionOwner(PROGRESS, 0, "a/1"),
+    ...     PartitionOwner(PROGRESS, 1, "b/2"),
+    ... ]
+    >>> needs_reserves(owners, 4)
     False
-    >>> needs_reserves([Holding(PROGRESS, 0, "a/1"), Holding(PROGRESS, 1, "b/2")], 5)
+    >>> needs_reserves(owners, 5)
     True
     """
     strong = {
@@ -122,7 +126,7 @@
 
 def decide_membership(
     reserve: ReserveState,
-    read_holdings: Callable[[], Result[list[Holding], CallError]],
+    read_partition_owners: Callable[[], Result[list[PartitionOwner], CallError]],
     owner_answers: Callable[[int], bool],
     units: int,
     now: float,
@@ -133,7 +137,7 @@
     ----------
     reserve : ReserveState
         Updated in place.
-    read_holdings : callable
+    read_partition_owners : callable
         Asks the store which member holds which partition.
     owner_answers : callable
         Returns whether the owner of a unit answers.
@@ -164,7 +168,7 @@
     ):
         return reserve.is_member
     reserve.checked_at = now
-    found = read_holdings()
+    found = read_partition_owners()
     if isinstance(found, Err):
         return reserve.is_member or uninformed
     reserve.answered_at = now
