--- a/plantainyard/dispatch/pacing.py
+++ b/plantainyard/dispatch/pacing.py
@@ -1,9 +1,9 @@
-"""How fast backfilling tasks may work beside serving ones.
+"""Pace of backfill tasks that share a runner with serving tasks.
 
-The load that it answers: a backfilling task takes from the margin of the serving tasks
-of its runner, by amounts that differ from image to image, while the serving tasks' own
-load swings. What a base leaves above the least margin is spent on the images that harm
-least.
+The pace is a share of full speed. Backfill tasks lower the margin of the serving tasks
+on their runner by amounts that differ between images, while the serving tasks' own load
+swings. Whatever margin a serving task has above its target is given to the backfill
+images that interfere least.
 """
 
 from plantainyard.dispatch.baselines import MAX_MARGIN, forecast_baseline
@@ -16,71 +16,80 @@
     "SERVING_UTILIZATION",
     "choose_paces",
     "find_spare_load",
+    "get_pace",
     "has_backfill_tasks",
     "has_serving_tasks",
     "update_headroom",
-    "get_pace",
 ]
 
 FULL_PACE = 100
-"""Share at which a task works as fast as it can."""
+"""Pace of a task that isn't slowed, in percent."""
 
 TARGET_MARGIN = 1.05
-"""Target over tail that is kept: below 1 the target is missed. What the model leaves
-open is allowed for by the weights, which are taken at their worst."""
+"""Margin (target over tail latency) that is kept; the target is missed below 1. Model
+errors are covered by using upper bounds of the weights."""
 
 DEFAULT_BASELINE = 1.5
-"""Base that a serving task is taken to have before it has told: low enough that little
-is let in beside a task whose load may be at its peak."""
+"""Baseline of a serving task without reports: low enough to admit little work beside a
+task whose load may be at its peak."""
 
 PACING_HORIZON_S = 0.5
-"""How far ahead paces are chosen: the time to the next report, and 0.1 s until a pace
-holds."""
+"""How far ahead paces are chosen: until the next report, plus the 0.1 s that a pace
+takes to have effect."""
 
 PLACING_HORIZON_S = 0.7
-"""How far ahead a place is chosen. Most backfilling tasks run for 2 s, but a trend is
-only known well for so long."""
+"""How far ahead a place is chosen. Most backfill tasks run for 2 s, but a trend can be
+extrapolated only this far."""
 
 MAX_RISE = 40
-"""Points by which a pace rises with one report: after a stop of all that was there, an
-image that was taken for harmless shows itself before it works at full speed."""
+"""Points by which a pace rises at most per report: after all work was stopped, an image
+that was wrongly considered harmless is detected before it runs at full speed."""
 
 MIN_PACE = 8
-"""Shares below it are taken as a stop: they still disturb, and do next to no work."""
+"""Paces below this are replaced by a stop: such tasks still interfere, but make hardly
+any progress."""
 
 IGNORED_WEIGHT_RATIO = 3.0
-"""Factor between two weights from which the larger is slowed for the smaller."""
+"""Ratio of two weights from which the image with the larger one is slowed in favour of
+the other, and so is ignored when the other is placed."""
 
 SERVING_UTILIZATION = 0.5
-"""Share of its processor time that a serving task is taken to use; reports don't tell,
-as a serving task's row holds its tail."""
+"""Assumed share of its reserved processor time that a serving task uses. Reports don't
+say, since a serving task's row holds its tail latency instead."""
 
 
 def get_pace(runner: Runner, image: str) -> int:
-    """Return the share of full speed of the runner's tasks of a backfilling image."""
+    """Return the pace of the runner's tasks of a backfill image, in percent."""
     return runner.paces.get(image, FULL_PACE)
 
 
 def choose_paces(runner: Runner, interference: InterferenceModel) -> dict[str, int]:
-    """Return the paces of the runner's backfilling images that keep the targets.
+    """Return the paces of the runner's backfill images that keep the targets.
 
     Parameters
     ----------
     runner : Runner
-        Its tasks, and the bases of its serving images.
+        Its tasks, and the baselines of its serving jobs.
     interference : InterferenceModel
-        What is learnt of pairs.
+        The weights of the pairs of images.
+
+    Returns
+    -------
+    dict
+        Pace by image, without the images at full speed.
 
     Notes
     -----
-    The images that harm most a core are slowed first: of all choices that keep a
-    target this one lets the most work be done. Images at full speed aren't named.
+    The images that interfere most per core are slowed first. Among all choices that
+    keep the targets this one lets the most work be done.
     """
     loads = _sum_loads(runner)
     full = dict(loads)
-    for serving, base in _list_bases(runner, interference, PACING_HORIZON_S).items():
-        _slow_harmful(
-            loads, interference, serving, compute_headroom(base, TARGET_MARGIN)
+    for serving, baseline in _forecast_baselines(
+        runner, interference, PACING_HORIZON_S
+    ).items():
+        _reduce_loads(
+            loads, interference, serving, compute_headroom(baseline, TARGET_MARGIN)
         )
     paces = {
         i: min(
@@ -92,12 +101,15 @@
     return {i: p if p >= MIN_PACE else 0 for i, p in paces.items() if p < FULL_PACE}
 
 
-def _slow_harmful(
-    loads: dict[str, float], interference: InterferenceModel, serving: str, room: float
+def _reduce_loads(
+    loads: dict[str, float],
+    interference: InterferenceModel,
+    serving: str,
+    headroom: float,
 ) -> None:
-    """Lower `loads` until their pressure on `serving` is at most `room`."""
+    """Reduce `loads` until their pressure on `serving` is at most `headroom`."""
     weights = {i: find_weight_bound(interference, serving, i) for i in loads}
-    excess = sum(weights[i] * load for i, load in loads.items()) - room
+    excess = sum(weights[i] * load for i, load in loads.items()) - headroom
     for image in sorted(loads, key=lambda i: weights[i], reverse=True):
         if excess <= 0:
             return
@@ -107,11 +119,11 @@
 
 
 def update_headroom(runner: Runner, interference: InterferenceModel) -> None:
-    """Take note of what the bases of now leave to backfilling work, for placing."""
+    """Update the headroom that the current baselines leave for placing backfill work."""
     runner.loads = _sum_loads(runner)
     runner.rooms = {
-        serving: compute_headroom(base, TARGET_MARGIN)
-        for serving, base in _list_bases(
+        serving: compute_headroom(baseline, TARGET_MARGIN)
+        for serving, baseline in _forecast_baselines(
             runner, interference, PLACING_HORIZON_S
         ).items()
     }
@@ -121,20 +133,21 @@
 def find_spare_load(
     runner: Runner, interference: InterferenceModel, image: str
 ) -> float:
-    """Return the load that more work of a backfilling image may add to a runner.
+    """Return the load that further work of a backfill image may add to a runner.
 
     Returns
     -------
     float
-        Part of the runner's processors, at most all of them.
+        Share of the runner's processors, at most 1.
 
     Notes
     -----
-    Guards against harmless work that waits while processors are unused: one harmful
-    task at its slowed pace takes up all that the serving tasks leave, and nothing else
-    was let in. What harms much more is slowed first, so it doesn't count here: a tenth
-    of its pace makes room for a whole harmless task. The result is kept until the
-    runner's next report; the cost is a pass over its pairs of images.
+    Guards against harmless work that waits while processors are unused: a single
+    harmful task at its reduced pace would use up all the headroom of the serving tasks,
+    and nothing else would be admitted. Images that interfere much more are slowed first
+    and therefore ignored here: a tenth of their pace frees the headroom for a whole
+    harmless task. The result is cached until the runner's next report; the cost is a
+    pass over the runner's pairs of images.
     """
     found = runner.spare.get(image)
     if found is None:
@@ -149,35 +162,38 @@
 def _find_spare_beside(
     runner: Runner, interference: InterferenceModel, image: str, serving: str
 ) -> float:
+    """Return the load that work of `image` may add as far as `serving` allows it."""
     weight = find_weight_bound(interference, serving, image)
     weights = {i: find_weight_bound(interference, serving, i) for i in runner.loads}
-    taken = sum(
+    pressure = sum(
         weights[other] * load
         for other, load in runner.loads.items()
         if weights[other] <= IGNORED_WEIGHT_RATIO * weight
     )
-    return min(1.0, max(0.0, runner.rooms[serving] - taken) / max(weight, 1e-6))
+    return min(1.0, max(0.0, runner.rooms[serving] - pressure) / max(weight, 1e-6))
 
 
-def _list_bases(
-    runner: Runner, interference: InterferenceModel, ahead_s: float
+def _forecast_baselines(
+    runner: Runner, interference: InterferenceModel, horizon_s: float
 ) -> dict[str, float]:
-    """Return the least base of each serving image whose tasks are there, or will be."""
+    """Return the lowest forecast baseline of each serving image on the runner."""
     images = {
         task.key.job_id: task.step.spec.image
         for task in runner.tasks.values()
         if task.step.spec.target_ms and task.phase != Phase.STOPPING
     }
-    bases: dict[str, float] = {}
+    baselines: dict[str, float] = {}
     for job_id, image in images.items():
         own = runner.bases.get(job_id, MAX_MARGIN)
-        base = forecast_baseline(interference, job_id, own, ahead_s, DEFAULT_BASELINE)
-        bases[image] = min(base, bases.get(image, MAX_MARGIN))
-    return bases
+        baseline = forecast_baseline(
+            interference, job_id, own, horizon_s, DEFAULT_BASELINE
+        )
+        baselines[image] = min(baseline, baselines.get(image, MAX_MARGIN))
+    return baselines
 
 
 def _sum_loads(runner: Runner) -> dict[str, float]:
-    """Return the load of each backfilling image at full speed, as far as it gets."""
+    """Return the load of each backfill image at full pace, limited by unused CPU."""
     assert runner.entry is not None
     cpu = max(1, runner.entry.capacity.cpu)
     loads: dict[str, float] = {}
@@ -186,15 +202,15 @@
         if spec.backfill and task.phase != Phase.STOPPING:
             loads[spec.image] = loads.get(spec.image, 0.0) + spec.resources.cpu / cpu
     unused = 1.0 - (runner.cpu - (1 - SERVING_UTILIZATION) * runner.serving_cpu) / cpu
-    crowding = min(1.0, max(unused, 0.05) / max(sum(loads.values()), 1e-6))
-    return {image: load * crowding for image, load in loads.items()}
+    scale = min(1.0, max(unused, 0.05) / max(sum(loads.values()), 1e-6))
+    return {image: load * scale for image, load in loads.items()}
 
 
 def has_serving_tasks(runner: Runner) -> bool:
-    """Return whether serving tasks run on the runner."""
+    """Return whether the runner has tasks with a latency target."""
     return any(task.step.spec.target_ms for task in runner.tasks.values())
 
 
 def has_backfill_tasks(runner: Runner) -> bool:
-    """Return whether backfilling tasks run on the runner."""
+    """Return whether the runner has backfill tasks."""
     return any(task.step.spec.backfill for task in runner.tasks.values())
--- a/plantainyard/dispatch/weights.py
+++ b/plantainyard/dispatch/weights.py
@@ -1,6 +1,6 @@
-"""How much pairs of a serving and a backfilling image harm.
+"""Interference weights of pairs of a serving and a backfill image.
 
-Weights are learnt by recursive least squares, told to other units, and stored.
+Weights are learnt by recursive least squares, shared with other units, and stored.
 """
 
 import json
@@ -13,30 +13,30 @@
     "MARGIN_ERROR",
     "PRIOR_WEIGHT",
     "add_images",
+    "compute_headroom",
     "decode_interference",
-    "remove_image",
     "encode_interference",
     "find_weight",
     "find_weight_bound",
     "is_known",
     "list_known_images",
-    "compute_headroom",
     "merge_interference",
+    "remove_image",
     "update_estimate",
 ]
 
 IDLE_TAIL = 0.2
-"""Tail, in targets, that a serving task is taken to have without any load. Where it is
-another part, all weights come out larger or smaller alike, which changes no choice."""
+"""Assumed tail latency of an unloaded serving task, in units of its target. Any other
+value would scale all weights alike, which changes no decision."""
 
 PRIOR_WEIGHT = 2.0
-"""Weight of a pair that was never seen, between harmless and harmful ones."""
+"""Weight of a pair that was never observed, between harmless and harmful ones."""
 
 PRIOR_VARIANCE = 4.0
-"""Variance of a weight that was never seen."""
+"""Variance of the weight of a pair that was never observed."""
 
 MODEL_VARIANCE = 0.01
-"""Variance of a stretch around the model."""
+"""Variance of an observed stretch around the model's prediction."""
 
 MARGIN_ERROR = 0.06
 """Relative error of one reported margin: tails are rounded to milliseconds."""
@@ -45,35 +45,35 @@
 """Upper bound of a weight."""
 
 MAX_KNOWN_VARIANCE = 0.5
-"""Variance of a weight below which its pair counts as seen."""
+"""Variance of a weight below which its pair counts as known."""
 
 MERGED_VARIANCE = 0.4
-"""Variance of a weight that another unit has told."""
+"""Variance assigned to a weight that is taken over from another unit."""
 
 UPPER_BOUND_DEVIATIONS = 0.35
-"""Standard deviations added to a weight before more work of its image is placed."""
+"""Standard deviations added to a weight when more work of its image is placed."""
 
 HARMFUL_WEIGHT = 1.0
 """Weight from which a pair counts as harmful."""
 
 HARMFUL_FACTOR = 1.4
-"""Factor by which a harmful weight may be low: it is learnt through quiet phases."""
+"""Correction of a harmful weight, which quiet phases make come out too low."""
 
 MIN_WEIGHT = 0.2
-"""Weight that a pair is taken to have at least: nothing that works is harmless."""
+"""Lower bound of a weight when work is placed: no running work is entirely harmless."""
 
 FORGETTING_FACTOR = 0.999
-"""Factor by which older reports count less with each new one of the same image."""
+"""Factor by which older reports lose weight with each new report of the same image."""
 
 
-def compute_headroom(base: float, least: float) -> float:
-    """Return the pressure (weights times loads) that takes a base to a least margin."""
-    lost = min(0.9, max(0.0, (base - least) * IDLE_TAIL))
+def compute_headroom(baseline: float, target: float) -> float:
+    """Return the pressure (weights times loads) that lowers a baseline to a margin."""
+    lost = min(0.9, max(0.0, (baseline - target) * IDLE_TAIL))
     return lost / (1 - lost)
 
 
 def add_images(estimate: WeightEstimate, loads: Mapping[str, float]) -> None:
-    """Begin to learn of the images at work that weren't seen before."""
+    """Add the images with load to an estimate, new ones with the prior weight."""
     for image, load in loads.items():
         if load <= 0:
             continue
@@ -87,7 +87,7 @@
 
 
 def remove_image(estimate: WeightEstimate, image: str) -> None:
-    """Forget an image; the next time it counts as never seen."""
+    """Remove an image, which counts as never observed from then on."""
     del estimate.weights[image], estimate.covariance[image], estimate.unseen_s[image]
     for row in estimate.covariance.values():
         del row[image]
@@ -97,43 +97,57 @@
     estimate: WeightEstimate,
     loads: Mapping[str, float],
     margin: float,
-    base: Baseline,
-    alike: int,
+    baseline: Baseline,
+    correlated: int,
 ) -> None:
-    """Take in one margin beside backfilling work.
+    """Update an estimate with one margin under backfill load.
+
+    Parameters
+    ----------
+    estimate : WeightEstimate
+        Changed in place.
+    loads : mapping
+        Load by backfill image.
+    margin : float
+        The margin under these loads.
+    baseline : Baseline
+        The margin without them.
+    correlated : int
+        Number of margins in the report that have the same error, and so count as one.
 
     Notes
     -----
-    Unlike a gradient step this shares an unexpected tail out by what is known already:
-    an image that was harmless a hundred times isn't blamed for a newcomer. The cost is
-    the square of the number of images, some 0.05 ms with ten. The errors of `alike`
-    tasks in one report are the same errors, and count as one.
+    Unlike a gradient step, least squares attributes an unexpected tail according to
+    what is already known: an image that was harmless a hundred times isn't blamed for
+    the effect of a new one. The cost is the square of the number of images, about
+    0.05 ms with ten.
     """
     covariance = estimate.covariance
     inputs = {image: load for image, load in loads.items() if load > 0}
-    spread = {
+    gains = {
         image: sum(row[other] * x for other, x in inputs.items())
         for image, row in covariance.items()
     }
-    lost = min(0.9, max(-0.5, (base.value - margin) * IDLE_TAIL))
-    variance = (MARGIN_ERROR * margin) ** 2 + base.variance
+    lost = min(0.9, max(-0.5, (baseline.value - margin) * IDLE_TAIL))
+    variance = (MARGIN_ERROR * margin) ** 2 + baseline.variance
     noise = (
-        alike * MODEL_VARIANCE + alike * variance * (IDLE_TAIL / (1 - lost) ** 2) ** 2
+        correlated * MODEL_VARIANCE
+        + correlated * variance * (IDLE_TAIL / (1 - lost) ** 2) ** 2
     )
-    scale = noise + sum(spread[image] * x for image, x in inputs.items())
+    scale = noise + sum(gains[image] * x for image, x in inputs.items())
     expected = sum(estimate.weights[image] * x for image, x in inputs.items())
     error = lost / (1 - lost) - expected
-    for image, part in spread.items():
-        moved = estimate.weights[image] + part / scale * error
-        estimate.weights[image] = min(MAX_WEIGHT, max(0.0, moved))
+    for image, gain in gains.items():
+        updated = estimate.weights[image] + gain / scale * error
+        estimate.weights[image] = min(MAX_WEIGHT, max(0.0, updated))
         row = covariance[image]
-        for other, across in spread.items():
-            row[other] -= part * across / scale
+        for other, other_gain in gains.items():
+            row[other] -= gain * other_gain / scale
         row[image] = min(PRIOR_VARIANCE, row[image] / FORGETTING_FACTOR)
 
 
 def is_known(interference: InterferenceModel, serving: str, image: str) -> bool:
-    """Return whether a pair was seen at work together for some reports."""
+    """Return whether enough reports have covered a pair for its weight to be known."""
     estimate = interference.estimates.get(serving)
     if estimate is None or image not in estimate.weights:
         return False
@@ -141,20 +155,21 @@
 
 
 def merge_interference(
-    interference: InterferenceModel, told: InterferenceModel
+    interference: InterferenceModel, received: InterferenceModel
 ) -> None:
-    """Take over what another unit knows and this one doesn't.
+    """Take over the weights that another unit knows and this one doesn't.
 
     Notes
     -----
-    Pairs of images harm alike on all runners. Each unit of a large fleet sees a tenth
-    of the reports, and would learn ten times as long. What is taken over counts as just
-    known, so that reports of its own soon weigh more.
+    A pair of images interferes alike on all runners. Each unit of a large fleet gets a
+    tenth of the reports, and would need ten times as long to learn the weights alone.
+    A weight that is taken over counts as barely known, so that the unit's own reports
+    soon outweigh it.
     """
-    for serving, theirs in told.estimates.items():
+    for serving, theirs in received.estimates.items():
         estimate = interference.estimates.setdefault(serving, WeightEstimate())
         for image, weight in theirs.weights.items():
-            known = is_known(told, serving, image)
+            known = is_known(received, serving, image)
             if not known or is_known(interference, serving, image):
                 continue
             add_images(estimate, {image: 1.0})
@@ -167,7 +182,7 @@
 
 
 def find_weight(interference: InterferenceModel, serving: str, image: str) -> float:
-    """Return the weight of a pair: by how much a whole runner of `image` stretches."""
+    """Return a pair's weight: the added stretch if `image` used a whole runner."""
     estimate = interference.estimates.get(serving)
     if estimate is None:
         return PRIOR_WEIGHT
@@ -177,30 +192,30 @@
 def find_weight_bound(
     interference: InterferenceModel, serving: str, image: str
 ) -> float:
-    """Return a weight that the pair's true one is hardly above.
+    """Return an upper bound that a pair's true weight rarely exceeds.
 
     Notes
     -----
-    Guards against a harmful image that is sent everywhere after one report in which
-    it had barely begun to work: its weight is low by then, its doubt is not.
+    Guards against a harmful image that is placed everywhere after a single report in
+    which it had barely begun to run: its weight is low by then, but not its variance.
     """
     estimate = interference.estimates.get(serving)
     if estimate is None or image not in estimate.weights:
         return PRIOR_WEIGHT + UPPER_BOUND_DEVIATIONS * PRIOR_VARIANCE**0.5
-    doubt = max(0.0, estimate.covariance[image][image]) ** 0.5
-    weight = estimate.weights[image] + UPPER_BOUND_DEVIATIONS * doubt
+    deviation = max(0.0, estimate.covariance[image][image]) ** 0.5
+    weight = estimate.weights[image] + UPPER_BOUND_DEVIATIONS * deviation
     return max(
         MIN_WEIGHT, weight * (HARMFUL_FACTOR if weight > HARMFUL_WEIGHT else 1.0)
     )
 
 
 def list_known_images(interference: InterferenceModel) -> set[str]:
-    """Return the backfilling images that were seen beside any serving image."""
+    """Return the backfill images that were observed beside any serving image."""
     return {image for e in interference.estimates.values() for image in e.weights}
 
 
 def encode_interference(interference: InterferenceModel) -> bytes:
-    """Return the stored form of the weights; see `decode_interference`."""
+    """Return the stored form of the weights and their variances."""
     data = {
         serving: {
             image: [round(weight, 2), round(estimate.covariance[image][image], 3)]
@@ -212,19 +227,19 @@
 
 
 def decode_interference(value: bytes) -> InterferenceModel:
-    """Return what `encode_interference` wrote, without the covariance of pairs.
+    """Return the model that `encode_interference` stored, with covariances of zero.
 
     Raises
     ------
     ValueError, TypeError, AttributeError
-        If the bytes aren't such a record.
+        If the bytes are not such a record.
     """
     interference = InterferenceModel()
     for serving, rows in json.loads(value).items():
         estimate = WeightEstimate()
-        for image, (weight, doubt) in rows.items():
+        for image, (weight, variance) in rows.items():
             estimate.weights[image] = float(weight)
             estimate.covariance[image] = dict.fromkeys(rows, 0.0)
-            estimate.covariance[image][image] = float(doubt)
+            estimate.covariance[image][image] = float(variance)
         interference.estimates[serving] = estimate
     return interference
