--- a/plantainyard/entry/copies.py
+++ b/plantainyard/entry/copies.py
@@ -1,4 +1,4 @@
-"""An instance's copy of what the store holds of one unit."""
+"""An instance's copy of the records that the store holds of one unit."""
 
 from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
@@ -14,50 +14,56 @@
 
 
 class UnitCopy:
-    """A unit's jobs as last read; an owner's is always up to date.
+    """Copy of a unit's jobs as of the last read.
+
+    The owner of the unit updates its copy with each record that it stores.
 
     Parameters
     ----------
     store : StoreCalls
         The platform's store.
     unit : int
-        The unit.
-    tell : callable
-        Takes the unit, the job's id and the record of each submission and cancel.
+        Number of the unit.
+    on_intake : callable
+        Called with the unit, the job's id and the record of each submission and request
+        to cancel.
 
     Attributes
     ----------
     replica : Replica
-        Its jobs.
-    intake, progress : Tail
-        Where reading stands.
+        The unit's jobs.
+    intake, progress : PartitionReader
+        Readers of the unit's two partitions.
     """
 
     def __init__(
-        self, store: StoreCalls, unit: int, tell: Callable[[int, str, Record], None]
+        self,
+        store: StoreCalls,
+        unit: int,
+        on_intake: Callable[[int, str, Record], None],
     ) -> None:
         self.unit = unit
         self.replica = Replica()
-        self._tell = tell
-        self.intake = PartitionReader(store, INTAKE, unit, self._take_intake)
-        self.progress = PartitionReader(store, PROGRESS, unit, self._take_progress)
+        self._on_intake = on_intake
+        self.intake = PartitionReader(store, INTAKE, unit, self._apply_intake)
+        self.progress = PartitionReader(store, PROGRESS, unit, self._apply_progress)
 
-    def _take_intake(self, record: Record) -> None:
+    def _apply_intake(self, record: Record) -> None:
         job_id = apply_record(self.replica, record.key, record.value)
         if job_id and record.value:
-            self._tell(self.unit, job_id, record)
+            self._on_intake(self.unit, job_id, record)
 
-    def _take_progress(self, record: Record) -> None:
+    def _apply_progress(self, record: Record) -> None:
         apply_record(self.replica, record.key, record.value)
 
 
 def refresh_copy(copy: UnitCopy) -> bool:
-    """Read all that is new of a unit; return False if the store can't be reached.
+    """Read all new records of a unit; return False if the store can't be reached.
 
     Notes
     -----
-    Both partitions at the same time: where a call to a slow store takes 0.25 s, a new
-    owner has five of them to wait for one after the other, and three so.
+    Both partitions are read concurrently. With a slow store, whose calls take 0.25 s
+    each, a new owner waits for three consecutive calls in this way instead of five.
     """
     readers = (copy.intake, copy.progress)
     with ThreadPoolExecutor(len(readers)) as pool:
--- a/plantainyard/entry/directory.py
+++ b/plantainyard/entry/directory.py
@@ -1,4 +1,4 @@
-"""Runners' entries as the store holds them."""
+"""The runners' entries as the store holds them, with notification of changes."""
 
 from collections.abc import Callable
 
@@ -11,31 +11,41 @@
 
 
 class RunnerDirectory:
-    """Tells of entries that changed; a heartbeat that changes nothing is no news.
+    """Directory of the runners' entries that reports each change.
+
+    A heartbeat that leaves the entry as it was isn't reported.
 
     Parameters
     ----------
-    tell : callable
-        Takes each `EntryChanged`.
+    notify : callable
+        Called with each `EntryChanged`.
     log : EventLog
-        For decisions.
+        Log for changes and unreadable entries.
+
+    Attributes
+    ----------
+    entries : dict
+        The current entry of each runner, by the runner's name.
+    listed : set of str or None
+        Runners listed so far by the current read of all entries; None between such
+        reads.
     """
 
-    def __init__(self, tell: Callable[[Event], None], log: EventLog) -> None:
-        self.tell = tell
+    def __init__(self, notify: Callable[[Event], None], log: EventLog) -> None:
+        self.notify = notify
         self.log = log
         self.entries: dict[str, RunnerEntry] = {}
-        self.found: set[str] | None = None
+        self.listed: set[str] | None = None
 
-    def begin(self) -> None:
-        """Prepare for a reading of all entries."""
-        self.found = set()
+    def begin_reload(self) -> None:
+        """Prepare for a read of all entries."""
+        self.listed = set()
 
-    def take(self, record: Record) -> None:
-        """Take in one entry; an empty value removes it."""
+    def apply_record(self, record: Record) -> None:
+        """Apply the record of one entry; an empty value removes the entry."""
         runner = record.key
-        if self.found is not None:
-            self.found.add(runner)
+        if self.listed is not None:
+            self.listed.add(runner)
         if not record.value:
             self._remove(runner)
             return
@@ -52,17 +62,17 @@
             draining=entry.draining,
             address=entry.address,
         )
-        self.tell(EntryChanged(runner, entry))
+        self.notify(EntryChanged(runner, entry))
 
-    def finish(self) -> None:
-        """Remove what the last reading of all entries didn't list any more."""
-        if self.found is None:
+    def finish_reload(self) -> None:
+        """Remove the entries that the last read of all entries didn't list."""
+        if self.listed is None:
             return
-        for runner in list(self.entries.keys() - self.found):
+        for runner in list(self.entries.keys() - self.listed):
             self._remove(runner)
-        self.found = None
+        self.listed = None
 
     def _remove(self, runner: str) -> None:
         if self.entries.pop(runner, None) is not None:
             self.log.write("runner_changed", runner=runner, removed=True)
-            self.tell(EntryChanged(runner, None))
+            self.notify(EntryChanged(runner, None))
--- a/plantainyard/entry/instance.py
+++ b/plantainyard/entry/instance.py
@@ -1,4 +1,4 @@
-"""What one instance holds: configuration, layout, copies of units, owned units."""
+"""State of one instance: configuration, layout, copies of units and owned units."""
 
 import contextlib
 import threading
@@ -33,19 +33,21 @@
 __all__ = ["Claim", "Instance", "OwnedUnit", "run_reader"]
 
 LAYOUT_POLL_S = 5.0
-"""Wait of reads of the layout. A change of owner is read at once; where the connection
-has fallen silent it shows as an owner that doesn't answer, and the store is asked."""
+"""Wait in seconds of reads of the layout. A change of owner ends the wait at once. If
+the connection has stopped responding, the change shows as an owner that doesn't answer,
+and the store is queried."""
 
 CONFIRM_POLL_S = 0.5
-"""The same for an instance that owns a unit: each reading renews its ownership, and
-with it the leases that it may grant."""
+"""Wait in seconds of reads of the layout by an instance that owns a unit. Each read
+confirms its ownership and so extends the leases that it may grant."""
 
 LONG_POLL_S = 1.0
-"""Wait of reads that must notice at once: the configuration by all, submissions by
-the owner. One call a second each while nothing happens."""
+"""Wait in seconds of reads that must see a new record at once: of the configuration by
+all instances, and of submissions by the owner. Each makes one call per second while
+nothing changes."""
 
 RETRY_S = 0.1
-"""Pause after a read that failed."""
+"""Pause in seconds after a failed read."""
 
 
 class OwnedUnit(NamedTuple):
@@ -62,9 +64,9 @@
     Attributes
     ----------
     epoch : int
-        The fencing token.
+        Fencing token of the ownership.
     confirmed_at : float
-        When the store was last asked that knew of no later owner.
+        Start time of the last read of the store that showed no later owner.
     """
 
     epoch: int
@@ -77,26 +79,29 @@
     Parameters
     ----------
     settings : InstanceSettings
-        Of this process.
+        Settings of this process.
     log : EventLog
-        For decisions.
+        Log for decisions.
 
     Attributes
     ----------
     configuration : Configuration or None
-        The newest that was read; None before the first.
+        The newest configuration read; None before the first.
     layout : Layout
         Number of units, and their owners.
     copies : list of UnitCopy
-        By unit; empty until the number of units is known.
+        Copies of all units, by unit; empty until the number of units is known.
     claims : dict
-        The units that this instance owns or is taking over.
+        Units that this instance owns or is taking over, by unit.
     owned : dict
-        Those of them that it owns now.
-    deposed : Event
-        Set when it needs a later epoch: it is to join the group anew.
+        Units that this instance owns and serves, by unit.
+    stopping : Event
+        Set when the process stops.
+    rejoin_needed : Event
+        Set when the instance needs a later epoch and therefore has to join the group
+        anew.
     leaving : Event
-        Set while it owns units only until others take them over.
+        Set while the instance keeps its units only until others take them over.
     """
 
     def __init__(self, settings: InstanceSettings, log: EventLog) -> None:
@@ -116,17 +121,21 @@
         self.rejoin_needed = threading.Event()
         self.leaving = threading.Event()
         self.operations_reader = PartitionReader(
-            self.store, OPERATIONS, 0, self._take_operation
+            self.store, OPERATIONS, 0, self._apply_operation
+        )
+        self.layout_reader = PartitionReader(
+            self.store, LAYOUT, 0, self.layout.apply_record
         )
-        self.layout_reader = PartitionReader(self.store, LAYOUT, 0, self.layout.take)
 
     def create_copies(self) -> None:
-        """Make a copy for each unit; the layout is known from now on."""
+        """Create a copy for each unit once the number of units is known."""
         units = range(self.layout.units)
-        self.copies = [UnitCopy(self.store, unit, self._tell_record) for unit in units]
+        self.copies = [
+            UnitCopy(self.store, unit, self._forward_record) for unit in units
+        ]
 
     def find_copy(self, job_id: str) -> UnitCopy:
-        """Return the copy of the unit that a job is stored in."""
+        """Return the copy of the unit to which a job belongs by its id."""
         return self.copies[find_unit(job_id, len(self.copies))]
 
     def peer_address(self) -> str:
@@ -134,11 +143,11 @@
         return f"{self.settings.ip}:{self.settings.peer_port}"
 
     def is_configuration_fresh(self, now: float, within_s: float) -> bool:
-        """Return whether the configuration was confirmed within the last seconds."""
+        """Return whether the configuration was read in the last `within_s` seconds."""
         return now - self.operations_reader.synced_at <= within_s
 
     def refresh_meters(self) -> None:
-        """Set the gauges to what holds now."""
+        """Set the gauges to the current values."""
         meters = self.meters
         meters.lost_lines.set(self.log.lost)
         meters.configuration_age.set(read_clock() - self.operations_reader.synced_at)
@@ -156,7 +165,7 @@
             for name in {name for row in rows for name in row}:
                 gauge.labels(name).set(sum(row.get(name, 0) for row in rows))
 
-    def _take_operation(self, record: Record) -> None:
+    def _apply_operation(self, record: Record) -> None:
         if record.key != CONFIGURATION_KEY:
             return
         try:
@@ -164,28 +173,28 @@
         except (ValueError, TypeError, KeyError, AttributeError) as error:
             self.log.write("unreadable_entry", key=record.key, why=repr(error))
             return
-        held = self.configuration
-        # A version once in force never reverts within the life of a process.
-        if held is not None and configuration.version <= held.version:
+        current = self.configuration
+        # The version in force never decreases while the process runs.
+        if current is not None and configuration.version <= current.version:
             return
         self.configuration = configuration
         self.log.write("configuration_in_force", version=configuration.version)
 
-    def _tell_record(self, unit: int, job_id: str, record: Record) -> None:
-        """Tell a unit's owner, if it is this instance, what callers have stored."""
+    def _forward_record(self, unit: int, job_id: str, record: Record) -> None:
+        """Forward a caller's record to the unit's actor if this instance owns it."""
         if unit not in self.owned:
             return
         kind = parse_key(record.key).kind
         if kind == RecordKind.SUBMISSION:
             self.send_event(unit, JobSubmitted(decode_submission(record.value)))
-            # A job that was handed over may come after the request to cancel it.
+            # A handed-over job may be read after the request to cancel it.
             if self.copies[unit].replica.jobs[job_id].cancelled:
                 self.send_event(unit, CancelRequested(job_id))
         elif kind == RecordKind.CANCEL:
             self.send_event(unit, CancelRequested(job_id))
 
     def send_event(self, unit: int, event: Event) -> None:
-        """Tell an owned unit's actor; a unit that was lost meanwhile needs no word."""
+        """Send an event to an owned unit's actor; ignore it if the unit isn't owned."""
         owned = self.owned.get(unit)
         if owned is not None:
             with contextlib.suppress(pykka.ActorDeadError):
@@ -196,29 +205,29 @@
     reader: PartitionReader,
     choose_wait: Callable[[], tuple[float, float]],
     stopping: threading.Event,
-    note: Callable[[], None] = lambda: None,
+    on_poll: Callable[[], None] = lambda: None,
 ) -> None:
-    """Follow a tail until `stopping` is set.
+    """Poll a reader until `stopping` is set.
 
     Parameters
     ----------
-    tail : Tail
-        What to follow.
+    reader : PartitionReader
+        Reader to poll.
     choose_wait : callable
         Returns the wait of the next read and the pause before it, in seconds.
     stopping : Event
-        Ends it.
-    note : callable
-        Called after each reading, also after one that failed.
+        Ends the polling.
+    on_poll : callable
+        Called after each read, including failed ones.
     """
     failed = False
     while not stopping.is_set():
         wait_s, pause_s = choose_wait()
         if pause_s and stopping.wait(pause_s):
             return
-        # What was missed is known at once, not after another wait.
+        # After a failure, read without waiting to get the missed records at once.
         found = poll_reader(reader, 0.0 if failed else wait_s)
-        note()
+        on_poll()
         failed = isinstance(found, Err)
         if failed:
             stopping.wait(RETRY_S)
--- a/plantainyard/entry/layout.py
+++ b/plantainyard/entry/layout.py
@@ -1,8 +1,8 @@
-"""How the runners and jobs are divided into units, and who owns each unit.
+"""Division of the runners and jobs into units, and the owner of each unit.
 
-The number of units is chosen once, from the number of runners that are there when the
-system starts for the first time, and stored by a conditional append: of all instances
-that start together one decides, and the others read what it decided.
+The number of units is chosen once, from the number of runners that are present when the
+system starts for the first time. It is stored with a conditional append, so that of all
+instances that start together one decides and the others read its decision.
 """
 
 import json
@@ -29,54 +29,56 @@
     "propose_units",
 ]
 
-UNDIVIDED_RUNNERS = 40
-"""Runners that one unit has at most where there is only one: an owner of 33 takes 0.4
-of a core, of 1.07 that instances of small sites have."""
+MAX_SINGLE_UNIT_RUNNERS = 40
+"""Maximum number of runners of a fleet that forms a single unit. An owner of 33 runners
+takes 0.4 of a core, and instances of small sites have 1.07."""
 
 RUNNERS_PER_UNIT = 48
-"""Runners of a unit where there are several and strong instances: an owner of 44 takes
-0.43 of a core at the most. With 48 instead of 24, and tasks that fit nowhere sent away
-at once, a day of each of two large sites earned a fifth more."""
+"""Number of runners per unit if there are several units and strong instances. An owner
+of 44 runners takes at most 0.43 of a core. With 48 instead of 24, and with tasks that
+fit nowhere handed over at once, each of two large sites earned a fifth more per day."""
 
 RUNNERS_PER_WEAK_UNIT = 24
-"""The same where there are none: their owners have half a core."""
+"""Number of runners per unit if there are no strong instances. Owners have half a core
+then."""
 
-SETTLED_S = 1.0
-"""Time for which the number of runners must have stood still: they all start within
-half a second of each other."""
+SETTLE_S = 1.0
+"""Time in seconds for which the number of runners must not have changed. All runners
+start within half a second of each other."""
 
-RESERVE_SETTLED_S = 2.0
-"""The same for an instance that isn't strong: it decides only where none that is came
-within a second."""
+RESERVE_SETTLE_S = 2.0
+"""Settling time in seconds for an instance that isn't strong. It decides only if no
+strong instance has appeared within a second."""
 
-WAIT_S = 8.0
-"""Longest wait for the first runner; callers come twelve seconds after the start."""
+MAX_WAIT_S = 8.0
+"""Maximum wait in seconds for the first runner. Callers arrive twelve seconds after the
+start."""
 
-POLL_S = 0.25
-"""Time between looks at the runners' entries."""
+POLL_INTERVAL_S = 0.25
+"""Time in seconds between reads of the runners' entries, and before retries."""
 
 
 class Owner(NamedTuple):
-    """Who owns a unit: its fencing token, and ``ip:port`` for other instances."""
+    """Owner of a unit: its fencing token, and its ``ip:port`` for other instances."""
 
     epoch: int
     address: str
 
 
 class Layout:
-    """What is stored of the division into units.
+    """The stored division into units, as last read.
 
     Parameters
     ----------
     log : EventLog
-        For records that can't be read.
+        Log for unreadable records.
 
     Attributes
     ----------
     units : int
         Number of units; zero until it is known.
     owners : dict
-        Owners by unit, as they announced themselves.
+        Announced owners, by unit.
     """
 
     def __init__(self, log: EventLog) -> None:
@@ -84,38 +86,38 @@
         self.units = 0
         self.owners: dict[int, Owner] = {}
 
-    def take(self, record: Record) -> None:
-        """Take in a record; what can't be read is passed over."""
+    def apply_record(self, record: Record) -> None:
+        """Apply a record; log and skip a record that can't be decoded."""
         try:
             if record.key == UNITS_KEY and not self.units:
                 self.units = int(json.loads(record.value)["units"])
             elif record.key.startswith(OWNER_PREFIX):
-                self._take_owner(record)
+                self._apply_owner(record)
         except (ValueError, TypeError, KeyError) as error:
             self.log.write("unreadable_entry", key=record.key, why=repr(error))
 
-    def _take_owner(self, record: Record) -> None:
+    def _apply_owner(self, record: Record) -> None:
         unit = int(record.key.removeprefix(OWNER_PREFIX))
         data = json.loads(record.value)
         self.record_owner(unit, Owner(int(data["epoch"]), str(data["address"])))
 
     def record_owner(self, unit: int, owner: Owner) -> None:
-        """Take note of who owns a unit."""
-        held = self.owners.get(unit)
-        # An owner that was slow to announce itself must not hide its successor.
-        if held is None or owner.epoch >= held.epoch:
+        """Record a unit's owner unless a later owner is known."""
+        known = self.owners.get(unit)
+        # The late announcement of an owner must not replace that of its successor.
+        if known is None or owner.epoch >= known.epoch:
             self.owners[unit] = owner
 
 
-def choose_unit_count(runners: int, most: int, strong: bool) -> int:
+def choose_unit_count(runners: int, max_units: int, strong: bool) -> int:
     """Return the number of units for a number of runners.
 
     Parameters
     ----------
     runners : int
-        How many there are.
-    most : int
-        Partitions that a topic has.
+        Number of runners.
+    max_units : int
+        Number of partitions of a topic, which limits the number of units.
     strong : bool
         Whether there are strong instances.
 
@@ -124,18 +126,19 @@
     >>> [choose_unit_count(runners, 12, True) for runners in (33, 246, 999)]
     [1, 6, 12]
     """
-    if runners <= UNDIVIDED_RUNNERS:
+    if runners <= MAX_SINGLE_UNIT_RUNNERS:
         return 1
     size = RUNNERS_PER_UNIT if strong else RUNNERS_PER_WEAK_UNIT
-    return min(most, -(-runners // size))
+    return min(max_units, -(-runners // size))
 
 
 def find_unit(name: str, units: int) -> int:
-    """Return the unit of a job or a machine by its name.
+    """Return the unit to which a job or a machine belongs by its name.
 
     Notes
     -----
-    All instances and all versions must agree on it: it decides where a job is stored.
+    All instances and all versions must agree on the result, because it determines where
+    a job is stored.
     """
     return zlib.crc32(name.encode()) % units
 
@@ -144,65 +147,66 @@
     store: StoreCalls,
     reader: PartitionReader,
     layout: Layout,
-    most: int,
+    max_units: int,
     strong: bool,
     log: EventLog,
     stopping: threading.Event,
 ) -> None:
-    """Return once the number of units is known, deciding on it where nobody has.
+    """Wait until the number of units is known, and propose it if it hasn't been chosen.
 
     Parameters
     ----------
     store : StoreCalls
         The platform's store.
-    tail : Tail
-        Of the layout; its records reach `layout`.
+    reader : PartitionReader
+        Reader of the layout topic; passes its records to `layout`.
     layout : Layout
-        Filled.
-    most : int
-        Partitions that a topic has.
+        Updated in place.
+    max_units : int
+        Number of partitions of a topic, which limits the number of units.
     strong : bool
-        Whether this instance is strong: others leave the decision to those that are.
+        Whether this instance is strong; other instances leave the decision to strong
+        ones.
     log : EventLog
-        For the decision.
+        Log for the decision.
     stopping : Event
         Ends the wait.
     """
-    settled_s = SETTLED_S if strong else RESERVE_SETTLED_S
-    counted, since, began = 0, read_clock(), read_clock()
+    settle_s = SETTLE_S if strong else RESERVE_SETTLE_S
+    counted, changed_at, began_at = 0, read_clock(), read_clock()
     while not stopping.is_set():
         if isinstance(poll_reader(reader), Err):
-            stopping.wait(POLL_S)
+            stopping.wait(POLL_INTERVAL_S)
             continue
         if layout.units:
             return
         now = read_clock()
         runners = _count_runners(store)
         if runners != counted:
-            counted, since = runners or 0, now
-        settled = counted and now - since >= settled_s
-        if settled or (runners is not None and now - began >= WAIT_S):
-            propose_units(store, choose_unit_count(counted, most, strong), log)
+            counted, changed_at = runners or 0, now
+        settled = counted and now - changed_at >= settle_s
+        if settled or (runners is not None and now - began_at >= MAX_WAIT_S):
+            propose_units(store, choose_unit_count(counted, max_units, strong), log)
         else:
-            stopping.wait(POLL_S)
+            stopping.wait(POLL_INTERVAL_S)
 
 
 def _count_runners(store: StoreCalls) -> int | None:
-    """Return how many usable runners are listed; None if the store doesn't tell."""
-    after, found = "", 0
+    """Return the number of valid runner entries, or None if the store can't be read."""
+    after, count = "", 0
     while True:
         page = store.read_newest(RUNNERS, 0, after, READ_TIMEOUT_S)
         if isinstance(page, Err):
             return None
         records = page.ok_value.records
-        found += sum(decode_entry(r.key, r.value) is not None for r in records)
+        count += sum(decode_entry(r.key, r.value) is not None for r in records)
         after = page.ok_value.last_key
         if not page.ok_value.more:
-            return found
+            return count
 
 
 def propose_units(store: StoreCalls, units: int, log: EventLog) -> None:
-    """Store the number of units if nobody has; whoever was first is read next."""
+    """Store the number of units unless another instance has already stored one."""
     value = json.dumps({"units": units}).encode()
     append = Append(LAYOUT, 0, [Record(UNITS_KEY, value)], at=0)
     answer = store.append(append, READ_TIMEOUT_S)
@@ -213,11 +217,11 @@
 def announce_owner(
     store: StoreCalls, unit: int, owner: Owner, stopping: threading.Event
 ) -> bool:
-    """Tell all instances who owns a unit; return whether that is stored.
+    """Store the owner of a unit for all instances; return whether it was stored.
 
     Notes
     -----
-    A repeat does no harm.
+    The append is idempotent, so it is repeated until it succeeds.
     """
     value = json.dumps(owner._asdict()).encode()
     append = Append(LAYOUT, 0, [Record(f"{OWNER_PREFIX}{unit}", value)])
@@ -225,5 +229,5 @@
         answer = store.append(append, READ_TIMEOUT_S)
         if not isinstance(answer, Err):
             return True
-        stopping.wait(POLL_S)
+        stopping.wait(POLL_INTERVAL_S)
     return False
--- a/plantainyard/entry/loads.py
+++ b/plantainyard/entry/loads.py
@@ -1,4 +1,8 @@
-"""Telling the owners of units how full the others are, and what those have learnt."""
+"""Exchange of load figures and interference estimates between the owners of units.
+
+An owner needs the load of the other units to hand jobs over to them, and benefits from
+what their owners have learned of the interference between tasks.
+"""
 
 from itertools import count
 
@@ -8,32 +12,33 @@
 
 __all__ = ["poll_loads"]
 
-ASK_EVERY_S = 1.0
-"""Time between questions; long-running jobs, which make units uneven, come every few
-seconds. Each owner asks all others: eleven of them make 110 calls a second for it."""
+POLL_INTERVAL_S = 1.0
+"""Time in seconds between polls. Long-running jobs, which make units uneven, arrive
+every few seconds. Each owner polls all others; with eleven owners this makes 110 calls
+per second."""
 
-HARMS_EVERY = 3
-"""Questions about loads for each one about harms: every three seconds, for about a
-kilobyte from each unit."""
+POLLS_PER_INTERFERENCE_POLL = 3
+"""Number of polls of loads for each poll of interference estimates. The estimates are
+fetched every three seconds, about a kilobyte from each unit."""
 
 
 def poll_loads(instance: Instance) -> None:
-    """Ask the owners of all units how full they are while this instance owns one.
+    """Fetch the loads of all units periodically while this instance owns a unit.
 
     Notes
     -----
-    A unit whose owner doesn't answer isn't told of: nothing is handed to it.
+    A unit whose owner doesn't answer is left out, so that no job is handed over to it.
     """
     if len(instance.copies) < 2:
         return
     for number in count():
-        if instance.stopping.wait(ASK_EVERY_S):
+        if instance.stopping.wait(POLL_INTERVAL_S):
             return
         owned = list(instance.owned)
         if not owned:
             continue
-        if number % HARMS_EVERY == 0:
-            _tell_harms(instance, owned)
+        if number % POLLS_PER_INTERFERENCE_POLL == 0:
+            _exchange_interference(instance, owned)
         answers = ((c.unit, fetch_load(instance, c.unit)) for c in instance.copies)
         loads = {unit: load for unit, load in answers if load is not None}
         for unit in owned:
@@ -41,9 +46,9 @@
             instance.send_event(unit, LoadsReceived(others))
 
 
-def _tell_harms(instance: Instance, owned: list[int]) -> None:
+def _exchange_interference(instance: Instance, owned: list[int]) -> None:
     units = [copy.unit for copy in instance.copies]
     answers = {unit: fetch_interference(instance, unit) for unit in units}
     for unit in owned:
-        harms = [told for u, told in answers.items() if u != unit and told]
-        instance.send_event(unit, InterferenceReceived(harms))
+        estimates = [data for u, data in answers.items() if u != unit and data]
+        instance.send_event(unit, InterferenceReceived(estimates))
--- a/plantainyard/entry/lookups.py
+++ b/plantainyard/entry/lookups.py
@@ -1,4 +1,4 @@
-"""Finding jobs and counts: at the units' owners, or in the store for want of one."""
+"""Lookup of jobs and pending counts at the units' owners, or else in the store."""
 
 from result import Err, Ok, Result
 
@@ -16,64 +16,66 @@
 
 __all__ = ["count_pending_in", "find_job"]
 
-LEAST_LINK_MBPS = 100.0
-"""Bandwidth from which an instance reads a unit that it doesn't own: a megabyte takes a
-tenth of a second then."""
+MIN_READ_LINK_MBPS = 100.0
+"""Bandwidth in megabits per second from which an instance reads a unit that it doesn't
+own. A megabyte then takes a tenth of a second."""
 
 
 def find_job(instance: Instance, job_id: str) -> Result[tuple[int, JobLookup], str]:
-    """Return what is known of a job, and in which unit it is now.
+    """Return the state of a job, and the unit that it is in now.
 
     Notes
     -----
-    Guards against an accepted job that is told to be unknown: the unit that it was
-    handed to may not have its record yet. Until then the word of the one before holds.
+    Guards against reporting an accepted job as unknown. The unit to which it was handed
+    over may not have its record yet; until then the previous unit's answer is used.
     """
     unit = instance.find_copy(job_id).unit
     found = JobLookup("")
     for _ in range(MOST_HOPS + 1):
-        told = fetch_job(instance, unit, job_id)
-        if told is None:
-            told = _read_stored(instance, instance.copies[unit], job_id)
-        if told is None:
+        lookup = fetch_job(instance, unit, job_id)
+        if lookup is None:
+            lookup = _look_up_stored(instance, instance.copies[unit], job_id)
+        if lookup is None:
             return Err("the store can't be reached")
-        found = told if told.state else found
-        if told.moved is None:
+        found = lookup if lookup.state else found
+        if lookup.moved is None:
             break
-        unit = told.moved
+        unit = lookup.moved
     return Ok((unit, found))
 
 
-def _read_stored(instance: Instance, copy: UnitCopy, job_id: str) -> JobLookup | None:
-    """Return what the store says of a job, for when its unit has no owner."""
-    if _refresh_cheaply(instance, copy):
+def _look_up_stored(
+    instance: Instance, copy: UnitCopy, job_id: str
+) -> JobLookup | None:
+    """Return the stored state of a job whose unit has no owner, or None if unknown."""
+    if _refresh_if_affordable(instance, copy):
         return look_up_job(copy, job_id)
-    # Without the store an old copy can't tell that there is no such job.
+    # A stale copy doesn't prove that there is no such job.
     found = look_up_job(copy, job_id)
     return found if found.state else None
 
 
-def _refresh_cheaply(instance: Instance, copy: UnitCopy) -> bool:
-    """Read all that is new of a unit, where that is no burden; tell whether it was.
+def _refresh_if_affordable(instance: Instance, copy: UnitCopy) -> bool:
+    """Refresh a unit's copy if that is affordable; return whether it is up to date.
 
     Notes
     -----
-    Guards against instances that read all units at once while owners are away, as after
-    a loss of power: at a megabyte a unit for each instance, the link between regions
-    is taken for ten seconds, the renewals of those who are to own the units time out
-    on it, and nothing is commanded meanwhile. Where there are several units only
-    their owners read them, and callers are told to come back.
+    Guards against all instances reading all units at once while units have no owners,
+    as after a power loss. At a megabyte per unit and instance, the link between regions
+    would be saturated for ten seconds, the renewals of the future owners would time out
+    on it, and nothing would be commanded meanwhile. If there are several units, only
+    their owners read them, and callers are asked to retry.
     """
-    alone = len(instance.copies) == 1
-    able = instance.settings.link_mbps >= LEAST_LINK_MBPS
-    return alone and able and refresh_copy(copy)
+    single = len(instance.copies) == 1
+    fast = instance.settings.link_mbps >= MIN_READ_LINK_MBPS
+    return single and fast and refresh_copy(copy)
 
 
 def count_pending_in(
     instance: Instance, copy: UnitCopy, queue: str
 ) -> PendingCount | None:
-    """Return how many jobs of a queue wait in a unit; None where nobody can tell."""
-    counted = fetch_pending(instance, copy.unit, queue)
-    if counted is None and _refresh_cheaply(instance, copy):
-        counted = count_pending_in_copy(copy, queue)
-    return counted
+    """Return the pending count of a queue in a unit, or None if it isn't known."""
+    count = fetch_pending(instance, copy.unit, queue)
+    if count is None and _refresh_if_affordable(instance, copy):
+        count = count_pending_in_copy(copy, queue)
+    return count
--- a/plantainyard/entry/ownership_manager.py
+++ b/plantainyard/entry/ownership_manager.py
@@ -1,4 +1,9 @@
-"""Claiming units, keeping them, and giving them up."""
+"""Claiming units, serving them as their owner, and releasing them.
+
+Each claimed unit is taken over and served on a thread of its own. It is released when
+the layout names a later owner, when the store or a runner refuses its epoch, or when
+the store can't be reached for too long.
+"""
 
 import threading
 import traceback
@@ -36,87 +41,91 @@
 __all__ = ["MAX_UNCONFIRMED_S", "OwnershipManager"]
 
 MAX_UNCONFIRMED_S = 12.0
-"""How long an owner that can't reach the store goes on noting ends and stopping what
-is cancelled: the store may be down for everyone, and then nobody could take over. By
-then every lease that it could grant has lapsed."""
+"""Time in seconds for which an owner that can't reach the store keeps its units. The
+store may be down for all instances, in which case none could take over; meanwhile the
+owner goes on recording ends of runs and stopping cancelled jobs. After this time every
+lease that the owner could have granted has expired."""
 
-MOST_ASKED = 4
-"""Owners asked at once; a candidate is dealt a few units at a time."""
+MAX_CONCURRENT_QUERIES = 4
+"""Maximum number of owners queried concurrently; a candidate is assigned a few units at
+a time."""
 
-RUNNERS_EVERY_S = 0.25
-"""Time between the owner's reads of runners' entries, which nearly all change every
-second: waiting for each would cost thirty calls a second."""
+RUNNERS_POLL_S = 0.25
+"""Time in seconds between an owner's reads of the runners' entries. Nearly all of them
+change every second, so that waiting for each change would cost thirty calls per
+second."""
 
 
 class OwnershipManager:
-    """The ownership of all units, as far as this instance has it.
+    """Manages the units that this instance owns or is taking over.
 
     Parameters
     ----------
     instance : Instance
-        Whose `claims` and `owned` are kept up to date.
+        The instance whose `claims` and `owned` are kept up to date.
 
     Attributes
     ----------
-    worlds : dict
-        What the owners of units work with, by unit.
-    generation, changed_at : int, float
-        The group's, and when that was first seen.
+    contexts : dict
+        The context of each owned unit, by unit.
+    generation, generation_changed_at : int, float
+        The group's generation, and the time at which it was first observed.
     moved_at : float
-        When a unit was last taken from an owner at work.
-    seen : list of Seen
-        What was seen of the owners of units that the group has dealt to this instance.
+        Time at which a unit was last taken from a running owner.
+    observations : list of OwnerObservation
+        By unit: observations of the owners of units assigned to this instance.
     """
 
     def __init__(self, instance: Instance) -> None:
         self.instance = instance
         self.contexts: dict[int, UnitContext] = {}
         self.generation = 0
-        self.changed_at = 0.0
+        self.generation_changed_at = 0.0
         self.moved_at = read_clock()
-        self.seen = [OwnerObservation() for _ in instance.copies]
-        self._owning = [threading.Lock() for _ in instance.copies]
-        self._asking = ThreadPoolExecutor(MOST_ASKED, "ask")
+        self.observations = [OwnerObservation() for _ in instance.copies]
+        self._unit_locks = [threading.Lock() for _ in instance.copies]
+        self._query_pool = ThreadPoolExecutor(MAX_CONCURRENT_QUERIES, "ask")
 
-    def take(self, ownership: GroupAssignment) -> None:
-        """Claim those units that the group has dealt and nobody else owns."""
+    def apply_assignment(self, assignment: GroupAssignment) -> None:
+        """Claim those of the assigned units that `decide_claim` allows to claim."""
         now = read_clock()
-        if ownership.generation != self.generation:
-            self.generation, self.changed_at = ownership.generation, now
-        dealt = sorted(ownership.units - self.instance.claims.keys())
-        for unit in {copy.unit for copy in self.instance.copies}.difference(dealt):
-            self.seen[unit] = OwnerObservation()
-        replies = self._asking.map(
-            lambda unit: fetch_owner_status(self.instance, unit), dealt
+        if assignment.generation != self.generation:
+            self.generation, self.generation_changed_at = assignment.generation, now
+        assigned = sorted(assignment.units - self.instance.claims.keys())
+        for unit in {copy.unit for copy in self.instance.copies}.difference(assigned):
+            self.observations[unit] = OwnerObservation()
+        replies = self._query_pool.map(
+            lambda unit: fetch_owner_status(self.instance, unit), assigned
         )
-        for unit, reply in zip(dealt, replies, strict=True):
-            candidate = self._describe_candidate(ownership)
-            why = decide_claim(self.seen[unit], reply, candidate)
+        for unit, reply in zip(assigned, replies, strict=True):
+            candidate = self._describe_candidate(assignment)
+            why = decide_claim(self.observations[unit], reply, candidate)
             if why:
                 self._claim(unit, why)
 
-    def _describe_candidate(self, ownership: GroupAssignment) -> Candidate:
+    def _describe_candidate(self, assignment: GroupAssignment) -> Candidate:
         now = read_clock()
         return Candidate(
             now,
             units=len(self.instance.claims),
             reserve=not is_strong(self.instance.settings),
-            group_unchanged_s=now - self.changed_at,
-            store_answered_s=ownership.store_answered_s,
+            group_unchanged_s=now - self.generation_changed_at,
+            store_answered_s=assignment.store_answered_s,
             since_move_s=now - self.moved_at,
         )
 
     def _claim(self, unit: int, why: str) -> None:
-        """Begin to take a unit over; its epoch must be later than the last one.
+        """Start taking over a unit, or rejoin the group if that needs a later epoch.
 
         Notes
         -----
-        Guards against a unit that nobody can own: this instance has lost it under the
-        generation that still deals it the unit, whose records the store refuses now.
+        Guards against a unit that no instance can own. If this instance has lost the
+        unit in the generation that still assigns it the unit, the store refuses its
+        records, so it needs a later generation.
         """
         instance, epoch = self.instance, self.generation
-        held = instance.layout.owners.get(unit)
-        if held is not None and held.epoch >= epoch:
+        owner = instance.layout.owners.get(unit)
+        if owner is not None and owner.epoch >= epoch:
             instance.rejoin_needed.set()
             return
         if why in (ClaimReason.SHARE, ClaimReason.RESERVE):
@@ -124,65 +133,69 @@
         instance.claims[unit] = Claim(epoch, read_clock())
         instance.log.write("owner_named", unit=unit, epoch=epoch, why=why)
         arguments = (instance.copies[unit], epoch)
-        threading.Thread(target=self._own_or_fail, args=arguments, daemon=True).start()
+        threading.Thread(
+            target=self._own_or_release, args=arguments, daemon=True
+        ).start()
 
-    def confirm(self) -> None:
-        """Take in what the layout says of this instance's units.
+    def apply_layout(self) -> None:
+        """Confirm or release this instance's units according to the layout.
 
         Notes
         -----
-        A successor announces itself before it counts what its predecessor may have
-        left at work. So a reading of the layout that shows none proves that there was
-        none when it began, and what is commanded until then is in time.
+        A successor announces itself before it determines which runs its predecessor may
+        have left running. A read of the layout that shows no successor therefore proves
+        that there was none when the read began, and that commands sent until then were
+        in time.
 
-        An owner that can't reach the store keeps its units for a while: the store may
-        be down for everyone, and then nobody could take over.
+        An owner that can't reach the store keeps its units for `MAX_UNCONFIRMED_S`,
+        because the store may be down for all instances.
         """
         instance = self.instance
         read_at = instance.layout_reader.synced_at
         for unit, claim in list(instance.claims.items()):
-            held = instance.layout.owners.get(unit)
-            if held is not None and held.epoch > claim.epoch:
-                instance.log.write("owner_succeeded", unit=unit, epoch=held.epoch)
-                self.give_up(unit)
-            elif held is not None and held.epoch == claim.epoch:
+            owner = instance.layout.owners.get(unit)
+            if owner is not None and owner.epoch > claim.epoch:
+                instance.log.write("owner_succeeded", unit=unit, epoch=owner.epoch)
+                self.release(unit)
+            elif owner is not None and owner.epoch == claim.epoch:
                 claim.confirmed_at = max(claim.confirmed_at, read_at)
                 instance.send_event(unit, OwnershipRenewed(read_at))
             if read_clock() - claim.confirmed_at > MAX_UNCONFIRMED_S:
-                self.give_up(unit)
+                self.release(unit)
 
-    def give_up(self, unit: int) -> None:
-        """End to own a unit at once."""
+    def release(self, unit: int) -> None:
+        """Stop owning a unit at once."""
         self.instance.claims.pop(unit, None)
         context = self.contexts.pop(unit, None)
         if context is not None:
             context.stopping.set()
 
     def _step_down(self, unit: int, epoch: int) -> None:
-        """End an ownership that was refused.
+        """Release a unit whose epoch was refused.
 
         Notes
         -----
-        Guards against the end of a later ownership of this instance: answers to calls
-        of the one before may come seconds after it.
+        Guards against ending a later ownership of this instance: answers to calls of an
+        earlier ownership may arrive seconds after its end.
         """
         claim = self.instance.claims.get(unit)
         if claim is not None and claim.epoch == epoch:
-            self.give_up(unit)
+            self.release(unit)
 
-    def give_up_all(self) -> None:
-        """End to own anything."""
+    def release_all(self) -> None:
+        """Stop owning any unit."""
         for copy in self.instance.copies:
-            self.give_up(copy.unit)
-        self._asking.shutdown(wait=False, cancel_futures=True)
+            self.release(copy.unit)
+        self._query_pool.shutdown(wait=False, cancel_futures=True)
 
-    def _own_or_fail(self, copy: UnitCopy, epoch: int) -> None:
-        """Own a unit, and give it up after a fault of the program.
+    def _own_or_release(self, copy: UnitCopy, epoch: int) -> None:
+        """Own a unit, and release it on an unexpected exception.
 
         Notes
         -----
-        Guards against a unit that nobody can own: the thread has ended, and its claim
-        keeps this instance from claiming the unit anew and others from finding it gone.
+        Guards against a unit that no instance can own: the thread would have ended, and
+        its claim would keep this instance from claiming the unit anew and other
+        instances from finding it vacant.
         """
         try:
             self._own(copy, epoch)
@@ -192,9 +205,9 @@
             self._step_down(copy.unit, epoch)
 
     def _own(self, copy: UnitCopy, epoch: int) -> None:
-        """Own a unit until a successor says otherwise."""
+        """Take over a unit and serve it until the claim ends."""
         unit, instance = copy.unit, self.instance
-        with self._owning[unit]:
+        with self._unit_locks[unit]:
             context = UnitContext(
                 unit,
                 epoch,
@@ -243,7 +256,7 @@
         return claim is not None and claim.epoch == epoch and not stopping
 
     def _catch_up(self, copy: UnitCopy, epoch: int) -> bool:
-        """Read all that is stored; what comes later is told to the actor."""
+        """Read all stored records; return False if the claim ends before that."""
         while not refresh_copy(copy):
             if not self._is_claimed(copy.unit, epoch):
                 return False
@@ -258,9 +271,9 @@
             make_entry_handler(instance, unit, actor), instance.log
         )
         reader = PartitionReader(
-            instance.store, RUNNERS, 0, directory.take, directory.begin
+            instance.store, RUNNERS, 0, directory.apply_record, directory.begin_reload
         )
         while self._is_claimed(unit, epoch):
             if not isinstance(poll_reader(reader), Err):
-                directory.finish()
-            instance.stopping.wait(RUNNERS_EVERY_S)
+                directory.finish_reload()
+            instance.stopping.wait(RUNNERS_POLL_S)
--- a/plantainyard/entry/process.py
+++ b/plantainyard/entry/process.py
@@ -160,7 +160,9 @@
     def choose_wait() -> tuple[float, float]:
         return (CONFIRM_POLL_S if instance.claims else LAYOUT_POLL_S), 0.0
 
-    run_reader(instance.layout_reader, choose_wait, instance.stopping, owners.confirm)
+    run_reader(
+        instance.layout_reader, choose_wait, instance.stopping, owners.apply_layout
+    )
 
 
 def _run_units(instance: Instance, draining: threading.Event) -> None:
@@ -186,13 +188,13 @@
         threading.Thread(target=target, args=arguments, daemon=True).start()
     follow_group(
         instance,
-        owners.take,
+        owners.apply_assignment,
         lambda unit: fetch_owner_status(instance, unit).status is not None,
         draining,
     )
     # Units are commanded until others have claimed them.
     instance.stopping.wait()
-    owners.give_up_all()
+    owners.release_all()
 
 
 @contextlib.contextmanager
--- a/plantainyard/entry/readers.py
+++ b/plantainyard/entry/readers.py
@@ -1,4 +1,4 @@
-"""Following the newest records of a keyed topic."""
+"""Incremental reading of the records of a keyed topic's partition."""
 
 import threading
 from collections.abc import Callable
@@ -12,30 +12,42 @@
 __all__ = ["READ_TIMEOUT_S", "PartitionReader", "poll_reader", "read_ahead"]
 
 READ_TIMEOUT_S = 1.0
-"""Longest wait for the store beyond the wait that was asked for; its usual answer
-takes under 30 ms, and a connection that has gone silent shows only by this."""
+"""Timeout in seconds of a call to the store, in addition to the wait that the call asks
+for. The store usually answers within 30 ms; a connection that has stopped responding is
+detected only by this timeout."""
 
 
 MAX_PAGE_TIMEOUT_S = 8.0
-"""Longest wait for a page of newest records: a megabyte over five megabits a second
-takes 1.7 s, and other calls share the link."""
+"""Maximum timeout in seconds of a page of newest records. A megabyte takes 1.7 s over a
+link of five megabits per second, and other calls share the link."""
 
 
 class PartitionReader:
-    """Where the reading of one partition stands.
+    """Reader of one partition that keeps its position between reads.
 
     Parameters
     ----------
     store : StoreCalls
         The platform's store.
     topic : str
-        A keyed topic.
+        Name of a keyed topic.
     partition : int
-        Its partition.
-    take : callable
-        Called with each record, in order; the newest of a key counts.
-    reset : callable, optional
-        Called before all newest records are read again.
+        Partition of the topic.
+    on_record : callable
+        Called with each record, in order; a later record of a key replaces the earlier.
+    on_reload : callable, optional
+        Called before the newest records of all keys are read again.
+
+    Attributes
+    ----------
+    offset : int or None
+        Offset of the next read; None if the newest records have to be read first.
+    synced_at : float
+        All records stored before this time have been read.
+    page_timeout_s : float
+        Timeout of the next page of newest records; doubles with each failure.
+    lock : Lock
+        Held during a read.
     """
 
     def __init__(
@@ -43,14 +55,14 @@
         store: StoreCalls,
         topic: str,
         partition: int,
-        take: Callable[[Record], None],
-        reset: Callable[[], None] | None = None,
+        on_record: Callable[[Record], None],
+        on_reload: Callable[[], None] | None = None,
     ) -> None:
         self.store = store
         self.topic = topic
         self.partition = partition
-        self.take = take
-        self.reset = reset
+        self.on_record = on_record
+        self.on_reload = on_reload
         self.offset: int | None = None
         self.synced_at = 0.0
         self.page_timeout_s = READ_TIMEOUT_S
@@ -58,29 +70,30 @@
 
 
 def poll_reader(reader: PartitionReader, wait_s: float = 0.0) -> Result[int, CallError]:
-    """Read all that is new, waiting up to `wait_s` for the first record.
+    """Read all new records, waiting up to `wait_s` for the first one.
 
     Returns
     -------
     Result[int, CallError]
-        The number of records taken. After success `tail.synced_at` is a time before
-        which everything stored has been taken.
+        The number of records read. On success, all records stored before
+        `reader.synced_at` have been read.
 
     Notes
     -----
-    Guards against a new owner that starts tasks anew beside runs that it doesn't know
-    of: where history was dropped since the last reading, the newest records are read
-    at once, and success never means less than all.
+    Guards against a new owner that starts tasks a second time beside runs that it
+    doesn't know of. If the store has dropped history since the last read, the newest
+    records are read within the same call, so that success always means that everything
+    has been read.
     """
     with reader.lock:
         began = read_clock()
-        taken = 0
+        count = 0
         while True:
             if reader.offset is None:
                 loaded = _load_newest(reader)
                 if isinstance(loaded, Err):
                     return loaded
-                taken += loaded.ok_value
+                count += loaded.ok_value
                 wait_s = 0.0
             assert reader.offset is not None
             found = reader.store.read(
@@ -88,38 +101,40 @@
             )
             if isinstance(found, Err):
                 return found
-            part = found.ok_value
-            if part.dropped:
-                # History up to a later offset is gone; the newest records are not.
+            batch = found.ok_value
+            if batch.dropped:
+                # The store has dropped history; the newest record of each key is kept.
                 reader.offset = None
                 continue
-            for record in part.records:
-                reader.take(record)
-            taken += len(part.records)
-            reader.offset = part.next_offset
-            if part.next_offset >= part.end:
+            for record in batch.records:
+                reader.on_record(record)
+            count += len(batch.records)
+            reader.offset = batch.next_offset
+            if batch.next_offset >= batch.end:
                 reader.synced_at = began
-                return Ok(taken)
+                return Ok(count)
             wait_s = 0.0
 
 
 def _load_newest(reader: PartitionReader) -> Result[int, CallError]:
-    """Take the newest record of each key, then follow from where that began.
+    """Read the newest record of each key, and set the offset to continue from.
 
     Notes
     -----
-    Guards against a takeover that never ends: on a narrow link a page takes longer than
-    other reads may, and given up after a second it was begun anew for half a minute.
-    The wait doubles with each failure; it begins short for a connection that is silent.
-
-    Pages are no snapshot: a record may change between two of them. The reading goes
-    on from the end that the first page named, so each change is read again after.
+    Guards against a takeover that doesn't finish. Over a narrow link a page takes
+    longer than other reads may take; with a timeout of one second it was aborted and
+    restarted for half a minute. The timeout therefore doubles with each failure. It starts short
+    in case the connection has stopped responding.
+
+    The pages aren't a consistent snapshot, because a record may change between two of
+    them. Reading continues from the end offset that the first page reports, so that
+    each such change is read again.
     """
-    if reader.reset is not None:
-        reader.reset()
+    if reader.on_reload is not None:
+        reader.on_reload()
     after = ""
     start: int | None = None
-    taken = 0
+    count = 0
     while True:
         found = reader.store.read_newest(
             reader.topic, reader.partition, after, reader.page_timeout_s
@@ -131,23 +146,23 @@
         if start is None:
             start = page.end
         for record in page.records:
-            reader.take(record)
-        taken += len(page.records)
+            reader.on_record(record)
+        count += len(page.records)
         after = page.last_key
         if not page.more:
             reader.page_timeout_s = READ_TIMEOUT_S
             reader.offset = start
-            return Ok(taken)
+            return Ok(count)
 
 
 def read_ahead(reader: PartitionReader) -> Result[int, CallError]:
-    """Take what is stored beyond the tail's place without moving it.
+    """Read the records beyond the reader's offset without advancing it.
 
     Notes
     -----
-    For an answer that must count all that was stored before the call, while another
-    thread waits on the same tail. Records are taken twice, which does no harm where
-    the newest of a key counts and each is written once.
+    Serves answers that must include all records stored before the call while another
+    thread is waiting in a read on the same reader. Records are passed on twice, which
+    has no effect where only a key's newest record counts and each key is written once.
     """
     offset = reader.offset
     if offset is None:
@@ -160,5 +175,5 @@
     if found.ok_value.dropped:
         return poll_reader(reader)
     for record in found.ok_value.records:
-        reader.take(record)
+        reader.on_record(record)
     return Ok(len(found.ok_value.records))
--- a/plantainyard/entry/tests/harness.py
+++ b/plantainyard/entry/tests/harness.py
@@ -84,7 +84,7 @@
 def poll_layout(owners: OwnershipManager) -> None:
     """Let an instance read the layout once, as its follower does."""
     assert poll_reader(owners.instance.layout_reader).is_ok()
-    owners.confirm()
+    owners.apply_layout()
 
 
 def deal_until(
@@ -96,7 +96,7 @@
     """Tell owners again and again what the group has dealt, until a check holds."""
 
     def is_true() -> bool:
-        owners.take(GroupAssignment(epoch, frozenset(units)))
+        owners.apply_assignment(GroupAssignment(epoch, frozenset(units)))
         return check()
 
     wait_until(is_true)
--- a/plantainyard/entry/tests/test_claims.py
+++ b/plantainyard/entry/tests/test_claims.py
@@ -167,7 +167,7 @@
         poll_layout(owners)
         confirmed_at = claim.confirmed_at
         assert confirmed_at == instance.layout_reader.synced_at > 0.0
-        owners.confirm()
+        owners.apply_layout()
         assert claim.confirmed_at == confirmed_at
 
 
@@ -179,7 +179,7 @@
         owners = own_units(instance, 5, 0)
         instance.claims[0].confirmed_at = read_clock() - MAX_UNCONFIRMED_S - 1.0
         instance.layout_reader.synced_at = 0.0
-        owners.confirm()
+        owners.apply_layout()
         assert not instance.claims
 
 
@@ -211,7 +211,7 @@
     store = StoreState()
     with run_instance(store) as instance:
         owners = own_units(instance, 5, 0)
-        owners.take(GroupAssignment(6, frozenset()))
+        owners.apply_assignment(GroupAssignment(6, frozenset()))
         assert instance.claims[0].epoch == 5 and 0 in instance.owned
 
 
@@ -222,7 +222,7 @@
     with run_instance(store) as instance:
         owners = own_units(instance, 5, 0)
         earlier = owners.contexts[0]
-        owners.give_up(0)
+        owners.release(0)
         deal_until(owners, 6, {0}, lambda: 0 in owners.contexts)
         earlier.step_down()
         assert instance.claims[0].epoch == 6
--- a/plantainyard/entry/tests/test_ownership_manager.py
+++ b/plantainyard/entry/tests/test_ownership_manager.py
@@ -206,7 +206,7 @@
             if instance.rejoin_needed.is_set():
                 instance.rejoin_needed.clear()
                 epoch = next(epochs)
-            owners.take(GroupAssignment(epoch, frozenset({0})))
+            owners.apply_assignment(GroupAssignment(epoch, frozenset({0})))
             return bool(instance.owned)
 
         wait_until(is_owned)
--- a/plantainyard/entry/tests/test_units.py
+++ b/plantainyard/entry/tests/test_units.py
@@ -101,8 +101,8 @@
     instance = start_bare_instance("127.0.0.1:1")
     for epoch in (7, 5):
         value = json.dumps({"epoch": epoch, "address": f"a:{epoch}"}).encode()
-        instance.layout.take(Record("owner/0", value))
-    instance.layout.take(Record("owner/0", b"{"))
+        instance.layout.apply_record(Record("owner/0", value))
+    instance.layout.apply_record(Record("owner/0", b"{"))
     assert instance.layout.owners[0].address == "a:7"
 
 
@@ -110,8 +110,8 @@
     # An instance of another version has written an owner's record in another form. Jobs
     # are looked for at the owner before, and nothing tells why.
     instance = start_bare_instance("127.0.0.1:1")
-    instance.layout.take(Record("owner/0", b"{"))
-    instance.layout.take(Record("owner/x", b"{}"))
+    instance.layout.apply_record(Record("owner/0", b"{"))
+    instance.layout.apply_record(Record("owner/x", b"{}"))
     text = generate_latest(instance.meters.registry).decode()
     assert 'plantainyard_events_total{event="unreadable_entry"} 2.0' in text
 
