--- a/plantainyard/dispatch/reports.py
+++ b/plantainyard/dispatch/reports.py
@@ -17,7 +17,7 @@
 from plantainyard.dispatch.samples import read_sample
 from plantainyard.dispatch.state import Dispatcher
 from plantainyard.platform.entries import RunnerEntry
-from plantainyard.platform.runners import Held, HeldRun
+from plantainyard.platform.runners import ReportedRun, RunnerReport
 
 __all__ = [
     "ask_runners",
@@ -97,7 +97,10 @@
         return
     runner.hold_out = False
     held = event.report
-    if held.born_ms is not None and held.born_ms != runner.entry.born_ms:
+    if (
+        held.started_at_ms is not None
+        and held.started_at_ms != runner.entry.started_at_ms
+    ):
         _await_new_entry(state, runner, now)
         return
     record_clock(runner, held.clock_ms, now)
@@ -116,18 +119,20 @@
     _adjust_pace(state, runner, held, now)
 
 
-def _take_ends(state: Dispatcher, runner: Runner, held: Held, now: float) -> None:
+def _take_ends(
+    state: Dispatcher, runner: Runner, held: RunnerReport, now: float
+) -> None:
     for end in sorted(held.ended):
         if end.number <= runner.seen:
             continue
         runner.seen = end.number
         task = runner.tasks.get(end.task)
         if task is not None and task.run == end.run:
-            runs.end_run(state, task, runner, end.how, end.checkpoint, now)
+            runs.end_run(state, task, runner, end.outcome, end.checkpoint, now)
 
 
 def _take_row(
-    state: Dispatcher, runner: Runner, row: HeldRun, sent_at: float, now: float
+    state: Dispatcher, runner: Runner, row: ReportedRun, sent_at: float, now: float
 ) -> bool:
     """Take in one run that is there; return whether it is one of the unit's own."""
     task = runner.tasks.get(row.task)
@@ -243,7 +248,9 @@
     )
 
 
-def _adjust_pace(state: Dispatcher, runner: Runner, held: Held, now: float) -> None:
+def _adjust_pace(
+    state: Dispatcher, runner: Runner, held: RunnerReport, now: float
+) -> None:
     """Learn from the report, and slow what harms the runner's serving tasks."""
     if not has_serving_tasks(runner):
         runner.bases = {}
--- a/plantainyard/entry/group.py
+++ b/plantainyard/entry/group.py
@@ -17,7 +17,7 @@
 )
 from plantainyard.entry.topics import GROUP, PROGRESS
 from plantainyard.errors import CallError
-from plantainyard.platform.store import Holding
+from plantainyard.platform.store import PartitionOwner
 
 __all__ = ["GroupAssignment", "GroupMember", "follow_group", "make_member_name"]
 
@@ -170,13 +170,13 @@
     )
     reserve = ReserveState(read_clock())
 
-    def read_holdings() -> Result[list[Holding], CallError]:
-        return instance.store.read_holdings(GROUP, JOIN_TIMEOUT_S)
+    def read_partition_owners() -> Result[list[PartitionOwner], CallError]:
+        return instance.store.read_partition_owners(GROUP, JOIN_TIMEOUT_S)
 
     def is_needed() -> bool:
         units = instance.layout.units
         return strong or decide_membership(
-            reserve, read_holdings, owner_answers, units, read_clock()
+            reserve, read_partition_owners, owner_answers, units, read_clock()
         )
 
     while not stopping.is_set():
