--- a/plantainyard/dispatch/pacing.py
+++ b/plantainyard/dispatch/pacing.py
@@ -119,7 +119,7 @@
 
 
 def update_headroom(runner: Runner, interference: InterferenceModel) -> None:
-    """Update the headroom that the current baselines leave for placing backfill work."""
+    """Update the headroom that current baselines leave for placing backfill work."""
     runner.loads = _sum_loads(runner)
     runner.rooms = {
         serving: compute_headroom(baseline, TARGET_MARGIN)
--- a/plantainyard/dispatch/weights.py
+++ b/plantainyard/dispatch/weights.py
@@ -174,10 +174,8 @@
                 continue
             add_images(estimate, {image: 1.0})
             estimate.weights[image] = weight
-            for other in estimate.covariance:
-                estimate.covariance[other][image] = estimate.covariance[image][
-                    other
-                ] = 0.0
+            for i in estimate.covariance:
+                estimate.covariance[i][image] = estimate.covariance[image][i] = 0.0
             estimate.covariance[image][image] = MERGED_VARIANCE
 
 
