--- a/plantainyard/dispatch/ranking.py
+++ b/plantainyard/dispatch/ranking.py
@@ -1,8 +1,8 @@
-"""Which of the runners where a task may start is the best.
+"""Ranking the runners where a task may start.
 
-The load that it answers: runners that fail or stand still draw new work because they
-are always free; and steps of dozens of tasks, each of which would look through all
-runners anew while an assignment changes only one of them.
+Guards against two failures: runners that fail or stall would attract new work, because
+they always have free capacity; and for steps of dozens of tasks, each task would
+examine all runners again although an assignment changes only one of them.
 """
 
 from collections.abc import Iterable
@@ -32,53 +32,53 @@
 ]
 
 RACK_BONUS = 1_000.0
-"""Weight of the preferred rack: elsewhere a task takes several times as long, which
-no difference in load makes up for."""
+"""Score of the preferred rack: elsewhere a task takes several times as long, which no
+difference in load makes up for."""
 
 SPEED_GAIN = 100.0
-"""Weight of full speed against a stop."""
+"""Score of full speed over no progress at all."""
 
 UNUSED_CPU_GAIN = 20.0
-"""Weight of a runner whose processors are all unused against one where none are."""
+"""Score of a runner whose processors are all unused over one where none are."""
 
 SAME_IMAGE_BONUS = 100.0
-"""Weight of a runner whose serving tasks all have the image of the one to be placed.
-Images differ in what harms them; kept apart from each other, each backfilling image
+"""Score of a runner whose serving tasks all have the image of the task to be placed.
+Images differ in what interferes with them; if they are kept apart, each backfill image
 finds runners where nothing is sensitive to it."""
 
 SAME_JOB_BONUS = 50.0
-"""Weight of a runner that has tasks of the same job: their load swings together, and
-while it is low backfilling work finds a whole runner."""
+"""Score of a runner that has tasks of the same job: their load swings together, and
+while it is low, backfill work can use a whole runner."""
 
 OTHER_IMAGE_COST = 200.0
-"""Weight of each other serving image on the runner."""
+"""Cost of each other serving image on the runner."""
 
 TOLERANCE_COST = 40.0
-"""Weight of a runner where all backfilling images are harmless against one where none
-is: work that many runners can take leaves the tolerant ones to work that can't go
+"""Cost of a runner where all backfill images are harmless relative to one where none
+are: work that many runners can take leaves the tolerant ones to work that can't run
 elsewhere."""
 
 HARMLESS_WEIGHT = 0.7
-"""Weight of a pair below which it counts as harmless: a task of a tenth of the runner
-stretches the serving tasks' work by 7 %."""
+"""Weight of a pair below which it counts as harmless: a task that uses a tenth of the
+runner stretches the serving tasks' work by 7 %."""
 
 FAILURE_COST = 50.0
-"""Weight of a failure: a runner that failed something lately is a worse bet than a
-fuller one."""
+"""Cost of a recent failure: a runner that failed lately is a greater risk than a fuller
+one."""
 
 
 @dataclass(slots=True)
 class Place:
-    """A runner where a step's next task may start.
+    """A runner where the next task of a step may start.
 
     Attributes
     ----------
     runner : Runner
         The runner.
     speed : float
-        Share of full speed that a backfilling task would get there; one for others.
+        Share of full speed that a backfill task would get there; 1 for other tasks.
     score : float or None
-        What speaks for it; None until it was asked for.
+        The higher the better; None until it is needed.
     """
 
     runner: Runner
@@ -93,13 +93,13 @@
     Attributes
     ----------
     places : dict
-        By runner's life, in the order in which the runners were given.
-    seen : int
-        How many of the assignments of this pass they take into account.
+        By the runner's incarnation, in the order in which the runners were given.
+    assignments_seen : int
+        Number of this pass's assignments that are taken into account.
     """
 
     places: dict[str, Place]
-    seen: int = 0
+    assignments_seen: int = 0
 
 
 def choose_runner(
@@ -110,7 +110,7 @@
     now: float,
     idle: bool = False,
 ) -> Runner | None:
-    """Return the runner where `task` starts, or None if none can take it now.
+    """Return the best runner for a task, or None if it should wait.
 
     Parameters
     ----------
@@ -119,9 +119,9 @@
     runners : iterable of Runner
         Runners of the job's service.
     limits : Limits
-        For the cost of being away from the data.
+        Provides the slowdown away from the preferred rack.
     interference : InterferenceModel
-        What is learnt of interference.
+        The weights of pairs of images.
     now : float
         The dispatcher's clock.
     idle : bool
@@ -138,9 +138,9 @@
 
     Notes
     -----
-    The cost is one pass over the runners. What is found holds for all tasks of the step
-    that have run before, or for all that haven't, until something is assigned to a
-    runner; `refresh_places` then looks at that one only.
+    The cost is one pass over the runners. The result is valid for all tasks of the step
+    that have run before, or for all that haven't, until a task is assigned to a runner;
+    `refresh_places` then examines that runner only.
     """
     found = (
         (runner, _find_place(task, runner, interference, now)) for runner in runners
@@ -155,14 +155,14 @@
     interference: InterferenceModel,
     now: float,
 ) -> None:
-    """Look again at the runners to which something was assigned since the last look."""
-    for runner in assigned[ranked.seen :]:
+    """Update the places for the assignments that were made since the last call."""
+    for runner in assigned[ranked.assignments_seen :]:
         place = _find_place(task, runner, interference, now)
         if place is None:
             ranked.places.pop(runner.incarnation, None)
         else:
             ranked.places[runner.incarnation] = place
-    ranked.seen = len(assigned)
+    ranked.assignments_seen = len(assigned)
 
 
 def _find_place(
@@ -184,21 +184,22 @@
     now: float,
     idle: bool,
 ) -> Runner | None:
-    """Return the best place of a task, or None where it had better wait.
+    """Return the best runner among ranked places, or None if the task should wait.
 
     Notes
     -----
-    Guards against a task that no runner is tolerant enough for: the longer it waits
-    the slower a start will do. It never goes to a sensitive runner at once because the
-    tolerant ones are full: it would be slowed to a stop there and hold its memory.
+    Guards against a backfill task that waits for ever because no runner is tolerant
+    enough: the longer it waits, the lower the speed that is accepted. It doesn't go to
+    a sensitive runner at once because the tolerant ones are full: there it would be
+    slowed to a stop and hold its memory.
     """
     usable = list(ranked.places.values())
     if task.avoided:
-        fresh = [p for p in usable if not _is_avoided(task, p.runner)]
-        usable = fresh or usable
+        preferred = [p for p in usable if not _is_avoided(task, p.runner)]
+        usable = preferred or usable
     if task.step.spec.backfill:
-        least = find_min_speed(task, now, idle)
-        usable = [place for place in usable if place.speed >= least]
+        min_speed = find_min_speed(task, now, idle)
+        usable = [place for place in usable if place.speed >= min_speed]
     for place in usable:
         if place.score is None:
             place.score = _score_place(task, place, limits, interference)
@@ -219,22 +220,24 @@
     task: Task, place: Place, limits: Limits, interference: InterferenceModel
 ) -> float:
     if task.step.spec.backfill:
-        return _score_backfill(task, place.runner, limits, interference, place.speed)
-    return _score(task, place.runner, limits)
+        return _score_for_backfill(
+            task, place.runner, limits, interference, place.speed
+        )
+    return _score_for_reserved(task, place.runner, limits)
 
 
-def _score(task: Task, runner: Runner, limits: Limits) -> float:
+def _score_for_reserved(task: Task, runner: Runner, limits: Limits) -> float:
     assert runner.entry is not None
     spec = task.step.spec
     score = _score_runner(spec, runner, limits)
     if spec.target_ms:
-        score += _match_images(task, runner)
-    # The fullest runner that has room: what is left free stays whole, for tasks that
-    # need much and for backfilling ones that find no serving task there.
+        score += _score_serving_images(task, runner)
+    # Prefer the fullest runner: other runners keep large gaps, for large tasks and for
+    # backfill tasks that find no serving task there.
     return score - (runner.entry.capacity.cpu - runner.cpu) / 1000
 
 
-def _score_backfill(
+def _score_for_backfill(
     task: Task,
     runner: Runner,
     limits: Limits,
@@ -245,19 +248,21 @@
     score = _score_runner(task.step.spec, runner, limits)
     score += SPEED_GAIN * speed
     score += measure_unused_cpu(runner) / runner.entry.capacity.cpu * UNUSED_CPU_GAIN
-    return score - TOLERANCE_COST * _measure_freedom(runner, interference)
+    return score - TOLERANCE_COST * _measure_tolerance(runner, interference)
 
 
 def _score_runner(spec: Step, runner: Runner, limits: Limits) -> float:
-    """Return what speaks for a runner whatever kind of task a step has."""
+    """Return the part of a runner's score that applies to all kinds of tasks."""
     assert runner.entry is not None
-    near = runner.entry.rack == spec.preferred_rack and spec.preferred_rack != ""
-    score = RACK_BONUS if near and limits.remote_factor > 1 else 0.0
+    on_preferred_rack = (
+        runner.entry.rack == spec.preferred_rack and spec.preferred_rack != ""
+    )
+    score = RACK_BONUS if on_preferred_rack and limits.remote_factor > 1 else 0.0
     return score - FAILURE_COST * runner.bad
 
 
-def _measure_freedom(runner: Runner, interference: InterferenceModel) -> float:
-    """Return the share of known backfilling images that do no harm on the runner."""
+def _measure_tolerance(runner: Runner, interference: InterferenceModel) -> float:
+    """Return the share of the known backfill images that are harmless on a runner."""
     images = list_known_images(interference)
     if not images:
         return 0.0
@@ -271,9 +276,10 @@
     return harmless / len(images)
 
 
-def _match_images(task: Task, runner: Runner) -> float:
+def _score_serving_images(task: Task, runner: Runner) -> float:
+    """Return the score of a runner for the images of its serving tasks."""
     image = task.step.spec.image
     images = {t.step.spec.image for t in runner.tasks.values() if t.step.spec.target_ms}
-    same = SAME_IMAGE_BONUS if images == {image} else 0.0
-    same += SAME_JOB_BONUS if count_step_tasks(task, runner) else 0.0
-    return same - OTHER_IMAGE_COST * len(images - {image})
+    score = SAME_IMAGE_BONUS if images == {image} else 0.0
+    score += SAME_JOB_BONUS if count_step_tasks(task, runner) else 0.0
+    return score - OTHER_IMAGE_COST * len(images - {image})
