--- a/plantainyard/entry/readers.py
+++ b/plantainyard/entry/readers.py
@@ -123,8 +123,8 @@
     -----
     Guards against a takeover that doesn't finish. Over a narrow link a page takes
     longer than other reads may take; with a timeout of one second it was aborted and
-    restarted for half a minute. The timeout therefore doubles with each failure. It starts short
-    in case the connection has stopped responding.
+    restarted for half a minute. The timeout therefore doubles with each failure. It
+    starts short in case the connection has stopped responding.
 
     The pages aren't a consistent snapshot, because a record may change between two of
     them. Reading continues from the end offset that the first page reports, so that
--- a/plantainyard/entry/tests/test_claims.py
+++ b/plantainyard/entry/tests/test_claims.py
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize(
-    ("word", "candidate", "why"),
+    ("status", "candidate", "why"),
     [
         (AT_WORK._replace(units=3), CANDIDATE, ClaimReason.SHARE),
         (AT_WORK._replace(units=2), CANDIDATE, ""),
