--- a/plantainyard/entry/caller_api.py
+++ b/plantainyard/entry/caller_api.py
@@ -1,4 +1,4 @@
-"""The callers' port: submit, ask, cancel and count jobs."""
+"""HTTP API for callers: submit, query, cancel and count jobs."""
 
 from collections.abc import Callable, Iterable
 from concurrent.futures import ThreadPoolExecutor
@@ -28,47 +28,59 @@
 from plantainyard.platform.store import Append, Record
 from plantainyard.platform.submissions import decode_body
 
-__all__ = ["Answer", "build_caller_app", "serve_request"]
+__all__ = ["Response", "build_caller_app", "serve_request"]
 
 ID_LENGTH = 16
-"""Hexadecimal digits of a job's id."""
+"""Number of hexadecimal digits in a job id."""
 
-STALE_S = 2.0
-"""Age from which the configuration isn't acted on: operators expect a change to be
-in force within 2.5 s, and an instance that can't reach the store doesn't see it."""
+MAX_CONFIGURATION_AGE_S = 2.0
+"""Age in seconds up to which the configuration is used.
+
+Operators expect a change to take effect within 2.5 s, and an instance that cannot reach
+the store does not see the change.
+"""
 
 RETRY_AFTER_S = 1
-"""When a caller that was refused should come back: most outages of the store for one
-instance last seconds, and a repeat reaches another instance."""
+"""Time in seconds after which a refused caller should retry.
+
+Most outages of the store last only seconds for one instance, and a retry reaches
+another instance.
+"""
+
+ATTEMPT_TIMEOUT_S = 1.2
+"""Timeout in seconds for one attempt to store a submission.
 
-ATTEMPT_S = 1.2
-"""Longest wait for one attempt to store a submission. A store that answers sixty times
-as slowly appends a record in 0.12 s, one after the other: attempts given up after
-half a second were repeated, queued behind themselves, and hardly any was answered."""
+A store that responds sixty times as slowly as usual takes 0.12 s for each record, one
+after the other. With a timeout of half a second, retries queue behind earlier attempts
+and hardly any attempt is answered.
+"""
 
-GIVE_UP_S = 1.4
-"""Time after which no further attempt begins: callers wait about three seconds, and a
-second attempt on another connection must fit in."""
+RETRY_WINDOW_S = 1.4
+"""Time in seconds after which no further attempt is started.
 
-COUNT_THREADS = 12
-"""Units that are asked for their counts at once; all that there can be."""
+Callers wait about three seconds, which must leave time for a second attempt on another
+connection.
+"""
 
-_pool = ThreadPoolExecutor(COUNT_THREADS, "count")
+MAX_COUNT_THREADS = 12
+"""Maximum number of units whose counts are read in parallel; there are never more."""
 
+_count_pool = ThreadPoolExecutor(MAX_COUNT_THREADS, "count")
 
-class Answer(NamedTuple):
-    """An answer to a caller.
+
+class Response(NamedTuple):
+    """A response to a caller.
 
     Attributes
     ----------
     status : str
-        Code and reason.
+        Status code and reason phrase.
     body : dict
-        Sent as JSON.
+        Content, which is sent as JSON.
     retry_after_s : int
-        Zero where the header is left out.
+        Seconds after which the caller should retry; zero omits the header.
     reason : str
-        One of `Reason` where the request was turned away; for the meter.
+        One of `Reason` if the request was refused, for the metric; otherwise empty.
     """
 
     status: str
@@ -78,7 +90,7 @@
 
 
 class Reason:
-    """Names of the reasons for turning a request away."""
+    """Names of the reasons for refusing a request."""
 
     STARTING = "starting"
     STALE = "stale configuration"
@@ -89,17 +101,19 @@
     BODY = "wrong request"
 
 
-_STALE = "the configuration may be out of date"
-_NOT_FOUND = Answer("404 Not Found", {"error": "no such queue"}, reason=Reason.QUEUE)
-_GONE = Answer("410 Gone", {"error": "no such job"}, reason=Reason.JOB)
+_STALE_MESSAGE = "the configuration may be out of date"
+_NO_SUCH_QUEUE = Response(
+    "404 Not Found", {"error": "no such queue"}, reason=Reason.QUEUE
+)
+_NO_SUCH_JOB = Response("410 Gone", {"error": "no such job"}, reason=Reason.JOB)
 
 
-def _refuse(error: str, reason: str) -> Answer:
-    return Answer("503 Service Unavailable", {"error": error}, RETRY_AFTER_S, reason)
+def _refuse(error: str, reason: str) -> Response:
+    return Response("503 Service Unavailable", {"error": error}, RETRY_AFTER_S, reason)
 
 
-def _reject(error: str) -> Answer:
-    return Answer("400 Bad Request", {"error": error}, reason=Reason.BODY)
+def _reject(error: str) -> Response:
+    return Response("400 Bad Request", {"error": error}, reason=Reason.BODY)
 
 
 def build_caller_app(
@@ -108,16 +122,16 @@
     """Return the WSGI application of the callers' port."""
 
     def serve(environ: WSGIEnvironment, start: StartResponse) -> Iterable[bytes]:
-        answer = serve_request(instance, environ)
-        if answer.reason:
-            instance.meters.refused.labels(answer.reason).inc()
-        return send_json(start, answer.status, answer.body, answer.retry_after_s)
+        response = serve_request(instance, environ)
+        if response.reason:
+            instance.meters.refused.labels(response.reason).inc()
+        return send_json(start, response.status, response.body, response.retry_after_s)
 
     return serve
 
 
-def serve_request(instance: Instance, environ: WSGIEnvironment) -> Answer:
-    """Answer one request of a caller."""
+def serve_request(instance: Instance, environ: WSGIEnvironment) -> Response:
+    """Handle one request of a caller and return the response."""
     configuration = instance.configuration
     if configuration is None:
         return _refuse("no configuration yet", Reason.STARTING)
@@ -125,25 +139,25 @@
         return _refuse("the number of units isn't known yet", Reason.STARTING)
     method = environ["REQUEST_METHOD"]
     host = environ.get("HTTP_HOST", "")
-    found = find_queue(configuration, host, environ.get("PATH_INFO", ""))
-    fresh = instance.is_configuration_fresh(read_clock(), STALE_S)
-    if found is None:
-        return _NOT_FOUND if fresh else _refuse(_STALE, Reason.STALE)
-    queue, job_id = found
+    match = find_queue(configuration, host, environ.get("PATH_INFO", ""))
+    fresh = instance.is_configuration_fresh(read_clock(), MAX_CONFIGURATION_AGE_S)
+    if match is None:
+        return _NO_SUCH_QUEUE if fresh else _refuse(_STALE_MESSAGE, Reason.STALE)
+    queue, job_id = match
     if method == "GET" and not job_id:
         return _count(instance, queue)
     if not _is_job_id(job_id):
         return _reject("a job's id is 16 hexadecimal digits")
     if method == "POST":
         if not fresh:
-            return _refuse(_STALE, Reason.STALE)
+            return _refuse(_STALE_MESSAGE, Reason.STALE)
         return _submit(instance, configuration, queue, job_id, environ)
     if method == "GET":
         return _describe(instance, job_id)
     if method == "DELETE":
         return _cancel(instance, job_id)
     error = {"error": f"no method {method}"}
-    return Answer("405 Method Not Allowed", error, reason=Reason.BODY)
+    return Response("405 Method Not Allowed", error, reason=Reason.BODY)
 
 
 def _is_job_id(text: str) -> bool:
@@ -156,10 +170,10 @@
     queue: Queue,
     job_id: str,
     environ: WSGIEnvironment,
-) -> Answer:
+) -> Response:
     length = int(environ.get("CONTENT_LENGTH") or 0)
     if length > configuration.body_bytes:
-        return Answer(
+        return Response(
             "413 Content Too Large",
             {"error": "the body is too long"},
             reason=Reason.BODY,
@@ -171,10 +185,10 @@
         return _reject(decoded.err_value)
     value = encode_submission(decoded.ok_value)
     unit = instance.find_copy(job_id).unit
-    answer = _store(instance, unit, make_submission_key(job_id), value)
-    event = "accepted" if answer.status == OK else "refused"
-    instance.log.write(event, job=job_id, queue=queue.name, status=answer.status)
-    return answer
+    response = _store(instance, unit, make_submission_key(job_id), value)
+    event = "accepted" if response.status == OK else "refused"
+    instance.log.write(event, job=job_id, queue=queue.name, status=response.status)
+    return response
 
 
 def _decode(body: bytes, job_id: str, queue: Queue) -> Result[Submission, str]:
@@ -184,37 +198,37 @@
         return Err(f"not a submission: {error}")
     except RecursionError:
         return Err("not a submission: nested too deep")
-    fault = validate_submission(submission)
-    return Err(fault) if fault else Ok(submission)
+    error_text = validate_submission(submission)
+    return Err(error_text) if error_text else Ok(submission)
 
 
-def _store(instance: Instance, unit: int, key: str, value: bytes) -> Answer:
-    """Store a record and answer; what is told as not accepted certainly isn't.
+def _store(instance: Instance, unit: int, key: str, value: bytes) -> Response:
+    """Store a record and return the response; a refused record is never stored.
 
     Notes
     -----
-    Guards against a job that was rejected and runs all the same: an append without an
-    answer may take effect seconds later. Once one has gone unanswered the caller is
-    told that the outcome is unknown, never that the job was refused.
+    Guards against a job that is reported as refused but runs nevertheless: an append
+    without a response may take effect seconds later. After such an append, the caller
+    learns that the outcome is unknown, never that the job was refused.
     """
     append = Append(INTAKE, unit, [Record(key, value)])
-    until = read_clock() + GIVE_UP_S
-    unknown = False
+    deadline = read_clock() + RETRY_WINDOW_S
+    outcome_unknown = False
     pause_s = 0.02
     while True:
-        answer = instance.store.append(append, ATTEMPT_S)
-        if isinstance(answer, Ok) and answer.ok_value.accepted:
-            return Answer(OK, {})
-        if isinstance(answer, Err):
-            kind = answer.err_value.kind
-            unknown |= kind not in (ErrorKind.REFUSED, ErrorKind.UNREACHABLE)
-        if read_clock() + pause_s > until or instance.stopping.wait(pause_s):
+        result = instance.store.append(append, ATTEMPT_TIMEOUT_S)
+        if isinstance(result, Ok) and result.ok_value.accepted:
+            return Response(OK, {})
+        if isinstance(result, Err):
+            kind = result.err_value.kind
+            outcome_unknown |= kind not in (ErrorKind.REFUSED, ErrorKind.UNREACHABLE)
+        if read_clock() + pause_s > deadline or instance.stopping.wait(pause_s):
             break
         pause_s *= 2
-    if unknown:
+    if outcome_unknown:
         instance.log.write("answered_unknown", key=key)
         error = "the store did not answer; the outcome is not known"
-        return Answer(
+        return Response(
             "504 Gateway Timeout",
             {"error": error},
             RETRY_AFTER_S,
@@ -223,45 +237,45 @@
     return _refuse("not run: the store can't be reached", Reason.STORE)
 
 
-def _describe(instance: Instance, job_id: str) -> Answer:
+def _describe(instance: Instance, job_id: str) -> Response:
     found = find_job(instance, job_id)
     if isinstance(found, Err):
         return _refuse(found.err_value, Reason.STORE)
     _, job = found.ok_value
-    return Answer(OK, {"state": job.state}) if job.state else _GONE
+    return Response(OK, {"state": job.state}) if job.state else _NO_SUCH_JOB
 
 
-def _cancel(instance: Instance, job_id: str) -> Answer:
+def _cancel(instance: Instance, job_id: str) -> Response:
     found = find_job(instance, job_id)
     if isinstance(found, Err):
         return _refuse(found.err_value, Reason.STORE)
     unit, job = found.ok_value
     if not job.state:
-        return _GONE
+        return _NO_SUCH_JOB
     if job.state in FinalStates.ALL:
-        return Answer(OK, {"state": job.state})
-    answer = _store(instance, unit, make_cancel_key(job_id), CANCEL_VALUE)
-    if answer.status == OK:
+        return Response(OK, {"state": job.state})
+    response = _store(instance, unit, make_cancel_key(job_id), CANCEL_VALUE)
+    if response.status == OK:
         instance.log.write("cancel_accepted", job=job_id)
-    return answer
+    return response
 
 
-def _count(instance: Instance, queue: Queue) -> Answer:
+def _count(instance: Instance, queue: Queue) -> Response:
     counts = list(
-        _pool.map(
+        _count_pool.map(
             lambda copy: count_pending_in(instance, copy, queue.name), instance.copies
         )
     )
     known = [count for count in counts if count is not None]
     pending = sum_pending(count.pending for count in known)
-    units = [count and _abridge(count) for count in counts]
+    units = [count and _summarize(count) for count in counts]
     instance.log.write("counted", queue=queue.name, pending=pending, units=units)
     if len(known) < len(counts):
         return _refuse("the count may be out of date", Reason.STORE)
-    return Answer(OK, {"pending": pending})
+    return Response(OK, {"pending": pending})
 
 
-def _abridge(counted: PendingCount) -> list[float]:
-    """Return what a unit's owner told as a row of numbers, for the log."""
-    told = (len(v) if isinstance(v, frozenset) else v for v in counted.pending)
-    return [*told, counted.age_s]
+def _summarize(counted: PendingCount) -> list[float]:
+    """Return the count of one unit as a list of numbers, for the log."""
+    values = (len(v) if isinstance(v, frozenset) else v for v in counted.pending)
+    return [*values, counted.age_s]
--- a/plantainyard/entry/eventlog.py
+++ b/plantainyard/entry/eventlog.py
@@ -1,8 +1,8 @@
-"""One line of JSON for each decision, on standard output, never in the way.
+"""Event log: one line of JSON for each decision, written to standard output.
 
-Lines go through a bounded queue to a thread that writes them. Where the reader of
-standard output has stopped, or more comes than can be written, lines are lost and
-counted, and no decision waits.
+Lines pass through a bounded queue to a writer thread. If the reader of standard output
+has stopped, or lines arrive faster than they can be written, lines are dropped and
+counted, so that logging never blocks a decision.
 """
 
 import contextlib
@@ -20,24 +20,31 @@
 __all__ = ["EVENTS", "EventLog", "open_event_log"]
 
 QUEUE_LINES = 2_000
-"""Lines that wait for the writer: some seconds of the busiest traffic, under 1 MB."""
+"""Maximum number of buffered lines: a few seconds of peak traffic, less than 1 MB."""
 
 BATCH_LINES = 64
-"""Most lines that are written with one call."""
+"""Maximum number of lines that are written with one call."""
 
-GATHER_S = 0.05
-"""Time for which the writer lets lines gather: woken for each of them, it takes the
-processor from decisions some hundred times a second. A process that is killed leaves
-so much of its last lines out."""
+BATCH_DELAY_S = 0.05
+"""Time in seconds for which the writer collects lines before it writes them.
 
-LAST_LINES_S = 0.3
-"""Longest wait for the last lines when the log ends: a few writes to a pipe that is
-read take some milliseconds, and a process that stops must be gone within its grace."""
+Waking up for each line would take the processor away from decisions some hundred times
+a second. A process that is killed loses the lines of up to this time.
+"""
+
+FLUSH_TIMEOUT_S = 0.3
+"""Maximum time in seconds to wait for the last lines when the log is closed.
+
+A few writes to a pipe that is being read take some milliseconds, and a stopping process
+must exit within its grace period.
+"""
 
-LINES_PER_EVENT_S = 50
-"""Lines of one event written in a second; more are counted in a line `left_out`.
-Fifty a second of an event are enough to follow single jobs; the cost of logging by
-itself is not measured."""
+MAX_EVENT_LINES_PER_S = 50
+"""Maximum number of lines of one event per second.
+
+Further lines are counted and reported in a line `left_out`. Fifty lines per second are
+enough to follow single jobs.
+"""
 
 EVENTS = frozenset(
     {
@@ -76,29 +83,29 @@
         "warned",
     }
 )
-"""All events; `docs/operators/events.md` says what each means."""
+"""Names of all events; `docs/operators/events.md` describes each of them."""
 
 
-def _count_nothing(event: str) -> None:
-    """Count nothing."""
+def _ignore_event(event: str) -> None:
+    """Do nothing; the default of `EventLog.on_event`."""
 
 
 class EventLog:
-    """Writes lines about events.
+    """Writes lines about events to a stream.
 
     Parameters
     ----------
     instance : str
-        Named in each line.
+        Name of the instance, which is part of each line.
     stream : file
-        Where lines go.
+        Stream to which the lines are written.
 
     Attributes
     ----------
-    lost : int
-        Lines that nobody took in time.
-    count : callable
-        Told of each event, also of those whose lines are left out.
+    lost_lines : int
+        Number of lines that were dropped because the queue was full or a write failed.
+    on_event : callable
+        Called with the name of each event, including those whose lines are left out.
     """
 
     def __init__(self, instance: str, stream: TextIO) -> None:
@@ -106,53 +113,59 @@
         self.stream = stream
         self.lines: queue.Queue[str | None] = queue.Queue(QUEUE_LINES - BATCH_LINES)
         self.lost_lines = 0
-        self.on_event: Callable[[str], None] = _count_nothing
+        self.on_event: Callable[[str], None] = _ignore_event
         self._counts: dict[str, int] = {}
         self._second = 0
         self._lock = threading.Lock()
 
     def write(self, event: str, **fields: Any) -> None:
-        """Queue a line about `event`; drop and count it if the queue is full.
+        """Queue a line about `event`, or drop and count it if the queue is full.
 
         Parameters
         ----------
         event : str
             One of `EVENTS`.
         **fields
-            What decided it and what became of it; encodable as JSON.
+            Causes and results of the event; must be encodable as JSON.
         """
         self.on_event(event)
-        lines, finished = self._count(event)
-        for name, left_out in finished:
-            self._put("left_out", {"of": name, "lines": left_out})
-        if lines <= LINES_PER_EVENT_S:
-            self._put(event, fields)
+        lines, omitted = self._count_line(event)
+        for name, left_out in omitted:
+            self._enqueue("left_out", {"of": name, "lines": left_out})
+        if lines <= MAX_EVENT_LINES_PER_S:
+            self._enqueue(event, fields)
+
+    def _count_line(self, event: str) -> tuple[int, list[tuple[str, int]]]:
+        """Count a line of `event`.
 
-    def _count(self, event: str) -> tuple[int, list[tuple[str, int]]]:
-        """Count a line; return how many the event has now, and what was left out.
+        Returns
+        -------
+        tuple of int and list
+            Number of lines of the event in the current second, and, when a second has
+            passed, the events of that second with the number of lines left out.
 
         Notes
         -----
-        Guards against a decision that fails by its log line: the counts of one second
-        are replaced by another thread's line of the next, and looked up outside of the
-        lock the event wasn't there any more. Both results are taken under the lock.
+        Guards against a decision that fails because of its log line: another thread
+        may replace the counts when the next second begins, so a lookup outside of the
+        lock might not find the event. Both results are computed under the lock.
         """
         with self._lock:
             second = int(read_clock())
-            finished: list[tuple[str, int]] = []
+            omitted: list[tuple[str, int]] = []
             if second != self._second:
-                finished = [
-                    (name, count - LINES_PER_EVENT_S)
+                omitted = [
+                    (name, count - MAX_EVENT_LINES_PER_S)
                     for name, count in self._counts.items()
-                    if count > LINES_PER_EVENT_S
+                    if count > MAX_EVENT_LINES_PER_S
                 ]
                 self._second = second
                 self._counts = {}
             lines = self._counts.get(event, 0) + 1
             self._counts[event] = lines
-            return lines, finished
+            return lines, omitted
 
-    def _put(self, event: str, fields: dict[str, Any]) -> None:
+    def _enqueue(self, event: str, fields: dict[str, Any]) -> None:
         data = {
             "t": round(read_clock(), 3),
             "event": event,
@@ -165,22 +178,22 @@
             self.lost_lines += 1
 
     def run(self) -> None:
-        """Write lines until a None is queued."""
+        """Write the queued lines until a None is queued."""
         while (line := self.lines.get()) is not None:
             if self.lines.qsize() < BATCH_LINES:
-                time.sleep(GATHER_S)
-            batch, ended = self._gather(line)
+                time.sleep(BATCH_DELAY_S)
+            batch, is_last = self._collect_batch(line)
             try:
                 self.stream.write("".join(batch))
                 if self.lines.empty():
                     self.stream.flush()
             except (OSError, ValueError):
                 self.lost_lines += len(batch)
-            if ended:
+            if is_last:
                 return
 
-    def _gather(self, first: str) -> tuple[list[str], bool]:
-        """Return the lines that are written next, and whether they are the last."""
+    def _collect_batch(self, first: str) -> tuple[list[str], bool]:
+        """Return the lines to write next, and whether they are the last lines."""
         batch = [first + "\n"]
         with contextlib.suppress(queue.Empty):
             while len(batch) < BATCH_LINES:
@@ -191,13 +204,13 @@
         return batch, False
 
 
-class _Warnings(logging.Handler):
-    """Writes what modules and libraries warn of as lines of the event log.
+class _WarningHandler(logging.Handler):
+    """Writes the warnings of modules and libraries to the event log.
 
     Notes
     -----
-    Guards against warnings that nobody sees: by themselves they go to standard error,
-    while what is collected is standard output.
+    Guards against warnings that go unnoticed: by default they are written to standard
+    error, but only standard output is collected.
     """
 
     def __init__(self, log: EventLog) -> None:
@@ -205,29 +218,29 @@
         self.log = log
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one line; see `logging.Handler.emit`."""
+        """Write one line about a warning; see `logging.Handler.emit`."""
         self.log.write("warned", by=record.name, why=record.getMessage())
 
 
 @contextlib.contextmanager
 def open_event_log(instance: str, stream: TextIO | None = None) -> Iterator[EventLog]:
-    """Yield an event log whose writer runs for the length of the context.
+    """Yield an event log whose writer thread runs while the context is open.
 
     Notes
     -----
-    Guards against a stop that leaves no line: the process ended while its last lines
-    were queued. The writer gets a short time for them, which a reader that has stopped
-    reading doesn't lengthen.
+    Guards against a stop that leaves no line in the log because the process exits while
+    its last lines are queued. The writer gets a short time to write them, which is
+    limited even if the reader of the stream has stopped.
     """
     log = EventLog(instance, stream or sys.stdout)
     writer = threading.Thread(target=log.run, daemon=True, name="event-log")
     writer.start()
-    warnings = _Warnings(log)
-    logging.getLogger().addHandler(warnings)
+    handler = _WarningHandler(log)
+    logging.getLogger().addHandler(handler)
     try:
         yield log
     finally:
-        logging.getLogger().removeHandler(warnings)
+        logging.getLogger().removeHandler(handler)
         with contextlib.suppress(queue.Full):
             log.lines.put_nowait(None)
-        writer.join(LAST_LINES_S)
+        writer.join(FLUSH_TIMEOUT_S)
--- a/plantainyard/entry/inspection.py
+++ b/plantainyard/entry/inspection.py
@@ -1,7 +1,7 @@
-"""A dump of an instance's state, and what an owner knows of one job, on request.
+"""Dumps of an instance's state and of single jobs, for troubleshooting.
 
-``GET /state`` and ``GET /jobs/ID`` on the metrics port. What is shown is read while
-other threads go on changing it: a picture for people, not a snapshot.
+The metrics port serves them at ``GET /state`` and ``GET /jobs/ID``. The state is read
+while other threads modify it, so a dump is not a consistent snapshot.
 """
 
 import json
@@ -18,11 +18,11 @@
 
 __all__ = ["build_inspection_app", "describe_job", "describe_state"]
 
-JOBS = "/jobs/"
+JOBS_PATH = "/jobs/"
 
 
 def describe_state(instance: Instance) -> dict[str, Any]:
-    """Return what an instance holds and believes, as JSON values."""
+    """Return the state of an instance as JSON values."""
     now = read_clock()
     configuration = instance.configuration
     return {
@@ -51,7 +51,7 @@
 
 
 def describe_job(instance: Instance, job_id: str) -> dict[str, Any]:
-    """Return what this instance knows of a job: as stored, and as its owner sees it."""
+    """Return the stored state of a job and, on its owner, the state of its tasks."""
     if not instance.copies:
         return {"known": False}
     copy = instance.find_copy(job_id)
@@ -93,17 +93,20 @@
 def build_inspection_app(
     instance: Instance, metrics: WSGIApplication
 ) -> Callable[[WSGIEnvironment, StartResponse], Iterable[bytes]]:
-    """Return the application of the metrics port: dumps here, all else to `metrics`."""
+    """Return the WSGI application of the metrics port.
+
+    It serves the dumps and passes all other requests to `metrics`.
+    """
 
     def serve(environ: WSGIEnvironment, start: StartResponse) -> Iterable[bytes]:
         path = environ.get("PATH_INFO", "")
         if path == "/state":
-            answer = describe_state(instance)
-        elif path.startswith(JOBS):
-            answer = describe_job(instance, path.removeprefix(JOBS))
+            data = describe_state(instance)
+        elif path.startswith(JOBS_PATH):
+            data = describe_job(instance, path.removeprefix(JOBS_PATH))
         else:
             return metrics(environ, start)
-        body = json.dumps(answer, indent=1).encode() + b"\n"
+        body = json.dumps(data, indent=1).encode() + b"\n"
         return send_response(start, OK, "application/json", body)
 
     return serve
--- a/plantainyard/entry/meters.py
+++ b/plantainyard/entry/meters.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and latency histograms of one instance, as text."""
+"""Counters, gauges and latency histograms of one instance, exported as text."""
 
 from collections.abc import Callable, Iterable
 from wsgiref.types import StartResponse, WSGIEnvironment
@@ -13,15 +13,15 @@
 
 from plantainyard.entry.responses import OK, send_response
 
-__all__ = ["METERS", "Meters", "build_metrics_app"]
+__all__ = ["METRICS", "Meters", "build_metrics_app"]
 
 CALL_SECONDS = (0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0)
-"""Bounds of the buckets for calls; answers take 1 to 30 ms where all is well."""
+"""Bucket bounds for the duration of calls, which is normally 1 to 30 ms."""
 
 WAIT_SECONDS = (0.05, 0.1, 0.2, 0.4, 1.0, 2.0, 5.0, 10.0, 30.0)
-"""Bounds of the buckets for waits of jobs; objectives leave 0.4 to 2.5 s."""
+"""Bucket bounds for the waiting time of jobs; objectives allow 0.4 to 2.5 s."""
 
-METERS = {
+METRICS = {
     "plantainyard_events": "Decisions and changes, by the event's name in the log.",
     "plantainyard_log_lost_lines": "Lines of the log that nobody took in time.",
     "plantainyard_refused": "Requests of callers turned away, by reason.",
@@ -36,55 +36,62 @@
     "plantainyard_configuration_age_seconds": "Since the configuration was confirmed.",
     "plantainyard_configuration_version": "Version of the configuration in force.",
 }
-"""Name and meaning of each meter; names of counters get `_total` in the text."""
+"""Names and help texts of all metrics; counters are exported with suffix `_total`."""
 
 
 class Meters:
-    """The meters of one instance, in a registry of their own."""
+    """The metrics of one instance, in their own registry."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
-        self.events = self._count("plantainyard_events", "event")
-        self.refused = self._count("plantainyard_refused", "reason")
-        # Looked up for each call; the library's own search costs more than the count.
+        self.events = self._build_counter("plantainyard_events", "event")
+        self.refused = self._build_counter("plantainyard_refused", "reason")
+        # Caches the labelled histograms, because the library's lookup costs more than
+        # the observation itself.
         self._calls: dict[tuple[str, str], Histogram] = {}
-        self.calls = self._measure(
+        self.calls = self._build_histogram(
             "plantainyard_call_seconds", CALL_SECONDS, "step", "result"
         )
-        self.first_start = self._measure(
+        self.first_start = self._build_histogram(
             "plantainyard_first_start_seconds", WAIT_SECONDS
         )
-        self.task_seconds = self._count("plantainyard_task_seconds", "part")
-        self.lost_runs = self._count("plantainyard_lost_runs", "how")
-        self.lost_lines = self._gauge("plantainyard_log_lost_lines")
-        self.owned = self._gauge("plantainyard_unit_owned")
-        self.jobs = self._gauge("plantainyard_jobs_open")
-        self.tasks = self._gauge("plantainyard_tasks", "phase")
-        self.runners = self._gauge("plantainyard_runners", "state")
-        self.configuration_age = self._gauge("plantainyard_configuration_age_seconds")
-        self.configuration_version = self._gauge("plantainyard_configuration_version")
+        self.task_seconds = self._build_counter("plantainyard_task_seconds", "part")
+        self.lost_runs = self._build_counter("plantainyard_lost_runs", "how")
+        self.lost_lines = self._build_gauge("plantainyard_log_lost_lines")
+        self.owned = self._build_gauge("plantainyard_unit_owned")
+        self.jobs = self._build_gauge("plantainyard_jobs_open")
+        self.tasks = self._build_gauge("plantainyard_tasks", "phase")
+        self.runners = self._build_gauge("plantainyard_runners", "state")
+        self.configuration_age = self._build_gauge(
+            "plantainyard_configuration_age_seconds"
+        )
+        self.configuration_version = self._build_gauge(
+            "plantainyard_configuration_version"
+        )
 
     def observe_call(self, step: str, result: str, seconds: float) -> None:
-        """Count a call to the store or to a runner."""
-        found = self._calls.get((step, result))
-        if found is None:
-            found = self._calls[step, result] = self.calls.labels(step, result)
-        found.observe(seconds)
+        """Record the duration of a call to the store or to a runner."""
+        histogram = self._calls.get((step, result))
+        if histogram is None:
+            histogram = self._calls[step, result] = self.calls.labels(step, result)
+        histogram.observe(seconds)
 
-    def _count(self, name: str, *labels: str) -> Counter:
-        return Counter(name, METERS[name], labels, registry=self.registry)
+    def _build_counter(self, name: str, *labels: str) -> Counter:
+        return Counter(name, METRICS[name], labels, registry=self.registry)
 
-    def _gauge(self, name: str, *labels: str) -> Gauge:
-        return Gauge(name, METERS[name], labels, registry=self.registry)
+    def _build_gauge(self, name: str, *labels: str) -> Gauge:
+        return Gauge(name, METRICS[name], labels, registry=self.registry)
 
-    def _measure(self, name: str, bounds: tuple[float, ...], *labels: str) -> Histogram:
+    def _build_histogram(
+        self, name: str, bounds: tuple[float, ...], *labels: str
+    ) -> Histogram:
         return Histogram(
-            name, METERS[name], labels, registry=self.registry, buckets=bounds
+            name, METRICS[name], labels, registry=self.registry, buckets=bounds
         )
 
 
 METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-"""Content type of metrics in the text form that collectors read."""
+"""Content type of metrics in the text format that collectors read."""
 
 
 def build_metrics_app(
@@ -95,9 +102,9 @@
     Parameters
     ----------
     meters : Meters
-        What is served.
+        The metrics to serve.
     refresh : callable
-        Sets the gauges; called with each request.
+        Updates the gauges; called for each request.
     """
 
     def serve(_: WSGIEnvironment, start: StartResponse) -> Iterable[bytes]:
--- a/plantainyard/entry/responses.py
+++ b/plantainyard/entry/responses.py
@@ -1,4 +1,4 @@
-"""Whole answers of the instance's HTTP ports."""
+"""Building of complete HTTP responses for the WSGI applications of an instance."""
 
 import json
 from collections.abc import Iterable
@@ -8,7 +8,7 @@
 __all__ = ["OK", "send_response", "send_json"]
 
 OK = "200 OK"
-"""Status of an answer that has what was asked for."""
+"""Status of a successful response."""
 
 
 def send_response(
@@ -18,20 +18,21 @@
     body: bytes,
     retry_after_s: int = 0,
 ) -> Iterable[bytes]:
-    """Start an answer and return its body.
+    """Start a response and return its body.
 
     Parameters
     ----------
     start : callable
-        The server's.
+        The ``start_response`` callable of the WSGI server.
     status : str
-        Code and reason.
+        Status code and reason phrase.
     content_type : str
-        Of the body.
+        Content type of the body.
     body : bytes
-        The whole body; its length is told, so that a part is never taken for it.
+        The complete body; its length is sent in a header, so that the client can
+        detect a truncated response.
     retry_after_s : int
-        When to come back; zero leaves the header out.
+        Seconds after which the client should retry; zero omits the header.
     """
     headers = [("Content-Type", content_type), ("Content-Length", str(len(body)))]
     if retry_after_s:
@@ -43,6 +44,6 @@
 def send_json(
     start: StartResponse, status: str, data: Any, retry_after_s: int = 0
 ) -> Iterable[bytes]:
-    """Start an answer in JSON and return its body; see `send_response`."""
+    """Start a JSON response and return its body; see `send_response`."""
     body = json.dumps(data).encode()
     return send_response(start, status, "application/json", body, retry_after_s)
--- a/plantainyard/entry/story.py
+++ b/plantainyard/entry/story.py
@@ -1,7 +1,7 @@
-"""One job's story from the logs of several instances.
+"""Command that prints the history of one job from the logs of several instances.
 
-``python -m plantainyard.entry.story JOB FILE...`` prints the lines that name the job in
-the order in which they happened, as far as the lines themselves tell it.
+``python -m plantainyard.entry.story JOB FILE...`` prints the events of the job in the
+order in which they happened, as far as it can be determined from the lines.
 """
 
 import json
@@ -11,20 +11,20 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-__all__ = ["main", "order_lines", "parse_lines"]
+__all__ = ["main", "order_events", "parse_events"]
 
 _OBJECT = re.compile(r"\{.*\}")
 
 
-class _Place(NamedTuple):
-    """Sort key of a line.
+class _SortKey(NamedTuple):
+    """The sort key of an event.
 
     Attributes
     ----------
     epoch : int
-        Epoch under which its instance owned the unit; zero for what callers did.
+        Epoch with which the instance owned the unit; zero for requests of callers.
     instance, at : str, float
-        Lines of one instance follow its steady clock.
+        Events of one instance are ordered by its monotonic clock.
     """
 
     epoch: int
@@ -32,8 +32,8 @@
     at: float
 
 
-def parse_lines(lines: Iterable[str]) -> list[dict[str, Any]]:
-    """Return the events in `lines`; text before an object on a line is passed over."""
+def parse_events(lines: Iterable[str]) -> list[dict[str, Any]]:
+    """Return the events in `lines`, ignoring text before the JSON object of a line."""
     events = []
     for line in lines:
         found = _OBJECT.search(line)
@@ -48,43 +48,43 @@
     return events
 
 
-def order_lines(events: list[dict[str, Any]], job_id: str) -> list[dict[str, Any]]:
-    """Return the events about a job in their order.
+def order_events(events: list[dict[str, Any]], job_id: str) -> list[dict[str, Any]]:
+    """Return the events about a job in the order in which they happened.
 
     Notes
     -----
-    Steady clocks of two instances have nothing in common and the time of day may jump,
-    so neither orders lines of different instances. Epochs do: an owner's lines come
-    after those of each owner with a lower epoch. What callers did comes first.
+    The monotonic clocks of two instances are unrelated, and the wall clock may jump, so
+    neither can order the events of different instances. Epochs can: the events of an
+    owner follow those of all owners with a lower epoch. Requests of callers come first.
     """
     epochs: dict[str, int] = {}
-    placed = []
+    keyed = []
     for event in events:
         instance = event["instance"]
         if event["event"] == "started":
             epochs.pop(instance, None)
         if event["event"] == "owner_gained":
             epochs[instance] = int(event["epoch"])
-        owner = event["event"].startswith(("run_", "job_", "order_"))
-        epoch = epochs.get(instance, 0) if owner else 0
+        by_owner = event["event"].startswith(("run_", "job_", "order_"))
+        epoch = epochs.get(instance, 0) if by_owner else 0
         if event.get("job") == job_id or job_id in str(event.get("key", "")):
-            placed.append((_Place(epoch, instance, float(event.get("t", 0))), event))
-    return [event for _, event in sorted(placed, key=lambda pair: pair[0])]
+            keyed.append((_SortKey(epoch, instance, float(event.get("t", 0))), event))
+    return [event for _, event in sorted(keyed, key=lambda pair: pair[0])]
 
 
 def main(arguments: list[str]) -> int:
-    """Print a job's story; return the exit code."""
+    """Print the history of a job and return the exit code."""
     if len(arguments) < 2:
         print("usage: python -m plantainyard.entry.story JOB FILE...", file=sys.stderr)
         return 2
     job_id, *paths = arguments
     lines = (line for path in paths for line in Path(path).read_text().splitlines())
-    story = order_lines(parse_lines(lines), job_id)
-    for event in story:
+    history = order_events(parse_events(lines), job_id)
+    for event in history:
         fields = {k: v for k, v in event.items() if k not in ("event", "instance", "t")}
-        told = " ".join(f"{name}={value}" for name, value in fields.items())
-        print(f"{event['instance']} {event.get('t')} {event['event']} {told}")
-    return 0 if story else 1
+        text = " ".join(f"{name}={value}" for name, value in fields.items())
+        print(f"{event['instance']} {event.get('t')} {event['event']} {text}")
+    return 0 if history else 1
 
 
 if __name__ == "__main__":
--- a/plantainyard/entry/tests/test_caller_api.py
+++ b/plantainyard/entry/tests/test_caller_api.py
@@ -1,4 +1,4 @@
-"""The callers' port of one instance over the stand-in platform."""
+"""Tests of the API for callers, with one instance on the stand-in platform."""
 
 from unittest.mock import Mock
 
@@ -21,7 +21,7 @@
 from standins.platform.samples import BAD_SUBMISSIONS
 
 
-def test_a_job_goes_through_from_submission_to_completion():
+def test_a_submitted_job_runs_to_completion():
     store = StoreState()
     runner = RunnerState("r0", {JOB: 0.1})
     with run_instance(store, runner) as instance:
@@ -50,9 +50,9 @@
     assert store.newest(INTAKE) == {}
 
 
-def test_a_lost_answer_of_the_store_is_never_told_as_refused():
-    # The store takes the record and its answer is lost; then the store is down. Told
-    # "not accepted" the caller would give up a job that runs.
+def test_a_lost_response_of_the_store_is_not_reported_as_a_refusal():
+    # The store accepts the record, its response is lost, and then the store is down. If
+    # the submission were reported as refused, the caller would give up a job that runs.
     store = StoreState()
     with run_instance(store) as instance:
         store.faults.lose_answers = 1000
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize(("body", "status"), BAD_SUBMISSIONS)
-def test_bad_submissions_get_a_clear_answer(body, status):
+def test_invalid_submissions_are_rejected_with_an_error(body, status):
     store = StoreState()
     with run_instance(store) as instance:
         found, answer = call(instance, "POST", f"/jobs/{JOB}", body)
@@ -69,7 +69,7 @@
     assert store.newest(INTAKE) == {}
 
 
-def test_unknown_queues_and_jobs_are_told_as_such():
+def test_unknown_queues_and_jobs_are_reported():
     with run_instance(StoreState()) as instance:
         assert call(instance, "POST", f"/other/{JOB}", BODY)[0] == 404
         assert call(instance, "GET", f"/jobs/{JOB}")[0] == 410
@@ -77,24 +77,24 @@
 
 
 def test_a_job_that_another_instance_accepted_a_moment_ago_is_known():
-    # A caller submits at one instance and asks the next one, which has not read the
-    # record yet. It must not say that there is no such job.
+    # A caller submits a job to one instance and queries another one, which has not read
+    # the record yet. It must not respond that the job does not exist.
     store = StoreState()
     with run_instance(store) as instance, run_instance(store) as other:
         assert call(other, "POST", f"/jobs/{JOB}", BODY)[0] == 200
         assert call(instance, "GET", f"/jobs/{JOB}") == (200, {"state": "queued"})
 
 
-def test_without_the_store_an_unknown_job_is_not_denied():
+def test_without_the_store_an_unknown_job_is_not_reported_as_missing():
     store = StoreState()
     with run_instance(store) as instance:
         store.faults.down = True
         assert call(instance, "GET", f"/jobs/{JOB}")[0] == 503
 
 
-def test_an_instance_with_an_old_configuration_says_so():
-    # The store can't be reached for some seconds: the operators may have added the
-    # queue that a caller asks for. A 404 would be untrue.
+def test_an_instance_with_a_stale_configuration_refuses_requests():
+    # The store has been unreachable for some seconds. The operators may have added the
+    # requested queue in the meantime, so a 404 could be wrong.
     store = StoreState()
     with run_instance(store) as instance:
         instance.operations_reader.synced_at -= 10
@@ -103,7 +103,7 @@
 
 
 def count_refusals(instance: Instance, method: str) -> str:
-    """Send a request over the callers' port and return the text of the meters."""
+    """Send a request to the API for callers and return the text of the metrics."""
     environ = {
         "REQUEST_METHOD": method,
         "HTTP_HOST": "nony.example",
@@ -113,7 +113,7 @@
     return generate_latest(instance.meters.registry).decode()
 
 
-def test_refusals_are_counted_by_their_reason():
+def test_refusals_are_counted_by_reason():
     store = StoreState()
     with run_instance(store) as instance:
         store.faults.down = True
@@ -121,9 +121,9 @@
     assert 'plantainyard_refused_total{reason="store"} 1.0' in text
 
 
-def test_a_method_that_is_not_known_is_counted_as_refused():
-    # A caller's library sends another method. It is turned away, and no meter shows why
-    # its jobs don't come.
+def test_an_unknown_method_is_counted_as_refused():
+    # A caller's library sends an unsupported method. Without the metric, operators
+    # could not see why its jobs do not arrive.
     with run_instance(StoreState()) as instance:
         text = count_refusals(instance, "PATCH")
     assert 'plantainyard_refused_total{reason="wrong request"} 1.0' in text
--- a/plantainyard/entry/tests/test_story.py
+++ b/plantainyard/entry/tests/test_story.py
@@ -1,17 +1,17 @@
-"""Events, meters and the story of a job."""
+"""Tests of the documented events and metrics, and of the history of a job."""
 
 import json
 import re
 from pathlib import Path
 
 from plantainyard.entry.eventlog import EVENTS
-from plantainyard.entry.meters import METERS
-from plantainyard.entry.story import main, order_lines, parse_lines
+from plantainyard.entry.meters import METRICS
+from plantainyard.entry.story import main, order_events, parse_events
 
 ROOT = Path(__file__).parents[3]
 
 
-def test_the_page_of_events_has_each_event():
+def test_all_events_are_documented():
     page = (ROOT / "docs/operators/events.md").read_text()
     assert set(re.findall(r"^\| `(\w+)` \|", page, re.M)) == EVENTS
 
@@ -24,14 +24,14 @@
     assert EVENTS - written <= {"accepted", "left_out", "refused"}
 
 
-def test_the_page_of_operations_has_each_meter():
+def test_all_metrics_are_documented():
     page = (ROOT / "docs/OPERATIONS.md").read_text()
-    assert {name for name in METERS if f"`{name}`" in page} == METERS.keys()
+    assert {name for name in METRICS if f"`{name}`" in page} == METRICS.keys()
 
 
-def test_a_story_is_ordered_without_trusting_clocks(tmp_path, capsys):
-    # Two owners, whose steady clocks have nothing in common, and the instance that
-    # accepted the job; the older owner has the higher clock.
+def test_the_history_of_a_job_does_not_depend_on_clocks(tmp_path, capsys):
+    # The monotonic clocks of two owners and of the accepting instance are unrelated.
+    # The earlier owner has the higher clock, so sorting by time would swap the owners.
     def line(instance: str, at: float, event: str, **more: object) -> str:
         data = {"t": at, "event": event, "instance": instance, **more}
         return f"12.5 {instance} {json.dumps(data)}"
@@ -46,10 +46,10 @@
         "no event",
         "{broken}",
     ]
-    told = [
-        (e["instance"], e.get("run")) for e in order_lines(parse_lines(lines), "j1")
+    ordered = [
+        (e["instance"], e.get("run")) for e in order_events(parse_events(lines), "j1")
     ]
-    assert told == [("c", None), ("a", 1), ("b", 2)]
+    assert ordered == [("c", None), ("a", 1), ("b", 2)]
     path = tmp_path / "log"
     path.write_text("\n".join(lines))
     assert main(["j1", str(path)]) == 0
--- a/plantainyard/entry/wall_clock.py
+++ b/plantainyard/entry/wall_clock.py
@@ -1,4 +1,4 @@
-"""The time of day, for due times of schedules and ages across processes only."""
+"""Wall-clock time, used only for due times of schedules and ages across processes."""
 
 import time
 
@@ -6,5 +6,5 @@
 
 
 def read_wall_clock_ms() -> float:
-    """Return Unix milliseconds; may jump by seconds in either direction."""
+    """Return the time in Unix milliseconds, which may jump by seconds either way."""
     return time.time() * 1000
