--- a/plantainyard/dispatch/leases.py
+++ b/plantainyard/dispatch/leases.py
@@ -1,45 +1,48 @@
-"""Leases: how long what was ordered at a runner can still be at work."""
+"""Leases that bound how long runs may continue without contact to their owner."""
 
 from plantainyard.dispatch.limits import Limits
 from plantainyard.dispatch.model import Runner
 
-__all__ = ["has_lease_expired", "grant_lease", "record_clock"]
+__all__ = ["grant_lease", "has_lease_expired", "record_clock"]
 
 
 def record_clock(runner: Runner, clock_ms: int, now: float) -> None:
-    """Take in the runner's clock from an answer that came at `now`."""
+    """Record the runner's clock according to an answer that came at `now`."""
     runner.clock_ms = clock_ms
     runner.clock_at = now
 
 
 def grant_lease(runner: Runner, limits: Limits, renewed_at: float, now: float) -> int:
-    """Return the time on the runner's clock until which a call grants a lease.
+    """Return the end of the lease that a call grants, and extend the runner's bound.
 
     Parameters
     ----------
     runner : Runner
-        Whom the call goes to.
+        The runner that is called.
     limits : Limits
-        Length and drift.
+        Length of leases and drift of clocks.
     renewed_at : float
-        When the last renewal of the ownership that succeeded was sent.
+        When the last successful renewal of the ownership was sent.
     now : float
         The dispatcher's clock.
 
+    Returns
+    -------
+    int
+        Time on the runner's clock in milliseconds; 0, which grants nothing, if that
+        clock is unknown.
+
     Notes
     -----
-    Zero where the clock isn't known: such a call grants nothing.
-
     Guards against two runs of one task: an owner that is cut off from the store
     together with a runner would keep that runner's tasks alive, while a successor that
-    can't reach the runner waits for the longest lease and starts them elsewhere. No
-    lease goes beyond the longest one from the last renewal of the ownership, and a
-    successor is named only later than that renewal.
-
-    The bound on this
-    side is noted before the call is sent, so that a call whose answer is lost counts
-    too. A runner's clock may be slow, but is read as if it were exact: the lease then
-    ends later on this side, which the bound allows for.
+    can't reach the runner waits for the longest lease and starts them elsewhere.
+    Therefore no lease extends beyond the longest lease after the last renewal of the
+    ownership, and a successor is elected only after that renewal.
+
+    The bound on this side is recorded before the call is sent, so that calls whose
+    answer is lost are covered too. A runner's clock may be slow but is read as if it
+    were exact; the lease then ends later on this side, which the bound allows for.
     """
     if not runner.clock_at:
         return 0
@@ -53,5 +56,5 @@
 
 
 def has_lease_expired(runner: Runner, now: float) -> bool:
-    """Return whether nothing that was ordered there can still be at work."""
+    """Return whether everything that was ordered at the runner has surely stopped."""
     return now > runner.lease_bound
--- a/plantainyard/dispatch/limits.py
+++ b/plantainyard/dispatch/limits.py
@@ -1,20 +1,20 @@
-"""Times and weights of the dispatcher, with the origin of each figure."""
+"""Time limits and thresholds of the dispatcher."""
 
 from typing import NamedTuple
 
 __all__ = ["Limits", "choose_lease"]
 
 MAX_LEASE_S = 5.0
-"""Longest lease that an owner asks for, where the platform bounds it no shorter: the
-tasks of a runner that is cut off stay blocked so long."""
+"""Longest lease that an owner requests unless the platform allows less: the tasks of a
+runner that is cut off stay blocked for that long."""
 
 MIN_LEASE_S = 2.8
-"""Shortest lease that is of use: a second between two renewals, 1.2 s until the group
-misses an owner, 0.3 s until the next one has taken over, and as much again."""
+"""Shortest useful lease: 1 s between two renewals, 1.2 s until the group misses an
+owner, 0.3 s until its successor has taken over, and as much again."""
 
 CANCEL_MARGIN_S = 0.2
 """Time by which a lease ends before the bound on cancelled work: a runner's clock that
-is 2 % slow adds 0.1 s to it."""
+is 2 % slow adds 0.1 s to the lease."""
 
 
 class Limits(NamedTuple):
@@ -23,36 +23,39 @@
     Attributes
     ----------
     lease_s : float
-        Lease of everything at a runner; see `choose_lease`.
+        Lease on everything that runs at a runner; see `choose_lease`.
     longest_lease_s : float
-        The most that a runner grants; bounds what a predecessor may have ordered.
+        Longest lease that a runner grants; bounds what a predecessor may have ordered.
     clock_drift : float
-        How much slower a runner's clock may be; the platform says 2 %.
+        Relative amount by which a runner's clock may be slow; the platform specifies
+        2 %.
     lease_slack_s : float
-        Added to bounds of leases for the time between a lapse and the last kill.
+        Added to the bounds of leases for the time between a lapse and the last kill.
     report_wait_s : float
-        Longest wait of a report for an end; one renewal of the lease each.
+        Longest time for which a report request waits for a run to end; each request
+        renews the lease once.
     watched_report_wait_s : float
-        The same where a serving task shares its runner with backfilling ones: the
-        platform's figures cover half a second, and harm must be seen twice within it.
+        The same if a serving task shares its runner with backfill tasks: the platform's
+        tail latencies cover half a second, in which interference must be seen twice.
     idle_report_interval_s : float
-        Time between looks at a runner that runs nothing: a runner that died is found
-        before a task is sent there.
+        Time between report requests to a runner without tasks, so that a dead runner is
+        detected before a task is sent there.
     report_retry_s : float
-        Time between attempts at a runner that doesn't answer.
+        Time between report requests to a runner that doesn't answer.
     order_retry_s : float
-        Time between repeats of an order that wasn't answered.
+        Time between repetitions of an unanswered order.
     refusal_pause_s : float
         Pause of a task after a runner refused it.
     missed_target_s : float
-        A serving task may be over its target for so long.
+        Longest time for which a serving task may exceed its latency target.
     quarantine_s : float
-        Time for which a runner that fails what it starts gets no tasks whose attempts
-        are limited; about the length of such a fault's first half.
+        Time for which a runner that fails the tasks that it starts gets no tasks with
+        limited attempts; about half the duration of such a fault.
     quarantine_after : float
-        Failures of tasks that hadn't failed elsewhere, without a success between.
+        Number of failures without a success in between, of tasks that hadn't failed
+        elsewhere, that lead to quarantine.
     remote_factor : float
-        How many times as long a task takes away from its rack.
+        Factor by which a task takes longer away from its preferred rack.
     """
 
     lease_s: float = MAX_LEASE_S
@@ -72,27 +75,29 @@
 
 
 def choose_lease(longest_lease_s: float, cancelled_s: float) -> float:
-    """Return how long a lease an owner asks for, in seconds.
+    """Return the length of the leases that an owner requests, in seconds.
 
     Parameters
     ----------
     longest_lease_s : float
-        The most that a runner grants.
+        Longest lease that a runner grants.
     cancelled_s : float
-        Time after which nothing of a cancelled job may be at work any more.
+        Time after which nothing of a cancelled job may still be running.
 
     Notes
     -----
-    Long enough for a successor to renew it after its predecessor fell silent: 1.2 s
-    until that is noticed, and 0.03 to 0.3 s to take over on most days. Short, since the
-    tasks of a runner that is cut off stay blocked so long.
+    The lease is long enough for a successor to renew it after its predecessor fell
+    silent: that takes 1.2 s to be noticed, and the take-over another 0.03 to 0.3 s on
+    most days. It is short, because the tasks of a runner that is cut off stay blocked
+    until it ends.
 
-    Guards against cancelled work that goes on: where regions are cut off from each
-    other no stop reaches a runner on the other side, and only the end of its lease
-    stops what is there. Asked for just before the cut, it ends within the bound.
+    Guards against cancelled work that keeps running: if regions are cut off from each
+    other, no stop reaches a runner on the other side, and only the end of its lease
+    stops what runs there. Even a lease that is requested just before the cut ends
+    within the bound.
 
     Guards against work that ends with each change of owner: a bound so short that no
-    successor could renew the lease in time isn't followed below `MIN_LEASE_S`.
+    successor could renew the lease in time is not followed below `MIN_LEASE_S`.
 
     Examples
     --------
--- a/plantainyard/dispatch/load.py
+++ b/plantainyard/dispatch/load.py
@@ -1,4 +1,4 @@
-"""How full a unit is, as its owner tells the owners of others."""
+"""Load of a unit, as its owner reports it to the owners of other units."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -9,30 +9,32 @@
     *(500, 1_000, 1_500, 2_000, 2_500, 3_000, 3_500, 4_000),
     *(5_000, 6_000, 8_000, 10_000, 12_000, 16_000),
 )
-"""Sizes of tasks for which room is counted, in thousandths of a core; larger ones are
-judged by gaps."""
+"""Task sizes for which slots are counted, in thousandths of a core; for larger tasks
+only the largest gap is considered."""
 
 
 class Load(NamedTuple):
-    """How full a unit is, in parts of its usable processors.
+    """Load of a unit, as shares of its usable processors unless stated otherwise.
+
+    Tasks that run to completion on reserved processors are called finite.
 
     Attributes
     ----------
     reserved : float
-        Taken by counted and long-running tasks.
+        Reserved by finite and long-running tasks.
     backfill : float
-        Asked for by backfilling tasks.
+        Requested by backfill tasks.
     waiting, waiting_backfill : float
-        The same, asked for by tasks that wait.
+        The same for tasks that wait.
     gap : int
-        Processor time that isn't reserved at the runner where most of it is free, in
-        thousandths of a core.
+        Unreserved processor time of the runner that has most of it, in thousandths of a
+        core.
     slots : sequence of int
-        By `SLOT_SIZES`, the tasks of that size that could be at work at a time beside
-        the long-running ones; empty where that isn't known.
+        By `SLOT_SIZES`, the number of tasks of that size that fit beside the
+        long-running ones; empty if unknown.
     ending : int
-        Thousandths of a core that counted jobs that end, and are of use, hold or wait
-        for.
+        Thousandths of a core that finite tasks hold or wait for, as far as the results
+        of their jobs are still of use.
     """
 
     reserved: float
@@ -45,4 +47,4 @@
 
 
 NO_RUNNERS_LOAD = Load(1.0, 1.0, 1.0, 1.0, 0)
-"""Load of a unit without runners: nobody hands it anything."""
+"""Load of a unit without runners; no work is handed over to it."""
--- a/plantainyard/dispatch/queue.py
+++ b/plantainyard/dispatch/queue.py
@@ -1,7 +1,8 @@
-"""In which order waiting work is placed when there is more of it than room.
+"""Order in which waiting work is placed when it exceeds the capacity.
 
-The load that it answers is a burst of wide jobs: work that is late already, and so
-worth little to its caller, must not delay work that can still be in time.
+Handles bursts of wide jobs: work that is already late, and so worth little to its
+caller, must not delay work that can still meet its deadline. A task is called finite if
+it runs to completion on reserved processors.
 """
 
 from collections.abc import Iterable
@@ -22,40 +23,40 @@
 
 
 CERTAIN_SHARE = 0.7
-"""Part of the estimated remaining time that is taken for certain when a job is judged
-to be late: estimates are off by half in either direction."""
+"""Share of the estimated remaining time that is taken as certain when deciding whether
+a job is late: estimates are off by half in either direction."""
 
 
 LATE_FACTOR = 3.0
 """Multiple of its objective up to which a late job is still of use to its caller: the
-platform's users count what comes later as not served."""
+platform's users count later results as not served."""
 
 
-class _Turn:
-    """Who is placed before whom, whatever the priority and the work."""
+class _Class:
+    """Classes of steps; a lower class is placed first, whatever priority and work."""
 
     INTERRUPTED = 0
-    COUNTED_IN_TIME = 1
-    COUNTED_LATE = 2
-    LASTING = 3
+    FINITE_IN_TIME = 1
+    FINITE_LATE = 2
+    LONG_RUNNING = 3
     REST = 4
 
 
-class _Delay:
-    """What becomes of a job that starts now."""
+class _Lateness:
+    """How late a job would end if its step started now."""
 
-    NONE = 0
+    IN_TIME = 0
     LATE = 1
-    OF_NO_USE = 2
+    USELESS = 2
 
 
-class _Rank(NamedTuple):
-    """Sort key of a step: the least comes first."""
+class _SortKey(NamedTuple):
+    """Sort key of a step; the smallest is placed first."""
 
-    turn: int
-    delay: int
+    step_class: int
+    lateness: int
     priority: int
-    work_left: float
+    remaining_work: float
     deadline: float
 
 
@@ -64,52 +65,58 @@
 
     Notes
     -----
-    Long-running tasks that were at work come first: their users are without service
-    until they run again. Counted tasks that can still be in time go before long-running
-    ones that never ran, since both need processors that are reserved: the gaps that are
-    left are enough for short tasks, and given away for good they would be lost. Counted
-    tasks that are late and still of use come next: they hold a gap for a second, and a
-    long-running one for a minute. Then the rest: what can still be in time, then what
-    is late and still of use, both by priority and by the work that is left, so that as
-    many callers as possible are served when there is more work than room; then what is
-    of no use any more, the oldest first: by work the largest would wait for ever. The
-    cost is that of sorting, and a pass over the steps of each job.
+    The order is:
+
+    1. Interrupted long-running tasks: their users are without service until they run
+       again.
+    2. Finite tasks that can still be in time. They go before long-running tasks that
+       never ran, since both need reserved processors: small gaps are sufficient for
+       short tasks, and would be lost to them if given away for good.
+    3. Finite tasks that are late but still of use: they occupy a gap for a second, a
+       long-running task for a minute.
+    4. Long-running tasks that never ran.
+    5. The rest. Work that can be in time goes first, then work that is late but still
+       of use, both by priority and remaining work, so that as many callers as possible
+       are served under overload. Work that is of no more use comes last, the oldest
+       first: ordered by work, the largest job would wait for ever.
+
+    The cost is that of sorting plus a pass over the steps of each job.
     """
-    return sorted(steps, key=lambda step: _rank(step, now))
+    return sorted(steps, key=lambda step: _make_sort_key(step, now))
 
 
-def _rank(step: StepRun, now: float) -> _Rank:
+def _make_sort_key(step: StepRun, now: float) -> _SortKey:
     job = step.job
-    delay = _find_delay(step, now)
-    return _Rank(
-        _find_turn(step, delay),
-        delay,
+    lateness = _find_lateness(step, now)
+    return _SortKey(
+        _find_class(step, lateness),
+        lateness,
         job.submission.priority,
-        0.0 if delay == _Delay.OF_NO_USE else measure_remaining_work(job),
+        0.0 if lateness == _Lateness.USELESS else measure_remaining_work(job),
         job.deadline,
     )
 
 
-def _find_delay(step: StepRun, now: float) -> int:
+def _find_lateness(step: StepRun, now: float) -> int:
     job = step.job
     ends_at = now + CERTAIN_SHARE * job.left_ms[step.number] / 1000
     if ends_at <= job.deadline:
-        return _Delay.NONE
-    return _Delay.LATE if ends_at <= job.useless_at else _Delay.OF_NO_USE
+        return _Lateness.IN_TIME
+    return _Lateness.LATE if ends_at <= job.useless_at else _Lateness.USELESS
 
 
-def _find_turn(step: StepRun, delay: int) -> int:
+def _find_class(step: StepRun, lateness: int) -> int:
     if step.spec.long_running:
         waiting = (task for task in step.tasks if task.phase == Phase.WAITING)
         interrupted = any(task.run for task in waiting)
-        return _Turn.INTERRUPTED if interrupted else _Turn.LASTING
-    if step.spec.backfill or delay == _Delay.OF_NO_USE:
-        return _Turn.REST
-    return _Turn.COUNTED_LATE if delay else _Turn.COUNTED_IN_TIME
+        return _Class.INTERRUPTED if interrupted else _Class.LONG_RUNNING
+    if step.spec.backfill or lateness == _Lateness.USELESS:
+        return _Class.REST
+    return _Class.FINITE_LATE if lateness else _Class.FINITE_IN_TIME
 
 
 def measure_remaining_work(job: Job) -> float:
-    """Return the estimated work that is left of a job's open steps, in core-seconds."""
+    """Return the estimated work of a job's unfinished tasks, in core-seconds."""
     return sum(
         (len(step.tasks) - step.done)
         * max(step.spec.resources.cpu, 1)
@@ -129,27 +136,27 @@
     >>> find_critical_paths_ms(steps)
     (12, 7)
     """
-    chains: dict[int, float] = {}
+    paths: dict[int, float] = {}
     followers = {
         number: [n for n, step in enumerate(steps) if number in step.after]
         for number in range(len(steps))
     }
-    left = set(followers)
-    while left:
-        ready = {n for n in left if not left.intersection(followers[n])}
+    remaining = set(followers)
+    while remaining:
+        ready = {n for n in remaining if not remaining.intersection(followers[n])}
         if not ready:
             break
         for number in ready:
-            longest = max((chains[n] for n in followers[number]), default=0)
-            chains[number] = steps[number].estimate_ms + longest
-        left -= ready
-    return tuple(chains.get(number, 0) for number in range(len(steps)))
+            longest = max((paths[n] for n in followers[number]), default=0)
+            paths[number] = steps[number].estimate_ms + longest
+        remaining -= ready
+    return tuple(paths.get(number, 0) for number in range(len(steps)))
 
 
 def find_deadline(
     submission: Submission, accepted: float, factor: float = 1.0
 ) -> float:
-    """Return the time until which a job meets its objective by its own estimates.
+    """Return the time until which a job meets its objective, by its own estimates.
 
     Parameters
     ----------
@@ -165,13 +172,13 @@
 
 def find_allowed_time_s(submission: Submission) -> float:
     """Return the time that a job may take by its own estimates, in seconds."""
-    chain_ms = max(find_critical_paths_ms(submission.steps))
-    allowed_ms = submission.stretch * chain_ms + submission.target_latency_ms
+    path_ms = max(find_critical_paths_ms(submission.steps))
+    allowed_ms = submission.stretch * path_ms + submission.target_latency_ms
     return allowed_ms / 1000
 
 
 def set_deadlines(job: Job, accepted: float) -> None:
-    """Take note of when a job is late, and when it is of no use any more."""
+    """Set the times from which a job is late, and from which it is of no more use."""
     job.deadline = find_deadline(job.submission, accepted)
     job.useless_at = find_deadline(job.submission, accepted, LATE_FACTOR)
 
--- a/plantainyard/dispatch/timing.py
+++ b/plantainyard/dispatch/timing.py
@@ -1,8 +1,8 @@
-"""Where the time of jobs goes: waiting, by reason, being ordered, working, slowed.
+"""Accounting of the time of jobs: waiting, by reason, being ordered, working, slowed.
 
-The load that it answers: a job that came late says nothing by its end. Its summary
-tells an engineer whether its tasks waited for room, for a place where they would harm
-nobody, or for their turn, or were at work and slowed.
+The end of a late job doesn't show why it was late. Its summary tells an engineer
+whether its tasks waited for capacity, for a runner that could spare them processors, or
+behind other work, or whether they ran slowly.
 """
 
 from collections.abc import Iterable
@@ -12,38 +12,39 @@
 
 __all__ = [
     "TimePart",
-    "explain_wait",
     "add_elapsed_time",
     "count_lost_run",
+    "explain_wait",
     "summarize_times",
 ]
 
 EXPLAIN_INTERVAL_S = 0.5
-"""Time between two looks at why a step waits; each is a pass over the runners."""
+"""Time between two searches for the reason why a step waits; each is a pass over the
+runners."""
 
 
 class TimePart:
-    """Names of the parts of a job's time, in task-seconds; and of runs lost.
+    """Names of the parts of a job's time, which are counted in task-seconds.
 
     Notes
     -----
     ``WAITING_RUNNER``
-        No runner may take it: none of its service or label, or all are silent.
+        No runner may take the task: none has its service or label, or all are silent.
     ``WAITING_CAPACITY``
-        None that may has room.
+        No eligible runner has the capacity.
     ``WAITING_PLACE``
-        Those with room promise a backfilling task too little speed beside what they
-        serve.
+        Runners with the capacity offer a backfill task too little speed beside their
+        serving tasks.
     ``WAITING_TURN``
-        Other work went before it, or its last look was too short ago.
+        Other work was placed first, or the last search was too recent.
     ``ORDERED``
-        Assigned, until a runner has said that it runs.
+        Assigned, until a runner has confirmed that it runs.
     ``WORKING``
-        At work, as far as its pace let it.
+        Running, in proportion to the task's pace.
     ``SLOWED``
-        The rest of that time.
+        Running, the rest of that time.
     ``STOPPING``
-        From a stop to its end.
+        From a stop until the run has ended.
     """
 
     WAITING_RUNNER = "waiting_runner"
@@ -57,11 +58,11 @@
 
 
 def explain_wait(step: StepRun, task: Task, runners: list[Runner], now: float) -> None:
-    """Take note of why a task that has found no runner waits.
+    """Record why a task that found no runner waits.
 
     Notes
     -----
-    The whole step is taken to wait for the same reason. The cost is at most two passes
+    The reason is assumed to apply to the whole step. The cost is at most two passes
     over the runners, every half second for each step.
     """
     if now - step.explained_at < EXPLAIN_INTERVAL_S:
@@ -77,11 +78,11 @@
 
 
 def add_elapsed_time(jobs: Iterable[Job], elapsed_s: float) -> None:
-    """Add the time since the last look to the parts in which jobs' tasks are now.
+    """Add the time since the last call to the parts that apply to the jobs' tasks now.
 
     Notes
     -----
-    Tasks that wait for earlier steps count nothing. The cost is a pass over the tasks
+    Tasks that wait for earlier steps are not counted. The cost is a pass over the tasks
     of all open jobs.
     """
     for job in jobs:
@@ -89,10 +90,10 @@
             continue
         for step in job.steps.values():
             if step.done < len(step.tasks):
-                _measure_step(job, step, elapsed_s)
+                _add_step_time(job, step, elapsed_s)
 
 
-def _measure_step(job: Job, step: StepRun, elapsed_s: float) -> None:
+def _add_step_time(job: Job, step: StepRun, elapsed_s: float) -> None:
     for task in step.tasks:
         if task.phase == Phase.RUNNING:
             pace = max(0, task.pace) / 100 if step.spec.backfill else 1.0
@@ -113,9 +114,9 @@
         job.times[part] = job.times.get(part, 0.0) + seconds
 
 
-def count_lost_run(job: Job, how: str) -> None:
-    """Count a run that ended otherwise than done, by how it ended."""
-    job.lost[how] = job.lost.get(how, 0) + 1
+def count_lost_run(job: Job, outcome: str) -> None:
+    """Count a run that ended without being done, by its outcome."""
+    job.lost[outcome] = job.lost.get(outcome, 0) + 1
 
 
 def summarize_times(job: Job) -> dict[str, float]:
