--- a/plantainyard/presence.py
+++ b/plantainyard/presence.py
@@ -60,8 +60,9 @@
 
 _QUERY_S = 5.0
 _PEER_TIMEOUT_S = 2.0
-_UNKNOWN_AGE_S = 1e9
+_MAX_AGE_S = 1e9
 _LIST_PROPAGATION_S = 30.0
+"""Time within which every instance has read the new instance list."""
 
 _logger = logging.getLogger(__name__)
 
@@ -119,7 +120,7 @@
         ready=local.ready,
         draining=local.draining,
         incarnation=local.incarnation,
-        config_age_s=min(config.age_s, _UNKNOWN_AGE_S) if config else _UNKNOWN_AGE_S,
+        config_age_s=min(config.age_s, _MAX_AGE_S) if config else _MAX_AGE_S,
         knows_config=config is not None and knows_newest(local.settings, config),
     )
 
--- a/plantainyard/transport.py
+++ b/plantainyard/transport.py
@@ -47,7 +47,7 @@
 DEFAULT_CONNECT_S = 1.0
 DEFAULT_TIMEOUT_S = 3.0
 
-PARSED_ADDRESSES = 1024
+ADDRESS_CACHE_SIZE = 1024
 """Size of the cache of parsed addresses: four times the runners of a large site."""
 
 GONE = 410
@@ -119,7 +119,7 @@
 
 
 def discard_observation(step: str, result: str, seconds: float) -> None:
-    """Do nothing; the observer where calls are not measured."""
+    """Ignore a call; the default observer."""
 
 
 def classify_result(result: Result[HttpResponse, CallError]) -> str:
@@ -190,7 +190,7 @@
     return _read_response(peer, step, response, deadline, expected_headers or {})
 
 
-@lru_cache(maxsize=PARSED_ADDRESSES)
+@lru_cache(maxsize=ADDRESS_CACHE_SIZE)
 def _parse_address(address: str) -> Url:
     """Return the components of a peer's address.
 
