--- a/plantainyard/dispatch/planning.py
+++ b/plantainyard/dispatch/planning.py
@@ -1,4 +1,4 @@
-"""Assigning waiting tasks to runners."""
+"""Assignment of waiting tasks to runners, and moves to better runners."""
 
 from itertools import groupby
 from typing import NamedTuple
@@ -25,43 +25,45 @@
 __all__ = ["plan_moves", "plan_starts"]
 
 SLOW_PACE = 30
-"""Share of full speed below which a task is better off elsewhere."""
+"""Pace, in percent, below which a backfill task should move to another runner."""
 
 SLOW_PERIOD_S = 0.8
-"""Time at such a pace after which it moves; a swing of load is often over sooner."""
+"""Time at such a pace after which a task moves; a swing of the serving load is often
+over sooner."""
 
 MAX_LOST_PERCENT = 40
-"""Progress up to which a task without checkpoints is moved: it starts anew."""
+"""Progress, in percent, up to which a task without checkpoints is moved: it loses this
+progress, as it starts from the beginning."""
 
 STALL_S = 2.0
-"""Time without progress after which a task counts as standing still; one that takes a
-minute moves by a percent in 0.6 s."""
+"""Time without progress after which a task counts as stalled; one that takes a minute
+advances by a percent in 0.6 s."""
 
 IDLE_FLEET_SHARE = 0.55
-"""Part of the processors that is reserved below which the fleet counts as idle: half,
-and what the measure may be behind."""
+"""Share of reserved processors below which the fleet counts as idle: half, plus an
+allowance for the age of the measurement."""
 
 MAX_MOVES = 8
-"""Tasks moved at a time: each changes what is expected of its new place."""
+"""Tasks moved at a time: each move changes the expected speed at its new runner."""
 
 MAX_STARTS = 200
-"""Tasks assigned with one commit: bounds its size and the time until the first of
-them starts."""
+"""Tasks assigned with one commit: bounds the commit's size and the time until the first
+of its tasks starts."""
 
 
 class _Kind(NamedTuple):
-    """What besides its size decides where a task may start."""
+    """The properties besides its size that decide where a task may start."""
 
     service: str
     image: str
     requires: str
     long_running: bool
     ran: bool
-    least_speed: float
+    min_speed: float
 
 
 _Unplaced = dict[_Kind, list[Resources]]
-"""Sizes of tasks that found no runner in this pass, by kind."""
+"""By kind, the sizes of tasks that found no runner in this pass."""
 
 
 def plan_starts(state: Dispatcher, now: float) -> None:
@@ -69,16 +71,17 @@
 
     Notes
     -----
-    Guards against an owner that falls behind while work piles up: a step that has found
-    no place looks again at the runners that have changed since, and at all of them with
-    each tick, for what changes by time alone.
-
-    Once a task of a step finds no runner the rest of the step isn't tried: its tasks
-    are alike. Nor are tasks of other jobs that are of the same kind and need at least
-    as much: a pass only takes room. The cost is one pass over the runners for each step
-    of which a task is placed, and for each kind and size that finds no place.
+    Guards against an owner that falls behind while work accumulates: a step that found
+    no runner examines only the runners that have changed since, and all of them with
+    each tick, as some conditions depend on time alone.
+
+    Once a task of a step finds no runner, the rest of the step isn't tried, since its
+    tasks are alike. Neither are tasks of other jobs that are of the same kind and need
+    at least as much: capacity only decreases during a pass. The cost is one pass over
+    the runners for each step of which a task is placed, and for each kind and size that
+    finds no runner.
     """
-    ready = [s for job in state.jobs.values() for s in _find_ready(job)]
+    ready = [s for job in state.jobs.values() for s in _list_ready_steps(job)]
     runners = list(state.runners.values())
     changed = [runner for runner in runners if runner.incarnation in state.changed]
     search_all = state.search_all
@@ -87,41 +90,44 @@
     unplaced: _Unplaced = {}
     for step in order_steps(ready, now):
         if len(state.assigned) >= MAX_STARTS:
-            # What wasn't looked at must not be taken for what found no place.
+            # Steps that weren't tried must not count as steps without a runner.
             state.search_all = True
             return
-        again = step.searched and not search_all
+        partial = step.searched and not search_all
         if not step.spec.gang:
             _place_tasks(
-                state, step, changed if again else runners, unplaced, again, now
+                state, step, changed if partial else runners, unplaced, partial, now
             )
-        elif not again:
+        elif not partial:
             _place_gang(state, step, runners, now)
 
 
 def plan_moves(state: Dispatcher, now: float) -> None:
-    """Stop tasks that would be better off on another runner that is free for them.
+    """Stop tasks that would run better on another runner with capacity for them.
 
     Notes
     -----
-    Guards against three kinds of work that stands still. A slowed backfilling task
-    keeps its memory and finishes late, while on a runner whose serving tasks don't
-    mind its image it would work at full speed. What is on a draining runner ends with
-    it: moved before, a serving task is away for the time of a stop and a start, and a
-    task with checkpoints loses nothing. A task that makes no progress on a runner
-    where tasks stand still never ends; its runner is taken for a bad one.
+    Guards against three kinds of work without progress:
+
+    - A slowed backfill task holds its memory and finishes late, while it would run at
+      full speed on a runner whose serving tasks aren't sensitive to its image.
+    - The tasks of a draining runner end with it. If it is moved before, a serving task
+      is unavailable only for the time of a stop and a start, and a task with
+      checkpoints loses nothing.
+    - A task on a runner where tasks stall never ends; its runner is recorded as
+      failing.
     """
     runners = list(state.runners.values())
-    moving = [
+    candidates = [
         (runner, task)
         for runner in runners
         if runner.answering and runner.entry is not None
         for task in runner.tasks.values()
         if task.phase == Phase.RUNNING and _should_move(runner, task, now)
     ]
-    for runner, task in moving[:MAX_MOVES]:
+    for runner, task in candidates[:MAX_MOVES]:
         if _is_stalled(task, now):
-            _blame_for_stall(state, runner, task, now)
+            _record_stall(state, runner, task, now)
         others = [other for other in runners if other is not runner]
         task.waiting_since = now
         if (
@@ -133,14 +139,16 @@
 
 def _should_move(runner: Runner, task: Task, now: float) -> bool:
     return (
-        _is_stuck(task, now) or _must_leave(runner, task, now) or _is_stalled(task, now)
+        _is_slowed(task, now)
+        or _must_leave(runner, task, now)
+        or _is_stalled(task, now)
     )
 
 
-def _is_stuck(task: Task, now: float) -> bool:
-    cheap = task.step.spec.saves_progress or task.percent < MAX_LOST_PERCENT
+def _is_slowed(task: Task, now: float) -> bool:
+    movable = task.step.spec.saves_progress or task.percent < MAX_LOST_PERCENT
     slow = task.step.spec.backfill and task.pace < SLOW_PACE
-    return slow and cheap and now - task.slowed_at > SLOW_PERIOD_S
+    return slow and movable and now - task.slowed_at > SLOW_PERIOD_S
 
 
 def _must_leave(runner: Runner, task: Task, now: float) -> bool:
@@ -149,7 +157,7 @@
         return False
     if task.step.spec.long_running:
         return True
-    # What is nearly done may finish; the rest resumes elsewhere.
+    # A task that ends in time may finish; others resume from a checkpoint elsewhere.
     assert task.settled_at is not None
     elapsed_s = now - task.settled_at
     left_s = elapsed_s * (100 - task.percent) / max(task.percent, 1)
@@ -161,7 +169,7 @@
     return not paced and task.percent < 100 and now - task.moved_at > STALL_S
 
 
-def _blame_for_stall(state: Dispatcher, runner: Runner, task: Task, now: float) -> None:
+def _record_stall(state: Dispatcher, runner: Runner, task: Task, now: float) -> None:
     assert runner.entry is not None
     task.avoided.add(runner.entry.runner)
     runner.bad += 1.0
@@ -169,7 +177,7 @@
         runner.quarantined_until = now + state.limits.quarantine_s
 
 
-def _find_ready(job: Job) -> list[StepRun]:
+def _list_ready_steps(job: Job) -> list[StepRun]:
     if job.cancelled or job.ended:
         return []
     return [
@@ -191,62 +199,80 @@
     step: StepRun,
     runners: list[Runner],
     unplaced: _Unplaced,
-    again: bool,
+    partial: bool,
     now: float,
 ) -> None:
-    """Place what waits of a step; `again` where some runners only are looked at."""
+    """Place the waiting tasks of a step.
+
+    Parameters
+    ----------
+    state : Dispatcher
+        Changed in place.
+    step : StepRun
+        The step.
+    runners : list of Runner
+        The runners to examine.
+    unplaced : dict
+        Kinds and sizes that found no runner; added to.
+    partial : bool
+        `runners` are only those that changed since the last search.
+    now : float
+        The dispatcher's clock.
+    """
     allowed = _narrow_to_rack(step, runners)
     ranked: dict[bool, RankedPlaces] = {}
     assigned: list[Runner] = []
-    for task in _begin_waiting(step, now):
+    for task in _start_waiting(step, now):
         kind = _find_kind(state, task, now)
-        if _fits_nowhere(step.spec.resources, unplaced.get(kind, [])):
-            _leave_waiting(step, task, allowed, again, now)
+        if _exceeds_unplaced(step.spec.resources, unplaced.get(kind, [])):
+            _leave_waiting(step, task, allowed, partial, now)
             return
         has_run = task.run > 0
         if has_run not in ranked:
             ranked[has_run] = rank_places(task, allowed, state.interference, now)
         places = ranked[has_run]
         refresh_places(places, task, assigned, state.interference, now)
-        idle = _is_idle(state)
+        idle = _is_fleet_idle(state)
         runner = choose_place(task, places, state.limits, state.interference, now, idle)
         if runner is None:
-            if allowed is runners and not again and not step.spec.max_per_runner:
+            if allowed is runners and not partial and not step.spec.max_per_runner:
                 unplaced.setdefault(kind, []).append(step.spec.resources)
-            _leave_waiting(step, task, allowed, again, now)
+            _leave_waiting(step, task, allowed, partial, now)
             return
         _assign(state, task, runner, task.run + 1, now)
         assigned.append(runner)
 
 
 def _leave_waiting(
-    step: StepRun, task: Task, runners: list[Runner], again: bool, now: float
+    step: StepRun, task: Task, runners: list[Runner], partial: bool, now: float
 ) -> None:
     step.searched = True
-    if not again:
+    if not partial:
         explain_wait(step, task, runners, now)
 
 
 def _find_kind(state: Dispatcher, task: Task, now: float) -> _Kind:
     spec = task.step.spec
-    least = find_min_speed(task, now, _is_idle(state)) if spec.backfill else 0.0
+    min_speed = (
+        find_min_speed(task, now, _is_fleet_idle(state)) if spec.backfill else 0.0
+    )
     return _Kind(
         task.step.job.submission.service,
         spec.image if spec.backfill else "",
         spec.requires,
         spec.long_running,
         task.run > 0,
-        least,
+        min_speed,
     )
 
 
-def _fits_nowhere(wanted: Resources, unplaced: list[Resources]) -> bool:
-    """Return whether something no larger than `wanted` has found no runner.
+def _exceeds_unplaced(wanted: Resources, unplaced: list[Resources]) -> bool:
+    """Return whether a task that is no larger than `wanted` has found no runner.
 
     Notes
     -----
-    Guards against an owner that plans all the time while work piles up: each of
-    hundreds of waiting steps looked through all runners, ten times a second.
+    Guards against an owner that does nothing but plan while work accumulates: each of
+    hundreds of waiting steps would examine all runners, ten times a second.
     """
     return any(
         size.cpu <= wanted.cpu
@@ -256,14 +282,15 @@
     )
 
 
-def _begin_waiting(step: StepRun, now: float) -> list[Task]:
-    """Return the step's tasks that may start now, all of which wait from now on.
+def _start_waiting(step: StepRun, now: float) -> list[Task]:
+    """Return the step's tasks that may start now, and start their waiting times.
 
     Notes
     -----
-    Guards against tasks that wait their limits out one after the other: where the time
-    of each ran only once the one before had found a place, the second of two
-    interrupted tasks was handed over 0.6 s after the first, and the eighth 5 s after.
+    Guards against tasks whose time limits run one after the other: if the waiting time
+    of each began only when the previous one had found a runner, the second of two
+    interrupted tasks would be handed over 0.6 s after the first, and the eighth 5 s
+    after it.
     """
     ready = [t for t in step.tasks if t.phase == Phase.WAITING and t.not_before <= now]
     for task in ready:
@@ -271,24 +298,24 @@
     return ready
 
 
-def _choose(
+def _choose_gang_runner(
     state: Dispatcher, task: Task, runners: list[Runner], now: float
 ) -> Runner | None:
-    idle = _is_idle(state)
+    idle = _is_fleet_idle(state)
     return choose_runner(task, runners, state.limits, state.interference, now, idle)
 
 
-def _is_idle(state: Dispatcher) -> bool:
+def _is_fleet_idle(state: Dispatcher) -> bool:
     return state.load.reserved < IDLE_FLEET_SHARE
 
 
 def _place_gang(
     state: Dispatcher, step: StepRun, runners: list[Runner], now: float
 ) -> None:
-    """Place all tasks of a gang or none: a part of one only takes room."""
-    if len(_begin_waiting(step, now)) < len(step.tasks):
+    """Place all tasks of a gang or none: a part of a gang would only hold capacity."""
+    if len(_start_waiting(step, now)) < len(step.tasks):
         return
-    for allowed in _choices_of_racks(step, runners):
+    for allowed in _list_rack_choices(step, runners):
         placed = _try_gang(state, step, allowed, now)
         if placed:
             run = max(task.run for task in step.tasks) + 1
@@ -304,7 +331,7 @@
 ) -> list[tuple[Task, Runner]]:
     placed: list[tuple[Task, Runner]] = []
     for task in step.tasks:
-        runner = _choose(state, task, runners, now)
+        runner = _choose_gang_runner(state, task, runners, now)
         if runner is None:
             break
         reserve_resources(runner, task)
@@ -314,26 +341,26 @@
     return placed if len(placed) == len(step.tasks) else []
 
 
-def _choices_of_racks(step: StepRun, runners: list[Runner]) -> list[list[Runner]]:
+def _list_rack_choices(step: StepRun, runners: list[Runner]) -> list[list[Runner]]:
     if not step.spec.same_rack:
         return [runners]
-    by_rack = sorted(runners, key=_rack_of)
-    racks = [list(group) for _, group in groupby(by_rack, key=_rack_of)]
+    by_rack = sorted(runners, key=_get_rack)
+    racks = [list(group) for _, group in groupby(by_rack, key=_get_rack)]
     return [*racks, runners]
 
 
 def _narrow_to_rack(step: StepRun, runners: list[Runner]) -> list[Runner]:
-    """Return the runners of the rack that the step has begun on, if it must be one."""
+    """Return the runners of the rack in use, if the step must share one."""
     if not step.spec.same_rack:
         return runners
-    out = {task.incarnation for task in step.tasks if task.incarnation}
-    racks = {_rack_of(runner) for runner in runners if runner.incarnation in out}
+    used = {task.incarnation for task in step.tasks if task.incarnation}
+    racks = {_get_rack(runner) for runner in runners if runner.incarnation in used}
     if len(racks) != 1:
         return runners
-    return [runner for runner in runners if _rack_of(runner) in racks]
+    return [runner for runner in runners if _get_rack(runner) in racks]
 
 
-def _rack_of(runner: Runner) -> str:
+def _get_rack(runner: Runner) -> str:
     return runner.entry.rack if runner.entry else ""
 
 
@@ -348,7 +375,7 @@
     task.step.searched = False
     reserve_resources(runner, task)
     if task.step.spec.backfill or task.step.spec.target_ms:
-        # What is there already is slowed before the newcomer adds to the harm.
+        # Slow the backfill tasks there before the new task adds to the interference.
         pace_backfill(state, runner, now)
     state.assigned.append(task)
     mark_dirty(state, task.step)
