--- a/plantainyard/batch/checks.py
+++ b/plantainyard/batch/checks.py
@@ -10,7 +10,8 @@
 MAX_STEPS = 1_000
 """Maximum number of steps in a job; bounds the work of validating one request.
 
-The limit is far above what callers use."""
+The limit is far above what callers use.
+"""
 
 MAX_TASKS = 100_000
 """Maximum number of tasks over all steps of a job; bounds the memory of a request."""
--- a/plantainyard/batch/replica.py
+++ b/plantainyard/batch/replica.py
@@ -110,12 +110,12 @@
         replica.interference = value
         return ""
     try:
-        found = parse_key(key)
-        _apply_to_job(replica, found, value)
+        parsed = parse_key(key)
+        _apply_to_job(replica, parsed, value)
     except (ValueError, TypeError, KeyError, AttributeError) as error:
         _logger.warning("unreadable record %s: %r", key, error)
         return ""
-    return found.job_id
+    return parsed.job_id
 
 
 def _apply_to_job(replica: Replica, key: StoredKey, value: bytes) -> None:
--- a/plantainyard/entry/caller_api.py
+++ b/plantainyard/entry/caller_api.py
@@ -58,8 +58,8 @@
 RETRY_WINDOW_S = 1.4
 """Time in seconds after which no further attempt is started.
 
-Callers wait about three seconds, which must leave time for a second attempt on another
-connection.
+Callers wait about three seconds, and a second attempt on another connection must finish
+within that time.
 """
 
 MAX_COUNT_THREADS = 12
@@ -238,18 +238,18 @@
 
 
 def _describe(instance: Instance, job_id: str) -> Response:
-    found = find_job(instance, job_id)
-    if isinstance(found, Err):
-        return _refuse(found.err_value, Reason.STORE)
-    _, job = found.ok_value
+    lookup = find_job(instance, job_id)
+    if isinstance(lookup, Err):
+        return _refuse(lookup.err_value, Reason.STORE)
+    _, job = lookup.ok_value
     return Response(OK, {"state": job.state}) if job.state else _NO_SUCH_JOB
 
 
 def _cancel(instance: Instance, job_id: str) -> Response:
-    found = find_job(instance, job_id)
-    if isinstance(found, Err):
-        return _refuse(found.err_value, Reason.STORE)
-    unit, job = found.ok_value
+    lookup = find_job(instance, job_id)
+    if isinstance(lookup, Err):
+        return _refuse(lookup.err_value, Reason.STORE)
+    unit, job = lookup.ok_value
     if not job.state:
         return _NO_SUCH_JOB
     if job.state in FinalStates.ALL:
--- a/plantainyard/entry/inspection.py
+++ b/plantainyard/entry/inspection.py
@@ -55,15 +55,15 @@
     if not instance.copies:
         return {"known": False}
     copy = instance.find_copy(job_id)
-    found = look_up_job(copy, job_id)
+    lookup = look_up_job(copy, job_id)
     owned = instance.owned.get(copy.unit)
     owner = instance.layout.owners.get(copy.unit)
     job = owned.context.dispatcher.jobs.get(job_id) if owned else None
     return {
-        "known": bool(found.state),
-        "state": found.state,
+        "known": bool(lookup.state),
+        "state": lookup.state,
         "unit": copy.unit,
-        "moved": found.moved,
+        "moved": lookup.moved,
         "owner": owner.address if owner else None,
         "tasks": _describe_tasks(job, read_clock()) if job else None,
     }
--- a/plantainyard/entry/story.py
+++ b/plantainyard/entry/story.py
@@ -13,7 +13,7 @@
 
 __all__ = ["main", "order_events", "parse_events"]
 
-_OBJECT = re.compile(r"\{.*\}")
+_JSON_OBJECT = re.compile(r"\{.*\}")
 
 
 class _SortKey(NamedTuple):
@@ -36,11 +36,11 @@
     """Return the events in `lines`, ignoring text before the JSON object of a line."""
     events = []
     for line in lines:
-        found = _OBJECT.search(line)
-        if found is None:
+        match = _JSON_OBJECT.search(line)
+        if match is None:
             continue
         try:
-            data = json.loads(found.group())
+            data = json.loads(match.group())
         except ValueError:
             continue
         if isinstance(data, dict) and "event" in data and "instance" in data:
--- a/plantainyard/entry/tests/test_caller_api.py
+++ b/plantainyard/entry/tests/test_caller_api.py
@@ -63,8 +63,8 @@
 def test_invalid_submissions_are_rejected_with_an_error(body, status):
     store = StoreState()
     with run_instance(store) as instance:
-        found, answer = call(instance, "POST", f"/jobs/{JOB}", body)
-        assert (found, bool(answer["error"])) == (status, True)
+        found_status, found_body = call(instance, "POST", f"/jobs/{JOB}", body)
+        assert (found_status, bool(found_body["error"])) == (status, True)
         assert call(instance, "POST", "/jobs/xyz", BODY)[0] == 400
     assert store.newest(INTAKE) == {}
 
--- a/plantainyard/platform/entries.py
+++ b/plantainyard/platform/entries.py
@@ -47,7 +47,7 @@
 
     @property
     def incarnation(self) -> str:
-        """Return the name of this life of the runner."""
+        """Return the name of this incarnation, which consists of id and start time."""
         return f"{self.runner}@{self.started_at_ms}"
 
     @property
--- a/plantainyard/platform/settings.py
+++ b/plantainyard/platform/settings.py
@@ -111,8 +111,8 @@
     try:
         data = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        found = re.search(r"line (\d+)", str(error))
-        line = int(found.group(1)) if found else 0
+        match = re.search(r"line (\d+)", str(error))
+        line = int(match.group(1)) if match else 0
         return Err(SettingsFault(path, line, "", str(error)))
     try:
         return Ok(_decode(data))
