--- a/plantainyard/entry/peers.py
+++ b/plantainyard/entry/peers.py
@@ -1,4 +1,4 @@
-"""Calls between instances: the owner's word on jobs, counts and loads."""
+"""Calls between instances: queries to owners of units, and the answers to them."""
 
 from collections.abc import Callable, Iterable
 from typing import Any, NamedTuple
@@ -33,29 +33,30 @@
     "look_up_job",
 ]
 
-OWNER_S = 0.4
-"""Longest wait for an owner's answer; between regions it takes 30 ms."""
+QUERY_TIMEOUT_S = 0.4
+"""Timeout in seconds of a query to an owner. An answer between regions takes 30 ms."""
 
-ASK_OWNER_S = 0.3
-"""The same for the question whether it is there, of which three in a row count."""
+STATUS_TIMEOUT_S = 0.3
+"""Timeout in seconds of an owner's status query. Only three consecutive queries without
+an answer have an effect."""
 
 MAX_COUNT_AGE_S = 3.5
-"""Age of what an owner has read from which it doesn't count any more. A read that waits
-a second and finds nothing proves what was so when it began, so an owner that follows
-well is up to two seconds behind its proofs, and more after a lost answer."""
+"""Age in seconds of an owner's last complete read above which its counts aren't used. A
+read that waits a second and finds nothing proves only the state at its start, so the
+last read of a healthy owner is up to two seconds old, and older after a lost answer."""
 
 _pool = build_pool(pools=64, connections_per_peer=4)
 
 
 class JobLookup(NamedTuple):
-    """What is known of a job.
+    """State of a job as found in one unit.
 
     Attributes
     ----------
     state : str
-        What its caller is told; empty where there is no such job here.
+        State as reported to the caller; empty if the unit has no such job.
     moved : int or None
-        The unit that it was handed to, which knows more.
+        Unit to which the job was handed over, and which has its later states.
     """
 
     state: str
@@ -63,14 +64,14 @@
 
 
 class PendingCount(NamedTuple):
-    """An owner's word on a queue's jobs for which no task has started.
+    """Count of a queue's jobs in one unit for which no task has started.
 
     Attributes
     ----------
     pending : Pending
-        As its copy of the unit shows them.
+        The counts according to a copy of the unit.
     age_s : float
-        Since when its copy may lack submissions.
+        Age of the copy's last complete read; later submissions may be missing.
     """
 
     pending: Pending
@@ -78,13 +79,13 @@
 
 
 def count_pending_in_copy(copy: UnitCopy, queue: str) -> PendingCount:
-    """Count in a copy of a unit."""
+    """Return the pending count of a queue according to a copy of a unit."""
     age_s = round(read_clock() - copy.intake.synced_at, 3)
     return PendingCount(count_pending(copy.replica, queue), age_s)
 
 
 def look_up_job(copy: UnitCopy, job_id: str) -> JobLookup:
-    """Return what a copy says of a job."""
+    """Return the state of a job according to a copy of its unit."""
     view = copy.replica.jobs.get(job_id)
     if view is None or view.submission is None:
         return JobLookup("")
@@ -93,11 +94,11 @@
 
 
 def fetch_job(instance: Instance, unit: int, job_id: str) -> JobLookup | None:
-    """Return the owner's word on a job, or None if no owner answers."""
+    """Return the state of a job from its unit's owner, or None if no owner answers."""
     if unit in instance.owned:
-        return _look_up_surely(instance.copies[unit], job_id)
+        return _look_up_confirmed(instance.copies[unit], job_id)
     path = f"/units/{unit}/jobs/{job_id}"
-    body = _ask(instance, unit, "peer.describe", path, "state", str)
+    body = _query_owner(instance, unit, "peer.describe", path, "state", str)
     if body is None:
         return None
     moved = body.get("moved")
@@ -105,54 +106,57 @@
 
 
 def fetch_pending(instance: Instance, unit: int, queue: str) -> PendingCount | None:
-    """Return what a unit's owner says of a queue's waiting jobs, or None.
+    """Return the pending count of a queue from a unit's owner, or None.
 
     Notes
     -----
-    Guards against a count that leaves out all that was accepted since the owner lost
-    the store: it goes on answering other instances, which have lost nothing.
+    Guards against a count that omits the jobs accepted since the owner lost the store.
+    Such an owner still answers other instances, which may have a connection to it.
     """
     owned = instance.owned.get(unit)
     if owned is not None:
-        # First: what arrives meanwhile may be told twice, and never by nobody.
+        # Read before the copy: a job that arrives meanwhile may be listed twice, but is
+        # never missed.
         arrived = list_arrived(owned.context.dispatcher, queue)
-        counted = count_pending_in_copy(instance.copies[unit], queue)
-        if counted.age_s > MAX_COUNT_AGE_S:
+        count = count_pending_in_copy(instance.copies[unit], queue)
+        if count.age_s > MAX_COUNT_AGE_S:
             return None
-        arrived |= counted.pending.arrived
-        return counted._replace(pending=counted.pending._replace(arrived=arrived))
+        arrived |= count.pending.arrived
+        return count._replace(pending=count.pending._replace(arrived=arrived))
     path = f"/units/{unit}/pending/{quote(queue)}"
-    body = _ask(instance, unit, "peer.pending", path, "pending", dict)
+    body = _query_owner(instance, unit, "peer.pending", path, "pending", dict)
     if body is None:
         return None
     try:
-        return _unpack_counted(body)
+        return _decode_count(body)
     except (TypeError, ValueError, KeyError) as error:
         instance.log.write("peer_silent", unit=unit, why=repr(error))
         return None
 
 
-def _pack_counted(counted: PendingCount) -> dict[str, Any]:
-    told = counted.pending._asdict()
-    rows = {k: sorted(v) if isinstance(v, frozenset) else v for k, v in told.items()}
-    return {"pending": rows, "age_s": counted.age_s}
+def _encode_count(count: PendingCount) -> dict[str, Any]:
+    fields = count.pending._asdict()
+    rows = {k: sorted(v) if isinstance(v, frozenset) else v for k, v in fields.items()}
+    return {"pending": rows, "age_s": count.age_s}
 
 
-def _unpack_counted(body: dict[str, Any]) -> PendingCount:
-    told: dict[str, Any] = {
+def _decode_count(body: dict[str, Any]) -> PendingCount:
+    fields: dict[str, Any] = {
         name: frozenset(value) if isinstance(value, list) else value
         for name, value in body["pending"].items()
         if name in Pending._fields
     }
-    return PendingCount(Pending(**told), float(body["age_s"]))
+    return PendingCount(Pending(**fields), float(body["age_s"]))
 
 
 def fetch_load(instance: Instance, unit: int) -> Load | None:
-    """Return how full a unit is, or None if no owner answers."""
+    """Return the load of a unit from its owner, or None if no owner answers."""
     owned = instance.owned.get(unit)
     if owned is not None:
         return owned.context.dispatcher.load
-    body = _ask(instance, unit, "peer.load", f"/units/{unit}/load", "load", list)
+    body = _query_owner(
+        instance, unit, "peer.load", f"/units/{unit}/load", "load", list
+    )
     if body is None:
         return None
     try:
@@ -163,20 +167,22 @@
 
 
 def fetch_interference(instance: Instance, unit: int) -> bytes:
-    """Return what a unit's owner has stored last of interference; empty for nothing."""
+    """Return the interference estimates last stored by a unit's owner, or empty bytes."""
     if unit in instance.owned:
         return instance.copies[unit].replica.interference
-    body = _ask(instance, unit, "peer.harms", f"/units/{unit}/harms", "harms", str)
+    body = _query_owner(
+        instance, unit, "peer.harms", f"/units/{unit}/harms", "harms", str
+    )
     return b"" if body is None else str(body["harms"]).encode()
 
 
 def fetch_owner_status(instance: Instance, unit: int) -> OwnerReply:
-    """Return what the announced owner of a unit says of itself."""
+    """Return the status that the announced owner of a unit reports."""
     owner = instance.layout.owners.get(unit)
     if owner is None or owner.address == instance.peer_address():
         status = _describe_claim(instance, unit)
         return OwnerReply(True, status)
-    peer = build_peer(f"http://{owner.address}", _pool, ASK_OWNER_S)
+    peer = build_peer(f"http://{owner.address}", _pool, STATUS_TIMEOUT_S)
     answer = call_json(peer, "peer.owner", "GET", f"/units/{unit}/owner")
     if isinstance(answer, Err):
         return OwnerReply(answer.err_value.kind == ErrorKind.REFUSED)
@@ -199,14 +205,14 @@
     )
 
 
-def _ask(
+def _query_owner(
     instance: Instance, unit: int, step: str, path: str, field: str, kind: type
 ) -> dict[str, Any] | None:
-    """Return an owner's answer if it has a `field` of a `kind`; log why not else."""
+    """Return an owner's answer if `field` is of type `kind`; otherwise log the reason."""
     owner = instance.layout.owners.get(unit)
     if owner is None or owner.address == instance.peer_address():
         return None
-    peer = build_peer(f"http://{owner.address}", _pool, OWNER_S)
+    peer = build_peer(f"http://{owner.address}", _pool, QUERY_TIMEOUT_S)
     answer = call_json(peer, step, "GET", path)
     if isinstance(answer, Err):
         detail = answer.err_value.detail
@@ -220,13 +226,13 @@
     return body
 
 
-def _look_up_surely(copy: UnitCopy, job_id: str) -> JobLookup | None:
-    """Return what an owner knows; that there is no such job only if the store says so.
+def _look_up_confirmed(copy: UnitCopy, job_id: str) -> JobLookup | None:
+    """Return the state of a job in an owned unit, or None if it can't be determined.
 
     Notes
     -----
-    Guards against an accepted job that is told to be unknown: its record may be stored
-    and not read yet.
+    Guards against reporting an accepted job as unknown, whose record may be stored but
+    not read yet. A job counts as unknown only after a read of the store.
     """
     found = look_up_job(copy, job_id)
     if not found.state:
@@ -248,16 +254,19 @@
     return serve
 
 
-def _pack_load(load: Load) -> dict[str, Any]:
-    """Return a load as told; instances of before know the first five figures only."""
+def _encode_load(load: Load) -> dict[str, Any]:
+    """Return the JSON form of a load.
+
+    Older versions decode only the five figures of the first field.
+    """
     figures = [load.reserved, load.backfill, load.waiting]
     figures += [load.waiting_backfill, load.gap]
-    room = {"slots": list(load.slots), "ending": load.ending}
-    return {"load": figures, "room": room}
+    slot_fields = {"slots": list(load.slots), "ending": load.ending}
+    return {"load": figures, "room": slot_fields}
 
 
 def _answer(instance: Instance, path: str) -> dict[str, Any] | None:
-    """Return the answer to a call about a unit that this instance owns."""
+    """Return the answer to a query about a unit, or None without an answer."""
     parts = path.strip("/").split("/")
     if len(parts) < 3 or parts[0] != "units" or not parts[1].isdigit():
         return None
@@ -265,18 +274,18 @@
     if topic == "owner":
         status = _describe_claim(instance, unit)
         return None if status is None else {"owner": list(status)}
-    # Only an owner is ahead of the store's readers.
+    # Only an owner has newer state than what other instances read from the store.
     if unit not in instance.owned:
         return None
     if topic == "jobs" and rest:
         found = fetch_job(instance, unit, rest[0])
         return None if found is None else found._asdict()
     if topic == "pending" and rest:
-        counted = fetch_pending(instance, unit, "/".join(rest))
-        return None if counted is None else _pack_counted(counted)
+        count = fetch_pending(instance, unit, "/".join(rest))
+        return None if count is None else _encode_count(count)
     if topic == "harms":
         return {"harms": fetch_interference(instance, unit).decode(errors="replace")}
     if topic == "load":
         load = fetch_load(instance, unit)
-        return None if load is None else _pack_load(load)
+        return None if load is None else _encode_load(load)
     return None
--- a/plantainyard/entry/takeover.py
+++ b/plantainyard/entry/takeover.py
@@ -1,4 +1,4 @@
-"""What a new owner of a unit does before it commands: fence, restore, follow."""
+"""Steps of a takeover: fence predecessors, restore the state, follow the intake."""
 
 import contextlib
 import threading
@@ -38,10 +38,10 @@
 def make_entry_handler(
     instance: Instance, unit: int, actor: pykka.ActorRef[UnitActor]
 ) -> Callable[[Event], None]:
-    """Return a function that tells a unit's actor of the entries of its runners."""
+    """Return a function that sends the entries of a unit's runners to its actor."""
     units = len(instance.copies)
 
-    def tell(event: Event) -> None:
+    def send(event: Event) -> None:
         if isinstance(event, EntryChanged) and event.entry is not None:
             name = event.entry.machine or event.runner
             if find_unit(name, units) != unit:
@@ -49,18 +49,18 @@
         with contextlib.suppress(pykka.ActorDeadError):
             actor.tell(event)
 
-    return tell
+    return send
 
 
 def fence_predecessors(context: UnitContext, address: str) -> bool:
-    """Make the store refuse all records of earlier owners from now on."""
+    """Make the store refuse records of earlier owners; return whether it succeeded."""
     record = Record(OWNER_KEY, address.encode())
     append = Append(PROGRESS, context.unit, [record], PRODUCER, context.epoch, 0)
     return append_until_answered(context, append)
 
 
 def restore_unit(instance: Instance, copy: UnitCopy, fenced_at: float) -> Dispatcher:
-    """Return a dispatcher that goes on where a unit's stored records end."""
+    """Return a dispatcher that continues from a unit's stored records."""
     settings = instance.settings
     limits = Limits(
         lease_s=choose_lease(settings.longest_lease_s, settings.cancel_deadline_s),
@@ -78,7 +78,7 @@
 def follow_intake(
     instance: Instance, copy: UnitCopy, stopping: threading.Event
 ) -> Iterator[None]:
-    """Follow what callers store for the length of the context."""
+    """Follow the records that callers store for the duration of the context."""
     follower = threading.Thread(
         target=run_reader,
         args=(copy.intake, lambda: (LONG_POLL_S, 0.0), stopping),
@@ -92,13 +92,13 @@
 
 
 def send_open_jobs(instance: Instance, copy: UnitCopy) -> None:
-    """Tell the actor of all jobs that are open.
+    """Send all open jobs to a unit's actor.
 
     Notes
     -----
-    Guards against an accepted job that nobody starts, and a cancelled one that goes on
-    in another unit: a record may have been read after the dispatcher was restored and
-    before there was an actor to tell. The dispatcher passes over what it knows.
+    Guards against an accepted job that is never started, and a cancelled job that goes
+    on in another unit: a record may have been read after the dispatcher was restored
+    and before the actor existed. The dispatcher ignores jobs that it already knows.
     """
     for job_id, view in list(copy.replica.jobs.items()):
         if view.final_state or view.submission is None:
--- a/plantainyard/entry/tests/test_ownership_manager.py
+++ b/plantainyard/entry/tests/test_ownership_manager.py
@@ -229,7 +229,9 @@
     store: Any = SimpleNamespace(append=answer_late)
     log = EventLog("edge-1", io.StringIO())
     context = UnitContext(0, 5, store, Mock(), replica, log, Mock(), Mock())
-    actor: Any = SimpleNamespace(context=context, actor_ref=Mock(), _note_end=Mock())
+    actor: Any = SimpleNamespace(
+        context=context, actor_ref=Mock(), _record_job_end=Mock()
+    )
     apply_record(replica, key, old)
     UnitActor._commit(actor, Commit([Record(key, old)]), 1)
     assert replica.jobs[JOB].steps[0, 0].done == {0}
--- a/plantainyard/entry/unit.py
+++ b/plantainyard/entry/unit.py
@@ -1,4 +1,4 @@
-"""The owner of a unit: an actor around the dispatcher, and what it asks for."""
+"""Owner of a unit: an actor that runs the dispatcher and carries out its actions."""
 
 import contextlib
 import queue
@@ -58,47 +58,48 @@
 __all__ = ["UnitActor", "UnitContext", "run_unit_actor"]
 
 TICK_S = 0.1
-"""Time between looks at what waits for a time: repeats, leases, schedules."""
+"""Time in seconds between ticks, at which retries, leases and schedules fall due."""
 
 ORDER_TIMEOUT_S = 0.4
-"""Longest wait for the answer to an order; a region away it takes 30 ms."""
+"""Timeout in seconds of an order. An answer from another region takes 30 ms."""
 
-HOLD_TIMEOUT_S = 0.4
-"""Longest wait for a report beyond the wait that was asked for; as for orders."""
+REPORT_TIMEOUT_S = 0.4
+"""Timeout in seconds of a report, in addition to the wait that the request asks for;
+the same as for orders."""
 
 APPEND_TIMEOUT_S = 0.6
-"""Longest wait for the store before the same append is sent again; the store answers
-a repeat like the first, so that only the wait is lost."""
+"""Timeout in seconds of the first attempt of an append. The store answers a repeated
+append like the first, so that only the waiting time is lost."""
 
 SLOW_APPEND_TIMEOUT_S = 3.0
-"""The same for repeats: a slow store must get the time to answer at all."""
+"""Timeout in seconds of repeated appends, which leaves a slow store time to answer."""
 
 RETRY_S = 0.05
-"""Pause before an append is sent again."""
+"""Pause in seconds before an append is repeated."""
 
 
 @dataclass(slots=True, eq=False)
 class UnitContext:
-    """What a unit's actor works with.
+    """Dependencies and shared state of one ownership of a unit.
 
     Attributes
     ----------
     unit, epoch : int
-        The unit, and the fencing token under which it is owned.
+        Number of the unit, and fencing token of the ownership.
     store, runners : StoreCalls, RunnerCalls
-        The platform.
+        Clients of the platform's store and of the runners.
     replica : Replica
-        Gets each record once it is stored.
+        Copy of the unit's jobs; each record is applied once it is stored.
     log : EventLog
-        For decisions.
-    depose : callable
-        Called once when a successor has shown itself.
+        Log for decisions.
+    step_down : callable
+        Called when a successor has fenced this ownership, or after a failure.
     meters : Meters
-        For latencies.
+        Metrics for latencies and counts.
     dispatcher : Dispatcher
-        The unit's state, for gauges.
+        The unit's state, read for gauges.
     stopping : Event
-        Set when the unit is given up.
+        Set when the unit is released.
     """
 
     unit: int
@@ -114,14 +115,14 @@
 
 
 class UnitActor(pykka.ThreadingActor):
-    """Runs a unit's dispatcher and carries out its actions.
+    """Actor that runs a unit's dispatcher and carries out its actions.
 
     Parameters
     ----------
-    world : UnitWorld
-        Where actions go.
+    context : UnitContext
+        Dependencies of the ownership.
     dispatcher : Dispatcher
-        The state, restored from the store.
+        State of the dispatcher, restored from the store.
     """
 
     use_daemon_thread = True
@@ -132,8 +133,9 @@
 
         Notes
         -----
-        The library's own is a bounded queue in Python, of which each event takes and
-        wakes several locks; this one takes one, in C, and nothing here bounds it.
+        The library's default is a bounded queue written in Python, in which each event
+        takes and notifies several locks. This queue takes one lock, in C. It is
+        unbounded.
         """
         return queue.SimpleQueue()
 
@@ -142,22 +144,22 @@
         self.context = context
         self.dispatcher = dispatcher
         self.sequence = 0
-        self.commits = ThreadPoolExecutor(1, "commit")
-        self.forwards = ThreadPoolExecutor(1, "forward")
+        self.commit_pool = ThreadPoolExecutor(1, "commit")
+        self.forward_pool = ThreadPoolExecutor(1, "forward")
 
     def on_receive(self, message: Any) -> None:
-        """Take in an event and carry out what the dispatcher asks for."""
+        """Pass an event to the dispatcher and carry out the resulting actions."""
         if self.context.stopping.is_set():
             return
         now = read_clock()
         if isinstance(message, ReportReceived):
-            self._log_ends(message)
+            self._log_run_ends(message)
         for action in step(self.dispatcher, message, now):
             self._perform(action)
         if isinstance(message, OrderAnswered):
-            self._log_start(message, now)
+            self._log_run_start(message, now)
 
-    def _log_start(self, message: OrderAnswered, now: float) -> None:
+    def _log_run_start(self, message: OrderAnswered, now: float) -> None:
         job = self.dispatcher.jobs.get(message.task.job_id)
         done = message.result.outcome == OrderOutcome.DONE
         if message.kind != OrderKind.START or job is None or not done:
@@ -171,12 +173,12 @@
             waited_s=round(now - job.taken_at, 3),
         )
 
-    def _note_begun(self, action: JobStarted) -> None:
+    def _record_job_start(self, action: JobStarted) -> None:
         self.context.meters.first_start.observe(action.waited_s)
         self.context.log.write("job_begun", job=action.job_id, waited_s=action.waited_s)
         mark_job_started(self.context.replica, action.job_id)
 
-    def _log_ends(self, message: ReportReceived) -> None:
+    def _log_run_ends(self, message: ReportReceived) -> None:
         runner = self.dispatcher.runners.get(message.incarnation)
         if runner is None:
             return
@@ -192,8 +194,8 @@
                 )
 
     def on_stop(self) -> None:
-        """Let go of the threads; calls that are out end by their own timeouts."""
-        for pool in (self.commits, self.forwards):
+        """Shut the thread pools down; calls in progress end by their own timeouts."""
+        for pool in (self.commit_pool, self.forward_pool):
             pool.shutdown(wait=False, cancel_futures=True)
 
     def on_failure(
@@ -202,13 +204,13 @@
         exception_value: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """Give the unit up after a fault of the program.
+        """Release the unit after an unexpected exception.
 
         Notes
         -----
-        Guards against a unit that is owned and not served: the actor has ended, while
-        the group goes on naming this instance. The next owner, here or elsewhere,
-        begins from the store.
+        Guards against a unit that is owned but not served: the actor has ended, while
+        the group still assigns the unit to this instance. The next owner, on this or
+        another instance, starts from the stored records.
         """
         frames = tb.format_exception(exception_type, exception_value, traceback)
         self.context.log.write("unit_failed", unit=self.context.unit, why=frames[-3:])
@@ -217,25 +219,25 @@
     def _perform(self, action: Action) -> None:
         if isinstance(action, Commit):
             self.sequence += 1
-            self.commits.submit(self._commit, action, self.sequence)
+            self.commit_pool.submit(self._commit, action, self.sequence)
         elif isinstance(action, RequestReport):
-            self._hold(action)
+            self._request_report(action)
         elif isinstance(action, JobStarted):
-            self._note_begun(action)
+            self._record_job_start(action)
         elif isinstance(action, HandoversConfirmed):
             mark_jobs_delivered(self.context.replica, action.job_ids)
         elif isinstance(action, Forward):
-            self.forwards.submit(self._forward, action)
+            self.forward_pool.submit(self._forward, action)
         else:
-            self._order(action)
+            self._send_order(action)
 
     def _commit(self, action: Commit, sequence: int) -> None:
-        """Store records and take them into the copy, which later ownerships share.
+        """Store records and apply them to the replica, which later ownerships share.
 
         Notes
         -----
-        Guards against old progress over new: an answer may come when this ownership is
-        over and the instance owns the unit again, under a later one.
+        Guards against overwriting newer progress with older: an answer may arrive after
+        this ownership has ended and the instance owns the unit again in a later epoch.
         """
         context = self.context
         append = Append(
@@ -245,15 +247,15 @@
             for record in action.records:
                 apply_record(context.replica, record.key, record.value)
             for summary in action.summaries:
-                self._note_end(summary)
+                self._record_job_end(summary)
             self.actor_ref.tell(Committed())
 
-    def _note_end(self, summary: JobSummary) -> None:
-        """Log a job's end with where its time went, and count that time.
+    def _record_job_end(self, summary: JobSummary) -> None:
+        """Log a job's end with a breakdown of its time, and update the metrics.
 
         Notes
         -----
-        The counters tell of all jobs, also of those whose lines are left out.
+        The counters include all jobs, also those whose log lines are left out.
         """
         context = self.context
         context.log.write(
@@ -271,12 +273,12 @@
             context.meters.lost_runs.labels(how).inc(runs)
 
     def _forward(self, action: Forward) -> None:
-        """Store records for another unit, however often it takes.
+        """Store records for another unit, retrying until it succeeds.
 
         Notes
         -----
-        No fencing is needed: whoever owned this unit when the handing over was stored
-        may send the job, and a repeat changes nothing.
+        No fencing is needed. Whichever instance owned this unit when the hand-over was
+        stored may send the job, and a repeated append changes nothing.
         """
         context = self.context
         append = Append(INTAKE, action.unit, action.records)
@@ -286,25 +288,27 @@
                 keys = [record.key for record in action.records]
                 for key in keys:
                     context.log.write("job_handed_over", key=key, unit=action.unit)
-                self._tell(Forwarded(keys))
+                self._send_event(Forwarded(keys))
                 return
             why = answer.err_value.detail
             context.log.write("order_failed", kind="forward", why=why)
             context.stopping.wait(RETRY_S)
 
-    def _hold(self, action: RequestReport) -> None:
+    def _request_report(self, action: RequestReport) -> None:
         sent_at = read_clock()
         entry = action.entry
-        order = _address(entry, self.context.epoch, lease=action.lease_until_ms)
+        order = _build_report_order(
+            entry, self.context.epoch, lease=action.lease_until_ms
+        )
 
-        def take(answer: Result[RunnerReport, CallError]) -> None:
-            self._tell(self._judge_report(entry.incarnation, answer, sent_at))
+        def on_answer(answer: Result[RunnerReport, CallError]) -> None:
+            self._send_event(self._interpret_report(entry.incarnation, answer, sent_at))
 
         self.context.runners.renew_lease(
-            order, action.last_seen, action.wait_s, HOLD_TIMEOUT_S, take
+            order, action.last_seen, action.wait_s, REPORT_TIMEOUT_S, on_answer
         )
 
-    def _judge_report(
+    def _interpret_report(
         self, incarnation: str, answer: Result[RunnerReport, CallError], sent_at: float
     ) -> ReportReceived | ReportFailed:
         if isinstance(answer, Ok):
@@ -316,7 +320,7 @@
         other_incarnation = error.kind == ErrorKind.OTHER_INCARNATION
         return ReportFailed(incarnation, sent_at, error.detail, other_incarnation)
 
-    def _order(self, action: SendOrder) -> None:
+    def _send_order(self, action: SendOrder) -> None:
         sent_at = read_clock()
         order = Order(
             runner=action.entry.runner,
@@ -339,10 +343,10 @@
         send(
             order,
             ORDER_TIMEOUT_S,
-            lambda result: self._take_result(action, result, sent_at),
+            lambda result: self._handle_result(action, result, sent_at),
         )
 
-    def _take_result(
+    def _handle_result(
         self, action: SendOrder, result: OrderResult, sent_at: float
     ) -> None:
         if result.outcome == OrderOutcome.FENCED:
@@ -359,25 +363,25 @@
                 why=result.detail,
             )
         incarnation = action.entry.incarnation
-        self._tell(
+        self._send_event(
             OrderAnswered(
                 action.kind, action.task, action.run, incarnation, result, sent_at
             )
         )
 
-    def _tell(self, event: Any) -> None:
+    def _send_event(self, event: Any) -> None:
         with contextlib.suppress(pykka.ActorDeadError):
             self.actor_ref.tell(event)
 
 
-def _address(entry: RunnerEntry, epoch: int, lease: int) -> Order:
-    """Return an order about no task: a report is about the whole runner."""
-    nothing = TaskKey("", 0, 0, 0)
+def _build_report_order(entry: RunnerEntry, epoch: int, lease: int) -> Order:
+    """Return an order without a task, because a report covers the whole runner."""
+    no_task = TaskKey("", 0, 0, 0)
     return Order(
         entry.runner,
         entry.started_at_ms,
         entry.address,
-        nothing,
+        no_task,
         0,
         epoch,
         lease_until_ms=lease,
@@ -385,12 +389,13 @@
 
 
 def append_until_answered(context: UnitContext, append: Append) -> bool:
-    """Send an append until the store has it; return False if a successor fenced it.
+    """Send an append until the store answers; return whether it was accepted.
 
     Notes
     -----
-    Guards against an append whose answer was lost: it may have taken effect, or may
-    seconds later. A repeat under the same sequence number is stored once.
+    Guards against an append whose answer was lost, which may have taken effect or may
+    do so seconds later. A repeat with the same sequence number is stored only once. A
+    refused append means that a successor has fenced this ownership.
     """
     timeout_s = APPEND_TIMEOUT_S
     while not context.stopping.is_set():
@@ -413,7 +418,7 @@
 def run_unit_actor(
     context: UnitContext, dispatcher: Dispatcher
 ) -> Iterator[pykka.ActorRef[UnitActor]]:
-    """Run a unit's actor, and its clock, for the length of the context."""
+    """Run a unit's actor and its ticker for the duration of the context."""
     actor = UnitActor.start(context, dispatcher)
     ticker = threading.Thread(target=_tick, args=(context, actor), daemon=True)
     ticker.start()
