--- a/plantainyard/entry/__init__.py
+++ b/plantainyard/entry/__init__.py
@@ -1,7 +1,7 @@
-"""One entry instance on the users' platform: threads, actors, servers.
+"""An entry instance on the users' platform: its threads, actors and servers.
 
-All input and output of `plantainyard.batch` and `plantainyard.dispatch` is here;
-`python -m plantainyard.entry` runs an instance.
+This package does all input and output for `plantainyard.batch` and
+`plantainyard.dispatch`. ``python -m plantainyard.entry`` runs an instance.
 """
 
 __all__: list[str] = []
--- a/plantainyard/entry/peers.py
+++ b/plantainyard/entry/peers.py
@@ -167,7 +167,7 @@
 
 
 def fetch_interference(instance: Instance, unit: int) -> bytes:
-    """Return the interference estimates last stored by a unit's owner, or empty bytes."""
+    """Return the interference estimates of a unit from its owner; empty if none."""
     if unit in instance.owned:
         return instance.copies[unit].replica.interference
     body = _query_owner(
@@ -208,7 +208,7 @@
 def _query_owner(
     instance: Instance, unit: int, step: str, path: str, field: str, kind: type
 ) -> dict[str, Any] | None:
-    """Return an owner's answer if `field` is of type `kind`; otherwise log the reason."""
+    """Return an owner's answer if `field` is of type `kind`; log the reason if not."""
     owner = instance.layout.owners.get(unit)
     if owner is None or owner.address == instance.peer_address():
         return None
--- a/plantainyard/entry/process.py
+++ b/plantainyard/entry/process.py
@@ -1,4 +1,4 @@
-"""One process: threads, servers, signals, start and graceful shutdown."""
+"""The process of an instance: threads, servers, signals, start and shutdown."""
 
 import contextlib
 import os
@@ -44,26 +44,31 @@
 EXIT_USAGE = 2
 
 CALLER_THREADS = 24
-"""Requests served at once; each waits for the store for some 10 ms."""
+"""Maximum number of concurrent requests of callers; each waits for the store for about
+10 ms."""
 
 CALLER_CONNECTIONS = 2_000
-"""Open connections of callers; half of the descriptors that an instance has."""
+"""Maximum number of open connections of callers: half of the file descriptors that an
+instance has."""
 
-READY_S = 3.0
-"""An instance is ready while the store confirmed its configuration so lately."""
+READY_MAX_CONFIGURATION_AGE_S = 3.0
+"""Age in seconds of the last read of the configuration up to which an instance is
+ready."""
 
-SPARE_S = 1.2
-"""Part of the grace that is left for the last answers when a stop begins."""
+SHUTDOWN_RESERVE_S = 1.2
+"""Part of the grace period in seconds that is left for the last answers while the
+servers stop."""
 
-BODY_BYTES = 1_048_576
-"""Longest body that is read at all; the configuration's limit is checked after."""
+MAX_BODY_BYTES = 1_048_576
+"""Maximum size in bytes of a request body that is read at all; the limit of the
+configuration is checked afterwards."""
 
-FLUSH_S = 0.7
-"""Longest time for the last answers once the servers stop."""
+MAX_FLUSH_S = 0.7
+"""Maximum time in seconds for the last answers once the servers stop."""
 
 
 def main() -> int:
-    """Run an instance with the settings file that the environment names."""
+    """Run an instance with the settings that the environment names; return exit code."""
     path = os.environ.get(SETTINGS_VARIABLE, "")
     loaded = load_instance_settings(Path(path))
     if isinstance(loaded, Err):
@@ -78,7 +83,7 @@
 
 
 def run_instance(settings: InstanceSettings, log: EventLog) -> None:
-    """Serve until SIGTERM, then finish what was begun."""
+    """Serve until SIGTERM or SIGINT, then shut down gracefully."""
     instance = Instance(settings, log)
     draining = threading.Event()
     with _catch_signals() as signals, _serve(instance, draining):
@@ -87,8 +92,8 @@
         _wait_for_stop(signals, log)
         log.write("stopping")
         draining.set()
-        # Others take the units over while this instance goes on answering callers.
-        _wait(signals, settings.grace_s - SPARE_S)
+        # Other instances take the units over while this one still answers callers.
+        _wait(signals, settings.grace_s - SHUTDOWN_RESERVE_S)
         instance.stopping.set()
     log.write("stopped")
 
@@ -104,7 +109,7 @@
 
 
 def _reload(log: EventLog) -> None:
-    """Check the changed settings file; addresses stay those of the start."""
+    """Validate the changed settings file and log the result; apply nothing."""
     loaded = load_instance_settings(Path(os.environ.get(SETTINGS_VARIABLE, "")))
     if isinstance(loaded, Err):
         log.write("reload_failed", why=str(loaded.err_value))
@@ -121,12 +126,12 @@
 
 @contextlib.contextmanager
 def _catch_signals() -> Iterator[socket.socket]:
-    """Yield a socket that the numbers of received signals can be read from.
+    """Yield a socket from which the numbers of received signals can be read.
 
     Notes
     -----
-    A handler that takes a lock can run while the main thread holds it; the
-    interpreter's wakeup socket needs none.
+    A signal handler that takes a lock may run while the main thread holds that lock.
+    The interpreter's wakeup socket needs no lock.
     """
     receiver, sender = socket.socketpair()
     with receiver, sender:
@@ -141,32 +146,35 @@
 
 
 def start_threads(instance: Instance, draining: threading.Event) -> None:
-    """Follow the configuration and the layout, and own units, until `draining`."""
-    work = (
-        (run_reader, (instance.operations_reader, _wait_long, instance.stopping)),
+    """Start the threads that follow the configuration and own units until `draining`."""
+    threads = (
+        (
+            run_reader,
+            (instance.operations_reader, _choose_long_wait, instance.stopping),
+        ),
         (_run_units, (instance, draining)),
     )
-    for target, arguments in work:
+    for target, arguments in threads:
         threading.Thread(target=target, args=arguments, daemon=True).start()
 
 
-def _wait_long() -> tuple[float, float]:
+def _choose_long_wait() -> tuple[float, float]:
     return LONG_POLL_S, 0.0
 
 
-def _follow_layout(instance: Instance, owners: OwnershipManager) -> None:
-    """Follow the layout, by which owners know that they still are owners."""
+def _follow_layout(instance: Instance, manager: OwnershipManager) -> None:
+    """Follow the layout, by which owners confirm their ownership."""
 
     def choose_wait() -> tuple[float, float]:
         return (CONFIRM_POLL_S if instance.claims else LAYOUT_POLL_S), 0.0
 
     run_reader(
-        instance.layout_reader, choose_wait, instance.stopping, owners.apply_layout
+        instance.layout_reader, choose_wait, instance.stopping, manager.apply_layout
     )
 
 
 def _run_units(instance: Instance, draining: threading.Event) -> None:
-    """Learn the layout, then follow it and own what the group deals out."""
+    """Wait for the layout, then follow it and own units as the group assigns them."""
     determine_layout(
         instance.store,
         instance.layout_reader,
@@ -179,53 +187,55 @@
     if draining.is_set():
         return
     instance.create_copies()
-    owners = OwnershipManager(instance)
+    manager = OwnershipManager(instance)
     followers = (
-        (_follow_layout, (instance, owners)),
+        (_follow_layout, (instance, manager)),
         (poll_loads, (instance,)),
     )
     for target, arguments in followers:
         threading.Thread(target=target, args=arguments, daemon=True).start()
     follow_group(
         instance,
-        owners.apply_assignment,
+        manager.apply_assignment,
         lambda unit: fetch_owner_status(instance, unit).status is not None,
         draining,
     )
-    # Units are commanded until others have claimed them.
+    # The units are served until other instances have claimed them.
     instance.stopping.wait()
-    owners.release_all()
+    manager.release_all()
 
 
 @contextlib.contextmanager
 def _serve(instance: Instance, draining: threading.Event) -> Iterator[None]:
-    """Serve callers, the readiness check, peers and metrics."""
+    """Serve callers, the readiness check, peers and metrics during the context."""
     settings = instance.settings
-    ready = _build_ready(instance, draining)
+    readiness = _build_readiness_app(instance, draining)
     meters = build_metrics_app(instance.meters, instance.refresh_meters)
     metrics = build_inspection_app(instance, meters)
     apps: list[tuple[str, WSGIApplication, int]] = [
         (settings.caller_address, build_caller_app(instance), CALLER_THREADS),
-        (settings.ready_address, ready, 1),
+        (settings.ready_address, readiness, 1),
         (instance.peer_address(), build_peer_app(instance), 4),
         (f"{settings.ip}:{settings.metrics_port}", metrics, 1),
     ]
     with contextlib.ExitStack() as stack:
         for address, app, threads in apps:
             server = serve_app(
-                app, address, threads, CALLER_CONNECTIONS, BODY_BYTES, FLUSH_S
+                app, address, threads, CALLER_CONNECTIONS, MAX_BODY_BYTES, MAX_FLUSH_S
             )
             stack.enter_context(server)
         yield
 
 
-def _build_ready(
+def _build_readiness_app(
     instance: Instance, draining: threading.Event
 ) -> Callable[[WSGIEnvironment, StartResponse], Iterable[bytes]]:
     def serve(_: WSGIEnvironment, start: StartResponse) -> Iterable[bytes]:
-        able = instance.configuration is not None and bool(instance.copies)
-        fresh = instance.is_configuration_fresh(read_clock(), READY_S)
-        ready = able and fresh and not draining.is_set()
+        initialized = instance.configuration is not None and bool(instance.copies)
+        fresh = instance.is_configuration_fresh(
+            read_clock(), READY_MAX_CONFIGURATION_AGE_S
+        )
+        ready = initialized and fresh and not draining.is_set()
         status = "200 OK" if ready else "503 Service Unavailable"
         start(status, [("Content-Length", "0")])
         return []
--- a/plantainyard/entry/reserves.py
+++ b/plantainyard/entry/reserves.py
@@ -72,7 +72,7 @@
     return member.endswith(RESERVE_SUFFIX)
 
 
-def needs_reserves(holdings: Iterable[PartitionOwner], units: int) -> bool:
+def needs_reserves(owners: Iterable[PartitionOwner], units: int) -> bool:
     """Return whether the strong instances of a group are too few for all units.
 
     Examples
@@ -87,11 +87,9 @@
     True
     """
     strong = {
-        holding.member
-        for holding in holdings
-        if holding.topic == PROGRESS
-        and holding.member
-        and not is_reserve(holding.member)
+        owner.member
+        for owner in owners
+        if owner.topic == PROGRESS and owner.member and not is_reserve(owner.member)
     }
     return len(strong) * MAX_UNITS_PER_STRONG < units
 
@@ -138,7 +136,7 @@
     reserve : ReserveState
         Updated in place.
     read_partition_owners : callable
-        Asks the store which member holds which partition.
+        Asks the store which member owns which partition.
     owner_answers : callable
         Returns whether the owner of a unit answers.
     units : int
--- a/plantainyard/entry/topics.py
+++ b/plantainyard/entry/topics.py
@@ -1,4 +1,4 @@
-"""Names of the topics, the group and the keys that the product keeps in the store."""
+"""Names of the topics, the group and the keys that plantainyard uses in the store."""
 
 __all__ = [
     "CONFIGURATION_KEY",
@@ -14,19 +14,19 @@
 ]
 
 INTAKE = "keyed.intake"
-"""Submissions and requests to cancel; any instance writes, each key once."""
+"""Submissions and requests to cancel; written by any instance, each key once."""
 
 PROGRESS = "keyed.progress"
-"""Progress and final states of jobs; only a unit's owner writes, fenced by epoch."""
+"""Progress and final states of jobs; written by a unit's owner, fenced by its epoch."""
 
 RUNNERS = "keyed.servers"
-"""Runners' own entries."""
+"""Entries that the runners write about themselves."""
 
 OPERATIONS = "keyed.op"
-"""What operators publish."""
+"""The configuration that operators publish."""
 
 LAYOUT = "keyed.layout"
-"""The number of units, and who owns each."""
+"""The number of units, and the owner of each unit."""
 
 UNITS_KEY = "units"
 OWNER_PREFIX = "owner/"
