--- a/plantainyard/entry/process.py
+++ b/plantainyard/entry/process.py
@@ -68,7 +68,7 @@
 
 
 def main() -> int:
-    """Run an instance with the settings that the environment names; return exit code."""
+    """Run an instance with the settings file that the environment names."""
     path = os.environ.get(SETTINGS_VARIABLE, "")
     loaded = load_instance_settings(Path(path))
     if isinstance(loaded, Err):
@@ -146,7 +146,7 @@
 
 
 def start_threads(instance: Instance, draining: threading.Event) -> None:
-    """Start the threads that follow the configuration and own units until `draining`."""
+    """Start following the configuration and, until `draining`, claiming units."""
     threads = (
         (
             run_reader,
