--- a/plantainyard/dispatch/forwarding.py
+++ b/plantainyard/dispatch/forwarding.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterable, Iterator
 
 from plantainyard.batch.records import (
-    CANCEL,
-    DELIVERED,
+    CANCEL_VALUE,
+    DELIVERED_VALUE,
     RecordKind,
     encode_submission,
     make_cancel_key,
@@ -119,7 +119,7 @@
 def pop_delivery_records(state: Dispatcher) -> list[Record]:
     """Return the records of jobs that their new units know of."""
     settled, state.confirmed = state.confirmed, []
-    return [Record(make_delivery_key(job_id), DELIVERED) for job_id in settled]
+    return [Record(make_delivery_key(job_id), DELIVERED_VALUE) for job_id in settled]
 
 
 def record_arrival(state: Dispatcher, submission: Submission, now: float) -> None:
@@ -159,7 +159,7 @@
     job_id = submission.record_id
     records = [Record(make_submission_key(job_id), encode_submission(submission))]
     if cancelled:
-        records.append(Record(make_cancel_key(job_id), CANCEL))
+        records.append(Record(make_cancel_key(job_id), CANCEL_VALUE))
     return records
 
 
@@ -176,5 +176,5 @@
     if job_id in state.outgoing or job_id in state.committing_outgoing:
         state.cancelled_outgoing.add(job_id)
         return
-    record = Record(make_cancel_key(job_id), CANCEL)
+    record = Record(make_cancel_key(job_id), CANCEL_VALUE)
     state.actions.append(Forward(state.handed_over[job_id], [record]))
--- a/plantainyard/dispatch/reports.py
+++ b/plantainyard/dispatch/reports.py
@@ -9,15 +9,15 @@
     RequestReport,
     SendOrder,
 )
-from plantainyard.dispatch.interference import learn
-from plantainyard.dispatch.leases import has_lapsed, make_lease, note_clock
+from plantainyard.dispatch.interference import learn_from_sample
+from plantainyard.dispatch.leases import grant_lease, has_lease_expired, record_clock
 from plantainyard.dispatch.model import Phase, Runner
-from plantainyard.dispatch.pacing import has_backfill, has_targets
-from plantainyard.dispatch.placing import release_room, take_room
+from plantainyard.dispatch.pacing import has_backfill_tasks, has_serving_tasks
+from plantainyard.dispatch.placing import release_resources, reserve_resources
 from plantainyard.dispatch.samples import read_sample
 from plantainyard.dispatch.state import Dispatcher
 from plantainyard.platform.entries import RunnerEntry
-from plantainyard.platform.runners import Held, HeldRun
+from plantainyard.platform.runners import ReportedRun, RunnerReport
 
 __all__ = [
     "request_reports",
@@ -83,10 +83,10 @@
         if ended or task.phase == Phase.STORING:
             runs.requeue_task(state, task)
             continue
-        release_room(old, task)
+        release_resources(old, task)
         task.resolved_at = None
         task.incarnation = new.incarnation
-        take_room(new, task)
+        reserve_resources(new, task)
         orders.send_stop(state, task, now)
     new.lease_bound = max(new.lease_bound, old.lease_bound)
     del state.runners[old.incarnation]
@@ -99,13 +99,16 @@
         return
     runner.report_pending = False
     held = event.report
-    if held.born_ms is not None and held.born_ms != runner.entry.born_ms:
+    if (
+        held.started_at_ms is not None
+        and held.started_at_ms != runner.entry.started_at_ms
+    ):
         _await_new_entry(state, runner, now)
         return
-    note_clock(runner, held.clock_ms, now)
+    record_clock(runner, held.clock_ms, now)
     runner.responsive = True
     runner.missed_reports = 0
-    runner.next_report_at = now + state.limits.idle_hold_s
+    runner.next_report_at = now + state.limits.idle_report_interval_s
     _take_ends(state, runner, held, now)
     present = {
         row.task
@@ -118,18 +121,20 @@
     _adjust_pace(state, runner, held, now)
 
 
-def _take_ends(state: Dispatcher, runner: Runner, held: Held, now: float) -> None:
+def _take_ends(
+    state: Dispatcher, runner: Runner, held: RunnerReport, now: float
+) -> None:
     for end in sorted(held.ended):
         if end.number <= runner.last_end:
             continue
         runner.last_end = end.number
         task = runner.tasks.get(end.task)
         if task is not None and task.run == end.run:
-            runs.end_run(state, task, runner, end.how, end.checkpoint, now)
+            runs.end_run(state, task, runner, end.outcome, end.checkpoint, now)
 
 
 def _take_row(
-    state: Dispatcher, runner: Runner, row: HeldRun, sent_at: float, now: float
+    state: Dispatcher, runner: Runner, row: ReportedRun, sent_at: float, now: float
 ) -> bool:
     """Take in one run that is there; return whether it is one of the unit's own."""
     task = runner.tasks.get(row.task)
@@ -176,7 +181,7 @@
     """
     runner.last_end = runner.last_stored_end = 0
     runner.responsive = False
-    runner.next_report_at = now + state.limits.hold_retry_s
+    runner.next_report_at = now + state.limits.report_retry_s
 
 
 def apply_missed_report(state: Dispatcher, event: ReportFailed, now: float) -> None:
@@ -196,14 +201,14 @@
     if runner.missed_reports < SILENT_AFTER_MISSES and not event.other_incarnation:
         return
     runner.responsive = False
-    runner.next_report_at = now + state.limits.hold_retry_s
+    runner.next_report_at = now + state.limits.report_retry_s
 
 
 def expire_leases(state: Dispatcher, now: float) -> None:
     """Free the tasks of silent runners whose leases have lapsed; forget dead lives."""
     for runner in list(state.runners.values()):
         silent = runner.entry is None or not runner.responsive
-        if silent and has_lapsed(runner, now):
+        if silent and has_lease_expired(runner, now):
             for task in list(runner.tasks.values()):
                 if task.phase != Phase.STORING:
                     runs.requeue_task(state, task)
@@ -224,9 +229,9 @@
             if now >= runner.next_report_at:
                 _ask(state, runner, now, 0.0, renew=False)
         elif runner.last_end == runner.last_stored_end:
-            watched = has_targets(runner) and has_backfill(runner)
+            watched = has_serving_tasks(runner) and has_backfill_tasks(runner)
             limits = state.limits
-            wait_s = limits.watch_wait_s if watched else limits.hold_wait_s
+            wait_s = limits.watched_report_wait_s if watched else limits.report_wait_s
             wait_s = 0.0 if runner.missed_reports else wait_s
             _ask(state, runner, now, wait_s, renew=True)
         elif now >= runner.next_report_at:
@@ -239,21 +244,23 @@
 ) -> None:
     assert runner.entry is not None
     runner.report_pending = True
-    until_ms = make_lease(runner, state.limits, state.renewed_at, now) if renew else 0
+    until_ms = grant_lease(runner, state.limits, state.renewed_at, now) if renew else 0
     state.actions.append(
         RequestReport(runner.entry, runner.last_stored_end, until_ms, wait_s)
     )
 
 
-def _adjust_pace(state: Dispatcher, runner: Runner, held: Held, now: float) -> None:
+def _adjust_pace(
+    state: Dispatcher, runner: Runner, held: RunnerReport, now: float
+) -> None:
     """Learn from the report, and slow what harms the runner's serving tasks."""
-    if not has_targets(runner):
+    if not has_serving_tasks(runner):
         runner.base_margins = {}
         runner.over_target_since = 0.0
-    elif now - runner.sampled_at >= state.limits.watch_wait_s * 0.8:
+    elif now - runner.sampled_at >= state.limits.watched_report_wait_s * 0.8:
         runner.sampled_at = now
         sample = read_sample(runner, held.running)
-        runner.base_margins = learn(state.harms, sample, now)
+        runner.base_margins = learn_from_sample(state.interference, sample, now)
         _note_harm(runner, max((t.value for t in sample.tails), default=0.0), now)
     orders.pace_backfill(state, runner, now)
 
--- a/plantainyard/dispatch/tests/test_handover.py
+++ b/plantainyard/dispatch/tests/test_handover.py
@@ -9,7 +9,7 @@
 from plantainyard.dispatch import Load, LoadsReceived
 from plantainyard.dispatch.forwarding import DELIVERY_READ_S
 from plantainyard.dispatch.handover import measure_load
-from plantainyard.dispatch.load import EMPTY_LOAD
+from plantainyard.dispatch.load import NO_RUNNERS_LOAD
 from plantainyard.dispatch.tests.world import World, make_step
 from plantainyard.platform.store import Record
 from standins.platform import RunnerState
@@ -53,7 +53,7 @@
     assert list_forwarded(world) == [(5, ["j/a"])]
     (record,) = world.forwarded[0].records
     assert decode_submission(record.value).hops == 1
-    assert world.replica.jobs["a"].moved == 5
+    assert world.replica.jobs["a"].handed_to == 5
     assert world.starts("a") == []
 
 
@@ -194,7 +194,7 @@
     world.losing_forwards = True
     world.submit("a", make_step(cpu=4000))
     world.run(3.0)
-    assert world.replica.jobs["a"].moved == 5
+    assert world.replica.jobs["a"].handed_to == 5
     assert list_forwarded(world) == []
     world.losing_forwards = False
     world.begin()
@@ -407,9 +407,9 @@
     # told all; counted as room, it draws jobs from other units that then wait.
     world = World(runners=1)
     (runner,) = world.state.runners.values()
-    assert measure_load(world.state) != EMPTY_LOAD
+    assert measure_load(world.state) != NO_RUNNERS_LOAD
     runner.has_reported = False
-    assert measure_load(world.state) == EMPTY_LOAD
+    assert measure_load(world.state) == NO_RUNNERS_LOAD
 
 
 def test_tasks_that_go_one_by_one_stop_going_once_loads_are_even():
--- a/plantainyard/dispatch/tests/test_pending.py
+++ b/plantainyard/dispatch/tests/test_pending.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from plantainyard.batch.pending import Pending, add_up, count_pending
+from plantainyard.batch.pending import Pending, count_pending, sum_pending
 from plantainyard.batch.replica import describe_state
 from plantainyard.batch.values import StepProgress, TaskProgress
 from plantainyard.clock import read_clock
@@ -17,14 +17,14 @@
 from plantainyard.dispatch.tests.world import World, make_step
 from plantainyard.entry import peers
 from plantainyard.entry.copies import UnitCopy
-from plantainyard.entry.instance import Owned
-from plantainyard.entry.peers import COUNT_AGE_S, Counted
+from plantainyard.entry.instance import OwnedUnit
+from plantainyard.entry.peers import MAX_COUNT_AGE_S, PendingCount
 
 LEASE_LAPSES_S = 7.0
 
 
 def count_waiting(world: World) -> int:
-    return add_up([count_pending(world.replica, "q")])
+    return sum_pending([count_pending(world.replica, "q")])
 
 
 def describe(world: World, job_id: str) -> str:
@@ -106,21 +106,21 @@
     old.submit("a", make_step(cpu=4000))
     for _ in range(30):
         old.run(0.1)
-        assert add_up(map(tell_pending, (old, new))) == 1
+        assert sum_pending(map(tell_pending, (old, new))) == 1
     new_first = tell_pending(new)
     ((forward,), old.losing_forwards) = old.waiting_forwards, False
     old.run(0.1)
-    assert add_up([tell_pending(old), new_first]) == 1
+    assert sum_pending([tell_pending(old), new_first]) == 1
     new.take(forward.records[0])
     began_at = old.now
     while tell_pending(old).moving:
         assert old.now < began_at + DELIVERY_READ_S + 1.0
         for world in (old, new):
             world.run(0.1)
-        assert add_up(map(tell_pending, (old, new))) == 1
+        assert sum_pending(map(tell_pending, (old, new))) == 1
     new.cut.clear()
     new.run(1.0)
-    assert add_up(map(tell_pending, (old, new))) == 0
+    assert sum_pending(map(tell_pending, (old, new))) == 0
 
 
 def test_a_job_that_begins_as_soon_as_it_arrives_does_not_count():
@@ -130,7 +130,7 @@
     new.take(old.forwarded[0].records[0])
     new.run(0.3)
     assert tell_pending(old).moving
-    assert add_up(map(tell_pending, (old, new))) == 0
+    assert sum_pending(map(tell_pending, (old, new))) == 0
 
 
 def divide_job() -> World:
@@ -150,13 +150,13 @@
     # unit has handed its tasks on, and none has started anywhere.
     old, new = divide_job(), World(runners=1)
     new.cut.add("r0")
-    assert add_up(map(tell_pending, (old, new))) == 1
+    assert sum_pending(map(tell_pending, (old, new))) == 1
     for record in old.forwarded[0].records:
         new.take(record)
     for _ in range(30):
         for world in (old, new):
             world.run(0.1)
-        assert add_up(map(tell_pending, (old, new))) == 1
+        assert sum_pending(map(tell_pending, (old, new))) == 1
 
 
 def test_a_job_whose_only_tasks_at_work_are_in_another_unit_has_begun():
@@ -168,7 +168,7 @@
     new.take(old.forwarded[0].records[0])
     new.run(1.0)
     assert tell_pending(old).divided == {"a"}
-    assert add_up(map(tell_pending, (old, new))) == 0
+    assert sum_pending(map(tell_pending, (old, new))) == 0
 
 
 def test_a_job_counts_until_its_new_unit_has_read_of_it_or_tells_nothing():
@@ -178,7 +178,7 @@
     old.submit("a", make_step(cpu=4000))
     old.run(0.2)
     assert old.forwarded
-    until = old.now + COUNT_AGE_S + 1.0
+    until = old.now + MAX_COUNT_AGE_S + 1.0
     while old.now < until:
         assert tell_pending(old).moving == {"a"}
         old.run(0.1)
@@ -191,24 +191,24 @@
     old.submit("a", make_step(cpu=4000))
     old.run(0.2)
     (record,) = old.forwarded[0].records
-    count = peers.count_in_copy
+    count = peers.count_pending_in_copy
 
-    def count_late(copy: UnitCopy, queue: str) -> Counted:
+    def count_late(copy: UnitCopy, queue: str) -> PendingCount:
         counted = count(copy, queue)
         new.take(record)
         return counted
 
-    monkeypatch.setattr(peers, "count_in_copy", count_late)
+    monkeypatch.setattr(peers, "count_pending_in_copy", count_late)
     told = ask_owner_to_count(new)
-    assert add_up([tell_pending(old), told]) == 1
+    assert sum_pending([tell_pending(old), told]) == 1
 
 
 def ask_owner_to_count(world: World) -> Pending:
-    tail = SimpleNamespace(synced_at=read_clock())
-    copy = SimpleNamespace(replica=world.replica, intake=tail)
-    owned = Owned(Mock(dispatcher=world.state), Mock())
+    reader = SimpleNamespace(synced_at=read_clock())
+    copy = SimpleNamespace(replica=world.replica, intake=reader)
+    owned = OwnedUnit(Mock(dispatcher=world.state), Mock())
     instance: Any = SimpleNamespace(owned={0: owned}, copies=[copy])
-    counted = peers.ask_pending(instance, 0, "q")
+    counted = peers.fetch_pending(instance, 0, "q")
     assert counted is not None
     return counted.pending
 
--- a/plantainyard/dispatch/tests/test_timing.py
+++ b/plantainyard/dispatch/tests/test_timing.py
@@ -19,7 +19,7 @@
     world.run(6.0)
     found = summary(world, "second")
     assert found.state == "completed"
-    assert 2.0 < found.task_time_s[TimePart.WAITING_ROOM] < 4.0
+    assert 2.0 < found.task_time_s[TimePart.WAITING_CAPACITY] < 4.0
     assert 0.5 < found.task_time_s[TimePart.WORKING] < 1.5
     assert TimePart.WAITING_RUNNER not in found.task_time_s
     assert found.duration_s > 3.0
--- a/plantainyard/platform/__init__.py
+++ b/plantainyard/platform/__init__.py
@@ -1,8 +1,8 @@
-"""Adapter to the users' platform: its names, formats and calls, and no decisions.
+"""Adapter to the users' platform: its names, formats and calls.
 
-Everything that the platform spells is decoded here into types whose fields say what
-they hold, and encoded here from the product's own words. `docs/glossary.md` maps the
-words.
+The package decodes the formats of the platform into types with descriptive field names,
+and encodes requests in those formats. It makes no scheduling decisions.
+`docs/glossary.md` maps the names of the platform to the names used here.
 """
 
 from plantainyard.platform.configuration import (
@@ -12,19 +12,19 @@
 )
 from plantainyard.platform.entries import RunnerEntry, decode_entry
 from plantainyard.platform.runners import (
-    Held,
-    HeldRun,
     Order,
     OrderOutcome,
     OrderResult,
+    ReportedRun,
     RunEnd,
     RunnerCalls,
+    RunnerReport,
     build_runner_calls,
 )
 from plantainyard.platform.settings import InstanceSettings, load_instance_settings
 from plantainyard.platform.store import (
     Append,
-    Appended,
+    AppendResult,
     Membership,
     Page,
     Slice,
@@ -35,10 +35,10 @@
 
 __all__ = [
     "Append",
-    "Appended",
+    "AppendResult",
     "Configuration",
-    "Held",
-    "HeldRun",
+    "RunnerReport",
+    "ReportedRun",
     "InstanceSettings",
     "Membership",
     "Order",
