--- a/plantainyard/dispatch/tests/test_interference.py
+++ b/plantainyard/dispatch/tests/test_interference.py
@@ -1,4 +1,4 @@
-"""What is learnt of interference, and that it outlasts an owner."""
+"""Learning of interference weights and baselines, and their storage and merging."""
 
 import math
 import random
@@ -24,17 +24,17 @@
     merge_interference,
 )
 
-TRUE = {"heavy": 4.5, "light": 0.2, "mild": 1.5}
-HERE, THERE = TaskKey("a", 0, 0, 0), TaskKey("a", 0, 0, 1)
+TRUE_WEIGHTS = {"heavy": 4.5, "light": 0.2, "mild": 1.5}
+DISTURBED_TASK, UNDISTURBED_TASK = TaskKey("a", 0, 0, 0), TaskKey("a", 0, 0, 1)
 
 
-def swing(now: float) -> float:
-    """Return the load of a serving task, which swings as measured ones do."""
+def get_load(now: float) -> float:
+    """Return the load of a serving task, with the amplitude and period of real ones."""
     return 0.46 + 0.22 * math.sin(2 * math.pi * now / 14)
 
 
 def find_tail(load: float, stretch: float) -> float:
-    """Return the tail of a queue, in targets, whose work is stretched."""
+    """Return the tail latency, in targets, of a queue with a stretched service time."""
     return 0.2 * stretch / max(0.01, 1 - load * stretch)
 
 
@@ -42,193 +42,224 @@
     return Sample(incarnation, [Tail(task, "web", tail)], loads)
 
 
-def teach(interference: InterferenceModel, reports: int, seed: int) -> None:
-    """Report two tasks of one job by turns; only one has company."""
-    source = random.Random(seed)
+def train(interference: InterferenceModel, reports: int, seed: int) -> None:
+    """Report two tasks of one job by turns; only one has backfill work beside it."""
+    rng = random.Random(seed)
     for number in range(reports):
         now = number * 0.25
-        calm = find_tail(swing(now), 1.0)
-        learn_from_sample(interference, make_sample("r1@1", THERE, calm), now)
+        undisturbed = find_tail(get_load(now), 1.0)
+        learn_from_sample(
+            interference, make_sample("r1@1", UNDISTURBED_TASK, undisturbed), now
+        )
         if number % 4 == 0:
-            images = source.sample(sorted(TRUE), 2)
-            loads = {image: source.uniform(0.02, 0.1) for image in images}
-        stretch = 1 + sum(TRUE[i] * load for i, load in loads.items())
-        tail = find_tail(swing(now), stretch) * source.gauss(1, 0.05)
-        learn_from_sample(interference, make_sample("r0@1", HERE, tail, **loads), now)
+            images = rng.sample(sorted(TRUE_WEIGHTS), 2)
+            loads = {image: rng.uniform(0.02, 0.1) for image in images}
+        stretch = 1 + sum(TRUE_WEIGHTS[i] * load for i, load in loads.items())
+        tail = find_tail(get_load(now), stretch) * rng.gauss(1, 0.05)
+        learn_from_sample(
+            interference, make_sample("r0@1", DISTURBED_TASK, tail, **loads), now
+        )
 
 
 @settings(deadline=None, derandomize=True)
 @given(seed=st.integers(0, 10_000))
-def test_the_harmful_image_is_told_from_those_beside_it(seed):
-    # Three images are always seen in pairs, while the serving task's own load swings
-    # its tail by a factor of three. Blamed alike, harmless work would be slowed for
-    # what the harmful image does, or for what the load does.
+def test_the_harmful_image_is_distinguished_from_others_beside_it(seed):
+    # Guards against harmless work that is slowed for the effect of a harmful image or
+    # of the load: three images are only seen in pairs, while the serving task's own
+    # load changes its tail by a factor of three.
     interference = InterferenceModel()
-    teach(interference, 120, seed)
-    weights = {image: find_weight(interference, "web", image) for image in TRUE}
+    train(interference, 120, seed)
+    weights = {image: find_weight(interference, "web", image) for image in TRUE_WEIGHTS}
     assert weights["heavy"] > 3
     assert weights["light"] < 0.9
     assert 0.6 < weights["mild"] < 2.4
 
 
-def test_one_faint_report_leaves_a_doubt():
-    # A harmful image has barely begun to work when the first report comes; taken for
-    # harmless it would be sent to every runner.
+def test_a_single_report_at_low_load_leaves_a_high_variance():
+    # Guards against a harmful image that is placed on every runner because it had
+    # barely begun to run when the first report came.
     interference = InterferenceModel()
-    learn_from_sample(interference, make_sample("r1@1", THERE, 0.4), 0.0)
-    learn_from_sample(interference, make_sample("r0@1", HERE, 0.4, heavy=0.01), 0.0)
+    learn_from_sample(interference, make_sample("r1@1", UNDISTURBED_TASK, 0.4), 0.0)
+    learn_from_sample(
+        interference, make_sample("r0@1", DISTURBED_TASK, 0.4, heavy=0.01), 0.0
+    )
     assert not is_known(interference, "web", "heavy")
-    doubted = find_weight_bound(interference, "web", "heavy")
-    assert doubted > find_weight(interference, "web", "heavy") + 1
+    bound = find_weight_bound(interference, "web", "heavy")
+    assert bound > find_weight(interference, "web", "heavy") + 1
 
 
-def test_an_image_that_was_blamed_wrongly_is_tried_again():
-    # While a runner was slow for other reasons a harmless image took the blame. Kept
-    # away from all serving tasks it can't clear itself, and its jobs wait for ever.
+def test_a_wrongly_blamed_image_is_tried_again():
+    # Guards against jobs that wait for ever: a harmless image was blamed for a runner
+    # that was slow for other reasons, and is kept from all runners where its weight
+    # could be corrected.
     interference = InterferenceModel()
     for _ in range(40):
-        learn_from_sample(interference, make_sample("r1@1", THERE, 0.4), 0.0)
-        learn_from_sample(interference, make_sample("r0@1", HERE, 1.2, light=0.1), 0.0)
+        learn_from_sample(interference, make_sample("r1@1", UNDISTURBED_TASK, 0.4), 0.0)
+        learn_from_sample(
+            interference, make_sample("r0@1", DISTURBED_TASK, 1.2, light=0.1), 0.0
+        )
     assert find_weight(interference, "web", "light") > 3
     for _ in range(int(RETENTION_S) + 2):
         expire_unobserved(interference, 1.0, 60.0)
     assert not is_known(interference, "web", "light")
     assert find_weight(interference, "web", "light") == PRIOR_WEIGHT
     for _ in range(20):
-        learn_from_sample(interference, make_sample("r1@1", THERE, 0.4), 60.0)
-        learn_from_sample(interference, make_sample("r0@1", HERE, 0.4, light=0.1), 60.0)
+        learn_from_sample(
+            interference, make_sample("r1@1", UNDISTURBED_TASK, 0.4), 60.0
+        )
+        learn_from_sample(
+            interference, make_sample("r0@1", DISTURBED_TASK, 0.4, light=0.1), 60.0
+        )
     assert find_weight(interference, "web", "light") < 0.7
 
 
-def test_a_slow_runner_teaches_nothing_about_the_others():
-    # A runner turns slow; its serving task is at forty targets with no backfilling
-    # work beside it. Learnt from once such work comes, it would put the blame on it
-    # and keep it from all runners for the rest of the day.
+def test_nothing_is_learnt_from_a_slow_runner():
+    # Guards against backfill work that is blamed for a slow runner and kept from all
+    # runners for the rest of the day: the runner's serving task is at forty targets
+    # even before backfill work starts beside it.
     interference = InterferenceModel()
-    teach(interference, 120, 1)
+    train(interference, 120, 1)
     before = find_weight(interference, "web", "light")
     for number in range(4):
-        learn_from_sample(interference, make_sample("r1@1", THERE, 0.4), 30.0)
         learn_from_sample(
-            interference, make_sample("r0@1", HERE, 40.0), 30.0 + number * 0.01
+            interference, make_sample("r1@1", UNDISTURBED_TASK, 0.4), 30.0
+        )
+        learn_from_sample(
+            interference,
+            make_sample("r0@1", DISTURBED_TASK, 40.0),
+            30.0 + number * 0.01,
         )
     for number in range(20):
         now = 30.1 + number * 0.01
-        learn_from_sample(interference, make_sample("r1@1", THERE, 0.4), now)
-        learn_from_sample(interference, make_sample("r0@1", HERE, 40.0, light=0.1), now)
+        learn_from_sample(interference, make_sample("r1@1", UNDISTURBED_TASK, 0.4), now)
+        learn_from_sample(
+            interference, make_sample("r0@1", DISTURBED_TASK, 40.0, light=0.1), now
+        )
     assert find_weight(interference, "web", "light") == before
 
 
-def test_a_runner_that_was_slow_is_forgotten():
-    # Runners start anew all day, each time as a life of its own. What is noted of each
-    # and never dropped grows as long as the owner lives.
+def test_records_of_slow_runners_expire():
+    # Guards against memory that grows as long as the owner runs: runners restart all
+    # day, each time as a new incarnation.
     interference = InterferenceModel()
     interference.slow_until = {"r0@1": 33.0, "r1@1": 31.0}
     expire_unobserved(interference, 1.0, 32.0)
     assert list(interference.slow_until) == ["r0@1"]
 
 
-def test_a_task_alone_is_judged_by_what_it_was_a_moment_ago():
-    # A job has all its tasks on one runner, so none is left beside which nothing
-    # works. What was read there before the harmful work came has to do.
+def test_a_job_on_one_runner_uses_its_own_recent_baseline():
+    # Guards against a job that learns nothing because all its tasks are on one runner
+    # and none is undisturbed: its readings from before the harmful work are used.
     interference = InterferenceModel()
-    learn_from_sample(interference, make_sample("r0@1", HERE, 0.4), 0.0)
+    learn_from_sample(interference, make_sample("r0@1", DISTURBED_TASK, 0.4), 0.0)
     for number in range(8):
         tail = find_tail(0.5, 1 + 4.5 * 0.1)
         learn_from_sample(
-            interference, make_sample("r0@1", HERE, tail, heavy=0.1), 0.15 * number
+            interference,
+            make_sample("r0@1", DISTURBED_TASK, tail, heavy=0.1),
+            0.15 * number,
         )
     assert find_weight(interference, "web", "heavy") > 3
 
 
-def test_the_base_is_told_from_what_harms():
-    # Paces are worked out from the base. Taken from the tail it would count the harm
-    # twice, and work would be slowed to a stop beside tasks that can bear it.
+def test_the_baseline_excludes_the_interference():
+    # Guards against work that is slowed to a stop beside tolerant tasks: paces depend
+    # on the baseline, and a baseline taken from the tail itself would count the
+    # interference twice.
     interference = InterferenceModel()
-    teach(interference, 120, 1)
-    tail = find_tail(swing(30.0), 1 + 4.5 * 0.05)
+    train(interference, 120, 1)
+    tail = find_tail(get_load(30.0), 1 + 4.5 * 0.05)
     for _ in range(2):
-        bases = learn_from_sample(
-            interference, make_sample("r0@1", HERE, tail, heavy=0.05), 30.0
+        baselines = learn_from_sample(
+            interference, make_sample("r0@1", DISTURBED_TASK, tail, heavy=0.05), 30.0
         )
-    assert abs(bases["a"] - 1 / find_tail(swing(30.0), 1.0)) < 0.3
+    assert abs(baselines["a"] - 1 / find_tail(get_load(30.0), 1.0)) < 0.3
 
 
-def test_a_fall_after_a_stop_is_seen_at_once():
-    # What harmed was stopped; the reported tail falls by half in 0.3 s only, since it
-    # is smoothed. Read as it is, work that harms nobody would stay stopped for seconds.
+def test_a_fall_of_the_tail_after_a_stop_is_seen_at_once():
+    # Guards against harmless work that stays stopped for seconds: after the harmful
+    # work is stopped, the reported tail falls by only half in 0.3 s, as it is smoothed.
     interference = InterferenceModel()
-    learn_from_sample(interference, make_sample("r0@1", HERE, 4.0), 10.0)
-    learn_from_sample(interference, make_sample("r0@1", HERE, 2.25), 10.28)
-    bases = learn_from_sample(interference, make_sample("r0@1", HERE, 1.35), 10.56)
-    assert bases["a"] > 1.4
+    learn_from_sample(interference, make_sample("r0@1", DISTURBED_TASK, 4.0), 10.0)
+    learn_from_sample(interference, make_sample("r0@1", DISTURBED_TASK, 2.25), 10.28)
+    baselines = learn_from_sample(
+        interference, make_sample("r0@1", DISTURBED_TASK, 1.35), 10.56
+    )
+    assert baselines["a"] > 1.4
 
 
-def test_what_is_learnt_outlasts_its_owner():
+def test_learnt_weights_survive_a_change_of_owner():
     interference = InterferenceModel()
-    teach(interference, 60, 1)
-    again = decode_interference(encode_interference(interference))
-    for image in TRUE:
-        old, new = (find_weight(h, "web", image) for h in (interference, again))
+    train(interference, 60, 1)
+    restored = decode_interference(encode_interference(interference))
+    for image in TRUE_WEIGHTS:
+        old, new = (find_weight(h, "web", image) for h in (interference, restored))
         assert abs(old - new) < 0.01
-        assert is_known(again, "web", image) == is_known(interference, "web", image)
-    teach(again, 20, 2)
-    assert find_weight(again, "web", "heavy") > 3
-
-
-def test_a_unit_takes_over_what_another_one_knows():
-    # A large fleet is divided, and each unit sees a tenth of all reports. Without the
-    # others' word each finds out by itself which pairs harm, at its users' cost.
-    interference, told = InterferenceModel(), InterferenceModel()
-    teach(told, 120, 1)
-    learn_from_sample(interference, make_sample("r7@1", HERE, 0.4, heavy=0.05), 0.0)
-    merge_interference(interference, decode_interference(encode_interference(told)))
+        assert is_known(restored, "web", image) == is_known(interference, "web", image)
+    train(restored, 20, 2)
+    assert find_weight(restored, "web", "heavy") > 3
+
+
+def test_a_unit_takes_over_weights_known_to_another_unit():
+    # Guards against units that each learn harmful pairs at the cost of their users: a
+    # large fleet is divided into units, each of which gets a tenth of all reports.
+    interference, received = InterferenceModel(), InterferenceModel()
+    train(received, 120, 1)
+    learn_from_sample(
+        interference, make_sample("r7@1", DISTURBED_TASK, 0.4, heavy=0.05), 0.0
+    )
+    merge_interference(interference, decode_interference(encode_interference(received)))
     assert find_weight(interference, "web", "heavy") > 3
     assert find_weight_bound(interference, "web", "light") < 1
-    teach(interference, 40, 2)
+    train(interference, 40, 2)
     assert find_weight(interference, "web", "heavy") > 3
 
 
-def test_what_a_unit_knows_isnt_overruled():
-    interference, told = InterferenceModel(), InterferenceModel()
-    teach(interference, 120, 1)
+def test_weights_known_to_a_unit_are_not_overwritten():
+    interference, received = InterferenceModel(), InterferenceModel()
+    train(interference, 120, 1)
     before = find_weight(interference, "web", "heavy")
-    teach(told, 120, 2)
-    told.estimates["web"].weights["heavy"] = 0.1
-    merge_interference(interference, told)
+    train(received, 120, 2)
+    received.estimates["web"].weights["heavy"] = 0.1
+    merge_interference(interference, received)
     assert find_weight(interference, "web", "heavy") == before
 
 
-def teach_short_tasks(interference: InterferenceModel, reports: int, seed: int) -> None:
-    """Report two tasks of one job; one of two neighbours changes each time."""
-    source = random.Random(seed)
+def train_with_short_tasks(
+    interference: InterferenceModel, reports: int, seed: int
+) -> None:
+    """Report two tasks of one job; one of two neighbours changes with each report."""
+    rng = random.Random(seed)
     reported = 0.2
-    beside = [(image, 0.08) for image in source.sample(sorted(TRUE), 2)]
+    beside = [(image, 0.08) for image in rng.sample(sorted(TRUE_WEIGHTS), 2)]
     for number in range(reports):
         now = number * 0.25
-        calm = find_tail(swing(now), 1.0)
-        learn_from_sample(interference, make_sample("r1@1", THERE, calm), now)
-        free = sorted(set(TRUE) - {image for image, _ in beside})
-        beside[number % 2] = (source.choice(free), source.uniform(0.05, 0.12))
+        undisturbed = find_tail(get_load(now), 1.0)
+        learn_from_sample(
+            interference, make_sample("r1@1", UNDISTURBED_TASK, undisturbed), now
+        )
+        absent = sorted(set(TRUE_WEIGHTS) - {image for image, _ in beside})
+        beside[number % 2] = (rng.choice(absent), rng.uniform(0.05, 0.12))
         loads = dict(beside)
-        stretch = 1 + sum(TRUE[i] * load for i, load in loads.items())
-        kept = math.exp(-0.25 / SMOOTHING_S)
-        reported = kept * reported + (1 - kept) * find_tail(swing(now), stretch)
+        stretch = 1 + sum(TRUE_WEIGHTS[i] * load for i, load in loads.items())
+        retained = math.exp(-0.25 / SMOOTHING_S)
+        reported = retained * reported + (1 - retained) * find_tail(
+            get_load(now), stretch
+        )
         learn_from_sample(
-            interference, make_sample("r0@1", HERE, reported, **loads), now
+            interference, make_sample("r0@1", DISTURBED_TASK, reported, **loads), now
         )
 
 
 @settings(deadline=None, derandomize=True)
 @given(seed=st.integers(0, 10_000))
-def test_short_tasks_show_what_their_images_harm(seed):
-    # In a burst of short jobs something starts or ends beside a serving task between
-    # any two reports. Reports whose loads had just changed were passed over: the
-    # harmful image stayed unknown for as long as the burst went on, and its tasks were
-    # slowed, and kept waiting, like harmful ones of any image.
+def test_weights_are_learnt_from_short_tasks(seed):
+    # Guards against images that stay unknown, and whose tasks are slowed and kept
+    # waiting, during a burst of short jobs: some task starts or ends beside a serving
+    # task between any two reports, and reports after a change of load were ignored.
     interference = InterferenceModel()
-    teach_short_tasks(interference, 80, seed)
-    weights = {image: find_weight(interference, "web", image) for image in TRUE}
-    assert all(is_known(interference, "web", image) for image in TRUE)
+    train_with_short_tasks(interference, 80, seed)
+    weights = {image: find_weight(interference, "web", image) for image in TRUE_WEIGHTS}
+    assert all(is_known(interference, "web", image) for image in TRUE_WEIGHTS)
     assert weights["heavy"] > 2
     assert weights["light"] < weights["mild"] < weights["heavy"]
--- a/plantainyard/dispatch/tests/test_pacing.py
+++ b/plantainyard/dispatch/tests/test_pacing.py
@@ -1,4 +1,4 @@
-"""Paces and places of backfilling work, on replayed swings of serving load."""
+"""Paces and places of backfill work beside serving tasks whose load swings."""
 
 import itertools
 import math
@@ -16,7 +16,11 @@
 from plantainyard.dispatch.ranking import choose_runner
 from plantainyard.dispatch.samples import QUIET_WEIGHT, SMOOTHING_S, read_sample
 from plantainyard.dispatch.state import Dispatcher
-from plantainyard.dispatch.tests.test_interference import TRUE, find_tail, swing
+from plantainyard.dispatch.tests.test_interference import (
+    TRUE_WEIGHTS,
+    find_tail,
+    get_load,
+)
 from plantainyard.dispatch.weights import find_weight
 from plantainyard.platform.entries import RunnerEntry
 from plantainyard.platform.runners import ReportedRun
@@ -41,8 +45,8 @@
     return Runner(incarnation, entry, known=True, answering=True)
 
 
-def put(runner: Runner, spec: Step, job_id: str = "") -> Task:
-    """Let a task of a job of its own run on a runner."""
+def run_task(runner: Runner, spec: Step, job_id: str = "") -> Task:
+    """Run a task on a runner, by default as part of a job of its own."""
     job_id = job_id or f"j{next(_numbers)}"
     job = Job(Submission(job_id, "q", "tollgate", "", (spec,)), 0.0, (0.0,))
     task = Task(TaskKey(job_id, 0, 0, next(_numbers)), StepRun(job, 0, 0, spec))
@@ -51,34 +55,34 @@
     return task
 
 
-def serving() -> Step:
+def make_serving_step() -> Step:
     return Step(1, Resources(10_000, 1, 0), image="web", target_ms=50.0)
 
 
-def filling(image: str) -> Step:
+def make_backfill_step(image: str) -> Step:
     return Step(1, Resources(7_000, 1, 0), image=image, backfill=True)
 
 
 def smooth(incarnation: str, tail_ms: float, now: float) -> float:
     """Return the tail as runners report it: smoothed over less than half a second."""
     at, before = _reported.get(incarnation, (now, tail_ms))
-    kept = math.exp(-max(0.0, now - at) / SMOOTHING_S) if now >= at else 0.0
-    _reported[incarnation] = (now, kept * before + (1 - kept) * tail_ms)
+    retained = math.exp(-max(0.0, now - at) / SMOOTHING_S) if now >= at else 0.0
+    _reported[incarnation] = (now, retained * before + (1 - retained) * tail_ms)
     return _reported[incarnation][1]
 
 
 def report(runner: Runner, now: float) -> list[ReportedRun]:
-    """Return what the runner says after half a second at its paces of now."""
+    """Return the runner's report after half a second at its current paces."""
     loads = {
         task.key: 7_000 * get_pace(runner, task.step.spec.image) / 100
         for task in runner.tasks.values()
         if task.step.spec.backfill
     }
     stretch = 1 + sum(
-        TRUE[runner.tasks[key].step.spec.image] * load / CPU
+        TRUE_WEIGHTS[runner.tasks[key].step.spec.image] * load / CPU
         for key, load in loads.items()
     )
-    tail_ms = smooth(runner.incarnation, 50.0 * find_tail(swing(now), stretch), now)
+    tail_ms = smooth(runner.incarnation, 50.0 * find_tail(get_load(now), stretch), now)
     return [
         ReportedRun(key, 1, "", 100, loads.get(key, round(tail_ms)))
         for key in runner.tasks
@@ -86,58 +90,60 @@
 
 
 def apply_paces(runner: Runner, interference: InterferenceModel) -> None:
-    """Choose paces and have them in force at once."""
+    """Choose paces, and apply them immediately."""
     runner.paces = choose_paces(runner, interference)
     for task in runner.tasks.values():
         task.pace_before = task.pace
         task.pace = get_pace(runner, task.step.spec.image)
 
 
-def play(images: list[str]) -> tuple[float, float]:
-    """Return the part of reports over the target, and the work done, of most."""
+def simulate(images: list[str]) -> tuple[float, float]:
+    """Return the share of reports over the target, and the mean pace as a share."""
     interference = InterferenceModel()
-    full, other = make_runner("r0@1"), make_runner("r1@1")
-    put(full, serving(), "web")
-    put(other, serving(), "web")
+    shared, other = make_runner("r0@1"), make_runner("r1@1")
+    run_task(shared, make_serving_step(), "web")
+    run_task(other, make_serving_step(), "web")
     for image in images:
-        put(full, filling(image))
-    apply_paces(full, interference)
+        run_task(shared, make_backfill_step(image))
+    apply_paces(shared, interference)
     missed, done, reports = 0, 0.0, 240
     for number in range(reports):
         now = number * 0.25
-        for runner in (other, full):
+        for runner in (other, shared):
             rows = report(runner, now)
             sample = read_sample(runner, rows)
             missed += any(tail.value > 1.0 for tail in sample.tails)
             runner.bases = learn_from_sample(interference, sample, now)
-        paces = [get_pace(full, image) / 100 for image in images]
+        paces = [get_pace(shared, image) / 100 for image in images]
         done += sum(paces) / len(paces)
-        apply_paces(full, interference)
+        apply_paces(shared, interference)
     return missed / reports, done / reports
 
 
 def test_harmful_work_is_done_while_the_serving_load_is_low():
-    # Two harmful tasks share a runner with a serving one whose load swings. Let go,
-    # they put its tail over the target in half of all reports; stopped until it is
-    # calm for good they would never end.
-    missed, done = play(["heavy", "heavy"])
+    # Two harmful tasks share a runner with a serving task whose load swings. Unslowed,
+    # they raise its tail over the target in half of all reports; if they were stopped
+    # until the load is low for good, they would never end.
+    missed, done = simulate(["heavy", "heavy"])
     assert missed == 0
     assert done > 0.35
 
 
-def test_harmless_work_isnt_slowed_for_what_harms():
-    missed, done = play(["light", "light", "light"])
+def test_harmless_work_is_not_slowed():
+    # Guards against harmless images that are slowed like harmful ones.
+    missed, done = simulate(["light", "light", "light"])
     assert missed == 0
     assert done > 0.95
 
 
-def test_what_harms_most_is_slowed_first():
+def test_the_most_harmful_image_is_slowed_first():
+    # Guards against harmless work that is slowed for the effect of a harmful image.
     interference = InterferenceModel()
     runner, other = make_runner("r0@1"), make_runner("r1@1")
-    put(runner, serving(), "web")
-    put(other, serving(), "web")
+    run_task(runner, make_serving_step(), "web")
+    run_task(other, make_serving_step(), "web")
     for image in ("heavy", "light", "light"):
-        put(runner, filling(image))
+        run_task(runner, make_backfill_step(image))
     for number in range(60):
         now = number * 0.25
         learn_from_sample(interference, read_sample(other, report(other, now)), now)
@@ -152,40 +158,40 @@
     assert get_pace(runner, "light") == 100
 
 
-def test_work_goes_where_it_gets_on():
-    # A harmful image finds one runner with a serving task at its peak and one at its
-    # trough. Sent to the first it would be stopped there, and hold its memory.
+def test_harmful_work_is_placed_beside_tolerant_tasks():
+    # Guards against work that is stopped and holds its memory: of two runners one has a
+    # serving task at its peak load, the other one at its lowest.
     interference = InterferenceModel()
-    play_harms(interference)
-    busy, calm = make_runner("r0@1"), make_runner("r1@1")
-    for runner, base in ((busy, 1.6), (calm, 3.8)):
-        task = put(runner, serving())
-        runner.bases = {task.key.job_id: base}
-        interference.trends[task.key.job_id] = Trend(base, base, 0.0)
+    train_all(interference)
+    busy, quiet = make_runner("r0@1"), make_runner("r1@1")
+    for runner, baseline in ((busy, 1.6), (quiet, 3.8)):
+        task = run_task(runner, make_serving_step())
+        runner.bases = {task.key.job_id: baseline}
+        interference.trends[task.key.job_id] = Trend(baseline, baseline, 0.0)
         update_headroom(runner, interference)
-    task = put(make_runner("r2@1"), filling("heavy"))
+    task = run_task(make_runner("r2@1"), make_backfill_step("heavy"))
     task.phase = Phase.WAITING
-    chosen = choose_runner(task, [busy, calm], Limits(), interference, 0.0)
-    assert chosen is calm
+    chosen = choose_runner(task, [busy, quiet], Limits(), interference, 0.0)
+    assert chosen is quiet
     assert choose_runner(task, [busy], Limits(), interference, 0.0) is None
 
 
-def test_harmless_work_is_let_in_beside_harmful_work_that_is_slowed():
-    # One harmful task takes up all that a serving task leaves, and harmless jobs wait
-    # for minutes while half of the processors are unused. A tenth of the harmful one's
-    # pace makes room for a whole harmless one.
+def test_harmless_work_is_admitted_beside_slowed_harmful_work():
+    # Guards against harmless jobs that wait for minutes while half of the processors
+    # are unused, because one harmful task uses all the headroom of a serving task. A
+    # tenth of the harmful task's pace frees the headroom for a whole harmless task.
     interference = InterferenceModel()
-    play_harms(interference)
+    train_all(interference)
     runner = make_runner("r0@1")
-    neighbour = put(runner, serving())
-    put(runner, filling("heavy"))
-    put(runner, filling("heavy"))
-    runner.bases = {neighbour.key.job_id: 2.0}
-    interference.trends[neighbour.key.job_id] = Trend(2.0, 2.0, 0.0)
+    serving_task = run_task(runner, make_serving_step())
+    run_task(runner, make_backfill_step("heavy"))
+    run_task(runner, make_backfill_step("heavy"))
+    runner.bases = {serving_task.key.job_id: 2.0}
+    interference.trends[serving_task.key.job_id] = Trend(2.0, 2.0, 0.0)
     update_headroom(runner, interference)
 
     def choose(image: str) -> Runner | None:
-        task = put(make_runner("r2@1"), filling(image))
+        task = run_task(make_runner("r2@1"), make_backfill_step(image))
         task.phase = Phase.WAITING
         return choose_runner(task, [runner], Limits(), interference, 0.0)
 
@@ -193,33 +199,32 @@
     assert choose("heavy") is None
 
 
-def play_harms(interference: InterferenceModel) -> None:
-    """Teach the weights of all images."""
+def train_all(interference: InterferenceModel) -> None:
+    """Train the model with reports about all images."""
     runner, other = make_runner("r8@1"), make_runner("r9@1")
-    put(runner, serving(), "web")
-    put(other, serving(), "web")
-    images = list(TRUE)
+    run_task(runner, make_serving_step(), "web")
+    run_task(other, make_serving_step(), "web")
+    images = list(TRUE_WEIGHTS)
     for number in range(40 * len(images)):
         now = number * 0.25
         if number % 40 == 0:
             runner.tasks = dict(list(runner.tasks.items())[:1])
-            put(runner, filling(images[number // 40]))
+            run_task(runner, make_backfill_step(images[number // 40]))
         learn_from_sample(interference, read_sample(other, report(other, now)), now)
         learn_from_sample(interference, read_sample(runner, report(runner, now)), now)
 
 
-def test_a_job_of_which_nothing_runs_is_not_kept_waiting_for_a_good_place():
-    # Most of the fleet is free, and all runners have serving tasks that a harmful image
-    # would slow it for. Kept waiting for one where it gets on, its job ran nowhere for
-    # the rest of the day.
+def test_an_unstarted_job_does_not_wait_for_a_fast_place():
+    # Guards against a job that runs nowhere for the rest of the day while most of the
+    # fleet is free: all runners have serving tasks for which a harmful image is slowed.
     interference = InterferenceModel()
-    play_harms(interference)
+    train_all(interference)
     runner = make_runner("r0@1")
-    neighbour = put(runner, serving())
-    runner.bases = {neighbour.key.job_id: 1.3}
-    interference.trends[neighbour.key.job_id] = Trend(1.3, 1.3, 0.0)
+    serving_task = run_task(runner, make_serving_step())
+    runner.bases = {serving_task.key.job_id: 1.3}
+    interference.trends[serving_task.key.job_id] = Trend(1.3, 1.3, 0.0)
     update_headroom(runner, interference)
-    task = put(make_runner("r2@1"), filling("heavy"))
+    task = run_task(make_runner("r2@1"), make_backfill_step("heavy"))
     task.phase = Phase.WAITING
     task.waiting_since = 100.0
 
@@ -233,37 +238,37 @@
 
 
 def test_a_quiet_phase_does_not_make_a_harmful_image_harmless():
-    # For seconds all tasks of a harmful image are in quiet phases: they use 0.68 of
-    # their processors and harm a quarter as much. Taken as they are, the image would be
-    # learnt as harmless and let go everywhere just before the phases end.
+    # Guards against a harmful image that is learnt as harmless and runs at full speed
+    # everywhere just before its quiet phases end: for seconds all of its tasks use 0.68
+    # of their processors and interfere a quarter as much.
     interference = InterferenceModel()
     runner, other = make_runner("r0@1"), make_runner("r1@1")
-    put(runner, serving(), "web")
-    put(other, serving(), "web")
+    run_task(runner, make_serving_step(), "web")
+    run_task(other, make_serving_step(), "web")
     for _ in range(3):
-        put(runner, filling("heavy"))
+        run_task(runner, make_backfill_step("heavy"))
     used = 0.68 * 7_000
-    stretch = 1 + TRUE["heavy"] * QUIET_WEIGHT * 3 * used / CPU
+    stretch = 1 + TRUE_WEIGHTS["heavy"] * QUIET_WEIGHT * 3 * used / CPU
     for number in range(80):
         now = number * 0.25
         learn_from_sample(interference, read_sample(other, report(other, now)), now)
-        tail_ms = smooth("quiet", 50.0 * find_tail(swing(now), stretch), now)
+        tail_ms = smooth("quiet", 50.0 * find_tail(get_load(now), stretch), now)
         rows = [
             ReportedRun(key, 1, "", 100, used if task.step.spec.backfill else tail_ms)
             for key, task in runner.tasks.items()
         ]
         learn_from_sample(interference, read_sample(runner, rows), now)
-    assert find_weight(interference, "web", "heavy") > 0.6 * TRUE["heavy"]
+    assert find_weight(interference, "web", "heavy") > 0.6 * TRUE_WEIGHTS["heavy"]
 
 
-def test_work_that_was_stopped_is_let_go_step_by_step():
-    # All work beside a serving task was stopped, since one image that was taken for
-    # harmless is not. Let go at full speed together, it strikes again at full force.
+def test_stopped_work_is_sped_up_step_by_step():
+    # Guards against interference that returns at full strength: all work beside a
+    # serving task was stopped, since one image was wrongly considered harmless.
     interference = InterferenceModel()
     runner = make_runner("r0@1")
-    put(runner, serving(), "web")
-    put(runner, filling("light"))
-    play_harms(interference)
+    run_task(runner, make_serving_step(), "web")
+    run_task(runner, make_backfill_step("light"))
+    train_all(interference)
     runner.bases = {"web": 4.0}
     interference.trends["web"] = Trend(4.0, 4.0, 0.0)
     runner.paces = {"light": 0}
@@ -275,12 +280,12 @@
 
 
 def test_a_small_rise_of_a_pace_is_not_ordered(monkeypatch):
-    # Paces follow each report. An owner that orders each rise by some points spends a
-    # third of its calls on paces, and its reports come late for it.
+    # Guards against an owner whose reports are delayed because a third of its calls are
+    # orders that raise paces by a few points after each report.
     state = Dispatcher(Limits())
     runner = make_runner("r0@1")
-    put(runner, serving(), "web")
-    task = put(runner, filling("heavy"))
+    run_task(runner, make_serving_step(), "web")
+    task = run_task(runner, make_backfill_step("heavy"))
 
     def order(pace: int) -> int:
         monkeypatch.setattr(orders, "choose_paces", lambda *_: {"heavy": pace})
@@ -296,13 +301,13 @@
     assert order(100) == 100
 
 
-def test_everything_is_stopped_where_a_target_is_missed_for_long():
-    # A target is missed for two of the four seconds that it may be, and no weight
-    # explains it. Whatever backfills there stops, whoever it was.
+def test_all_backfill_work_stops_if_a_target_is_missed_for_long():
+    # Guards against a target that is missed for longer than the four seconds allowed,
+    # when no weight explains it: after two seconds all backfill tasks there stop.
     state = Dispatcher(Limits(missed_target_s=4.0))
     runner = make_runner("r0@1")
-    put(runner, serving(), "web")
-    task = put(runner, filling("light"))
+    run_task(runner, make_serving_step(), "web")
+    task = run_task(runner, make_backfill_step("light"))
     runner.bases = {"web": 4.0}
     runner.harmed_since = 100.0
     pace_backfill(state, runner, 101.0)
@@ -311,14 +316,14 @@
     assert task.pace == 0
 
 
-def test_a_task_from_another_unit_goes_beside_its_own_job():
-    # Two tasks of one serving job were handed over one by one. They swing together, and
-    # beside each other they leave whole runners to backfilling work; taken for tasks of
-    # two jobs, the second goes wherever it is fullest.
+def test_a_task_from_another_unit_is_placed_beside_its_own_job():
+    # Two tasks of one serving job were handed over one by one. Their load swings
+    # together, so that on one runner they leave whole runners to backfill work. Guards
+    # against treating them as two jobs, which places the second on the fullest runner.
     beside, fuller = make_runner("r0@1"), make_runner("r1@1")
-    piece = put(beside, serving(), "web")
-    put(fuller, serving(), "other")
-    put(fuller, serving(), "third")
+    piece = run_task(beside, make_serving_step(), "web")
+    run_task(fuller, make_serving_step(), "other")
+    run_task(fuller, make_serving_step(), "third")
     key = piece.key._replace(number=next(_numbers))
     step = StepRun(piece.step.job, 0, 0, piece.step.spec)
     late = Task(key, step)
--- a/plantainyard/dispatch/tests/test_pending.py
+++ b/plantainyard/dispatch/tests/test_pending.py
@@ -1,4 +1,4 @@
-"""What is told of jobs for which no task has started, with faults on the way."""
+"""Count of the jobs for which no task has started, in the presence of faults."""
 
 from types import SimpleNamespace
 from typing import Any
@@ -20,7 +20,7 @@
 from plantainyard.entry.instance import OwnedUnit
 from plantainyard.entry.peers import MAX_COUNT_AGE_S, PendingCount
 
-LEASE_LAPSES_S = 7.0
+LEASE_EXPIRY_S = 7.0
 
 
 def count_waiting(world: World) -> int:
@@ -31,9 +31,9 @@
     return describe_state(world.replica.jobs[job_id])
 
 
-def test_a_job_whose_start_no_runner_takes_counts_as_waiting():
-    # Guards against a job that waits and is left out of the count: it is assigned to a
-    # runner that leaves starts unanswered.
+def test_a_job_with_an_unanswered_start_counts_as_waiting():
+    # Guards against a waiting job that is left out of the count because it is assigned
+    # to a runner that leaves starts unanswered.
     world = World(runners=1)
     world.cut.add("r0")
     world.submit("a", make_step())
@@ -48,9 +48,9 @@
     assert describe(world, "a") == "running"
 
 
-def test_a_job_whose_starts_are_all_refused_counts_as_waiting():
-    # Guards against a job that waits for as long as the fleet is full, and is told as
-    # running because it was assigned once.
+def test_a_job_with_refused_starts_counts_as_waiting():
+    # Guards against a job that waits for as long as the fleet is full, and is reported
+    # as running because it was assigned once.
     world = World(runners=1)
     world.runners["r0"].faults.refuses = True
     world.submit("a", make_step())
@@ -62,7 +62,9 @@
     assert count_waiting(world) == 0
 
 
-def test_a_job_whose_start_was_carried_out_late_has_begun():
+def test_a_job_with_a_delayed_start_counts_as_started():
+    # Guards against a job that counts as waiting for ever because its start was
+    # delivered after a delay.
     world = World(runners=1)
     world.runners["r0"].durations = {"a": 5.0}
     world.delay_orders = 100
@@ -74,8 +76,8 @@
     assert count_waiting(world) == 0
 
 
-def test_a_successor_knows_which_jobs_have_begun():
-    # Guards against a job that begins again to count as waiting with each new owner.
+def test_a_new_owner_knows_which_jobs_have_started():
+    # Guards against a started job that counts as waiting again with each new owner.
     world = World(runners=2)
     world.runners["r0"].durations = world.runners["r1"].durations = {"a": 60.0}
     world.submit("a", make_step())
@@ -88,53 +90,55 @@
     assert count_waiting(world) == 1
     assert world.state.jobs["a"].begun
     assert not world.state.jobs["c"].begun
-    world.run(LEASE_LAPSES_S)
+    world.run(LEASE_EXPIRY_S)
     assert count_waiting(world) == 1
 
 
-def tell_pending(world: World) -> Pending:
-    """Return what the unit's owner tells other instances."""
+def report_pending(world: World) -> Pending:
+    """Return the pending jobs that the unit's owner reports to other instances."""
     pending = count_pending(world.replica, "q")
     return pending._replace(arrived=pending.arrived | list_arrived(world.state, "q"))
 
 
-def test_a_job_on_its_way_to_another_unit_counts_once():
-    # Guards against a job that waits and that neither unit counts.
+def test_a_job_during_its_hand_over_counts_once():
+    # Guards against a waiting job that neither unit counts.
     old, new = make_full_world(), World(runners=1)
     new.cut.add("r0")
     old.losing_forwards = True
     old.submit("a", make_step(cpu=4000))
     for _ in range(30):
         old.run(0.1)
-        assert sum_pending(map(tell_pending, (old, new))) == 1
-    new_first = tell_pending(new)
+        assert sum_pending(map(report_pending, (old, new))) == 1
+    new_before = report_pending(new)
     ((forward,), old.losing_forwards) = old.waiting_forwards, False
     old.run(0.1)
-    assert sum_pending([tell_pending(old), new_first]) == 1
+    assert sum_pending([report_pending(old), new_before]) == 1
     new.take(forward.records[0])
-    began_at = old.now
-    while tell_pending(old).moving:
-        assert old.now < began_at + READ_S + 1.0
+    started_at = old.now
+    while report_pending(old).moving:
+        assert old.now < started_at + READ_S + 1.0
         for world in (old, new):
             world.run(0.1)
-        assert sum_pending(map(tell_pending, (old, new))) == 1
+        assert sum_pending(map(report_pending, (old, new))) == 1
     new.cut.clear()
     new.run(1.0)
-    assert sum_pending(map(tell_pending, (old, new))) == 0
+    assert sum_pending(map(report_pending, (old, new))) == 0
 
 
-def test_a_job_that_begins_as_soon_as_it_arrives_does_not_count():
+def test_a_job_that_starts_as_soon_as_it_arrives_does_not_count():
+    # Guards against a running job that counts as waiting because its former unit still
+    # reports it as moving.
     old, new = make_full_world(), World(runners=1)
     old.submit("a", make_step(cpu=4000))
     old.run(0.2)
     new.take(old.forwarded[0].records[0])
     new.run(0.3)
-    assert tell_pending(old).moving
-    assert sum_pending(map(tell_pending, (old, new))) == 0
+    assert report_pending(old).moving
+    assert sum_pending(map(report_pending, (old, new))) == 0
 
 
 def divide_job() -> World:
-    """Return a unit that has handed the two tasks of a job on, one by one."""
+    """Return a unit that has handed over the two tasks of a job one by one."""
     world = make_full_world()
     world.tell(LoadsReceived({}))
     step = make_step(2, cpu=4000, long_running=True)
@@ -145,47 +149,47 @@
     return world
 
 
-def test_a_job_whose_tasks_wait_in_other_units_counts_as_waiting():
+def test_a_job_with_waiting_tasks_in_other_units_counts_as_waiting():
     # Guards against a job that no unit counts for as long as the fleet is full: its own
-    # unit has handed its tasks on, and none has started anywhere.
+    # unit has handed over its tasks, and none has started anywhere.
     old, new = divide_job(), World(runners=1)
     new.cut.add("r0")
-    assert sum_pending(map(tell_pending, (old, new))) == 1
+    assert sum_pending(map(report_pending, (old, new))) == 1
     for record in old.forwarded[0].records:
         new.take(record)
     for _ in range(30):
         for world in (old, new):
             world.run(0.1)
-        assert sum_pending(map(tell_pending, (old, new))) == 1
+        assert sum_pending(map(report_pending, (old, new))) == 1
 
 
-def test_a_job_whose_only_tasks_at_work_are_in_another_unit_has_begun():
-    # Guards against a job that counts as waiting for good: no task found room in its
-    # own unit, and one found it elsewhere.
+def test_a_job_with_a_running_task_in_another_unit_counts_as_started():
+    # Guards against a job that counts as waiting for ever: none of its tasks found
+    # capacity in its own unit, and one found it elsewhere.
     old, new = divide_job(), World(runners=1)
     new.runners["r0"].durations = {"a": 0.0}
     assert describe(old, "a") == "running"
     new.take(old.forwarded[0].records[0])
     new.run(1.0)
-    assert tell_pending(old).divided == {"a"}
-    assert sum_pending(map(tell_pending, (old, new))) == 0
+    assert report_pending(old).divided == {"a"}
+    assert sum_pending(map(report_pending, (old, new))) == 0
 
 
-def test_a_job_counts_until_its_new_unit_has_read_of_it_or_tells_nothing():
-    # Guards against a job that neither unit counts: the new owner's answer from the
-    # store was lost, and it counts in a copy that is some seconds old.
+def test_a_job_counts_until_its_new_unit_has_read_its_record():
+    # Guards against a job that neither unit counts: the store's answer to the new owner
+    # was lost, and the owner counts in a copy that is some seconds old.
     old = make_full_world()
     old.submit("a", make_step(cpu=4000))
     old.run(0.2)
     assert old.forwarded
     until = old.now + MAX_COUNT_AGE_S + 1.0
     while old.now < until:
-        assert tell_pending(old).moving == {"a"}
+        assert report_pending(old).moving == {"a"}
         old.run(0.1)
 
 
-def test_a_job_that_comes_while_its_owner_counts_is_told_by_both_units(monkeypatch):
-    # Guards against a job that is told as arrived by an owner that hasn't counted it.
+def test_a_job_that_arrives_during_a_count_is_reported_by_both_units(monkeypatch):
+    # Guards against an owner that reports a job as arrived without having counted it.
     old, new = make_full_world(), World(runners=1)
     new.cut.add("r0")
     old.submit("a", make_step(cpu=4000))
@@ -199,8 +203,8 @@
         return counted
 
     monkeypatch.setattr(peers, "count_pending_in_copy", count_late)
-    told = ask_owner_to_count(new)
-    assert sum_pending([tell_pending(old), told]) == 1
+    reported = ask_owner_to_count(new)
+    assert sum_pending([report_pending(old), reported]) == 1
 
 
 def ask_owner_to_count(world: World) -> Pending:
@@ -214,10 +218,10 @@
 
 
 @pytest.mark.parametrize(
-    "tell", [count_pending, lambda r, _: describe_state(r.jobs["a"])]
+    "read", [count_pending, lambda r, _: describe_state(r.jobs["a"])]
 )
-def test_a_step_that_is_stored_while_a_caller_is_told_breaks_nothing(tell):
-    # Guards against an answer that fails since the commit's thread adds a step
+def test_a_step_stored_during_a_request_does_not_fail_it(read):
+    # Guards against a request that fails because the thread of the commit adds a step
     # meanwhile.
     world = World(runners=1)
     world.cut.add("r0")
@@ -231,5 +235,5 @@
             return super().values()
 
     view.steps[0, 0] = StepProgress(frozenset(), Growing({0: TaskProgress(1, "r0@0")}))
-    tell(world.replica, "q")
+    read(world.replica, "q")
     assert len(view.steps) > 1
--- a/plantainyard/dispatch/tests/test_planning.py
+++ b/plantainyard/dispatch/tests/test_planning.py
@@ -1,4 +1,4 @@
-"""What one pass of planning costs, and that it leaves nothing out."""
+"""Cost and completeness of one planning pass."""
 
 import pytest
 from hypothesis import given, settings
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def searches(monkeypatch):
-    """Return the names of the jobs for which runners were looked through."""
+    """Return a list of the jobs for which all runners were searched."""
     names: list[str] = []
     rank = planning.rank_places
 
@@ -36,10 +36,10 @@
     return names
 
 
-def test_a_backlog_of_jobs_that_are_alike_is_searched_for_once(searches):
-    # A burst leaves a hundred jobs waiting on a full site. Each of them looked through
-    # all runners ten times a second, the owner fell behind its reports, and others
-    # took its unit over and fell behind as well.
+def test_a_backlog_of_similar_jobs_needs_one_search(searches):
+    # Guards against an owner that falls behind its reports, whose unit is then taken
+    # over by others that fall behind as well: a burst left a hundred jobs waiting on a
+    # full site, each of which searched all runners ten times a second.
     world = World(1)
     world.submit("full", make_step(1, CAPACITY, long_running=True))
     world.run(3.0)
@@ -51,9 +51,9 @@
     assert len(searches) == 1
 
 
-def test_smaller_tasks_and_other_kinds_still_find_their_place(searches):
-    # A gap is too small for the first in the queue. Whoever needs less, or may be put
-    # beside what is reserved, must not be passed over with it.
+def test_smaller_tasks_and_other_kinds_are_still_placed(searches):
+    # Guards against tasks that are skipped because a gap is too small for the first in
+    # the queue, although they need less or no reserved processors.
     world = World(1)
     world.submit("most", make_step(1, CAPACITY - 1_500, long_running=True))
     world.run(3.0)
@@ -70,9 +70,9 @@
     assert started == {"most", "small", "beside"}
 
 
-def test_a_step_that_may_not_crowd_a_runner_holds_nobody_back(searches):
-    # Each runner has its one task of a step already, and the step's next one finds no
-    # place. Others that need as much are free to go beside them.
+def test_a_step_with_a_limit_per_runner_does_not_block_others(searches):
+    # Each runner already has its one task of a step, so that the step's next task finds
+    # no runner. Guards against skipping other tasks that need as much.
     world = World(1)
     world.runners["r0"].durations = {"apart": 9.0}
     world.submit("apart", make_step(2, 1_000, max_per_runner=1, estimate_ms=60_000))
@@ -81,7 +81,7 @@
     assert world.starts("other")
 
 
-def test_a_wide_step_is_searched_for_once(searches):
+def test_a_wide_step_needs_one_search(searches):
     # Guards against an owner that falls behind in a burst of jobs of forty tasks each.
     world = World(8)
     world.submit("wide", make_step(40, 2_000))
@@ -96,10 +96,9 @@
     avoided=st.sets(st.integers(0, 4)),
 )
 @settings(max_examples=40, deadline=None, derandomize=True)
-def test_what_is_kept_of_a_search_is_what_a_new_one_finds(
-    free, size, backfill, avoided
-):
-    # Guards against tasks of a step that go where the ones before left no room.
+def test_a_refreshed_search_equals_a_new_search(free, size, backfill, avoided):
+    # Guards against tasks that are assigned where earlier tasks of their step left no
+    # capacity.
     world = World(len(free))
     state, now = world.state, world.now
     runners = list(state.runners.values())
@@ -113,31 +112,33 @@
     assigned: list[Runner] = []
     for task in tasks:
         refresh_places(ranked, task, assigned, state.interference, now)
-        kept = choose_place(task, ranked, state.limits, state.interference, now, False)
+        refreshed = choose_place(
+            task, ranked, state.limits, state.interference, now, False
+        )
         new = choose_runner(task, runners, state.limits, state.interference, now)
-        assert kept is new
+        assert refreshed is new
         if new is None:
             return
         reserve_resources(new, task)
         assigned.append(new)
 
 
-def count_looked_at(world, monkeypatch):
-    """Return a list to which the number of runners of each search is added."""
-    looked_at: list[int] = []
+def count_searched_runners(world, monkeypatch):
+    """Return a list to which the number of runners in each search is appended."""
+    searched: list[int] = []
     rank = planning.rank_places
 
     def note(task, runners, *arguments):
-        looked_at.append(len(runners))
+        searched.append(len(runners))
         return rank(task, runners, *arguments)
 
     monkeypatch.setattr(planning, "rank_places", note)
-    return looked_at
+    return searched
 
 
-def test_what_found_no_place_looks_at_what_has_changed(monkeypatch):
-    # Guards against an owner that falls behind while work piles up: each report after
-    # which a task may start had all waiting steps look through all runners.
+def test_unplaced_steps_examine_only_changed_runners(monkeypatch):
+    # Guards against an owner that falls behind while work accumulates: with each report
+    # after which a task may start, all waiting steps searched all runners.
     world = World(8)
     for number in range(8):
         world.runners[f"r{number}"].durations = {"short": 30.0, "full": 0.0}
@@ -146,17 +147,17 @@
     for number in range(6):
         world.submit(f"image{number}", make_step(2, 30_000, requires=f"x{number}"))
     world.run(0.2)
-    looked_at = count_looked_at(world, monkeypatch)
+    searched = count_searched_runners(world, monkeypatch)
     runner = next(iter(world.state.runners.values()))
     world.state.changed = {runner.incarnation}
     plan_starts(world.state, world.now)
-    assert looked_at == [1] * 6
+    assert searched == [1] * 6
     world.run(0.1)
-    assert looked_at[6:] == [8] * 6
+    assert searched[6:] == [8] * 6
 
 
-def test_room_that_a_report_shows_is_taken_at_once():
-    # Guards against waiting work that sees free room only with the next tick.
+def test_capacity_freed_by_a_report_is_used_at_once():
+    # Guards against waiting work that notices free capacity only with the next tick.
     world = World(2)
     world.runners["r0"].durations = world.runners["r1"].durations = {"a": 0.0}
     world.submit("a", make_step(2, 60_000, long_running=True, max_per_runner=1))
