--- a/plantainyard/entry/tests/harness.py
+++ b/plantainyard/entry/tests/harness.py
@@ -1,4 +1,4 @@
-"""One instance over the stand-in platform, for tests."""
+"""Test harness that runs one instance on the stand-in platform."""
 
 import contextlib
 import io
@@ -29,9 +29,10 @@
 
 
 def wait_until(check: Callable[[], object]) -> None:
-    until = read_clock() + WAIT_TIMEOUT_S
+    """Wait until a check holds; fail after `WAIT_TIMEOUT_S`."""
+    deadline = read_clock() + WAIT_TIMEOUT_S
     while not check():
-        assert read_clock() < until, "not within the test's patience"
+        assert read_clock() < deadline, f"check did not hold within {WAIT_TIMEOUT_S} s"
         time.sleep(0.02)
 
 
@@ -39,6 +40,7 @@
 def run_instance(
     store: StoreState, *runners: RunnerState, units: int = 1
 ) -> Iterator[Instance]:
+    """Run an instance that has read its configuration and the layout."""
     put_configuration(store, 7)
     store.put(LAYOUT, UNITS_KEY, json.dumps({"units": units}).encode())
     with serve_platform(store, runners) as servers:
@@ -62,6 +64,7 @@
 def call(
     instance: Instance, method: str, path: str, body: object = None
 ) -> tuple[int, dict]:
+    """Serve a caller's request; return the status code and the body."""
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
     environ = {
         "REQUEST_METHOD": method,
@@ -75,28 +78,30 @@
 
 
 def own_units(instance: Instance, epoch: int, *units: int) -> OwnershipManager:
-    """Let an instance own units that the group has dealt to it."""
-    owners = OwnershipManager(instance)
-    deal_until(owners, epoch, units, lambda: bool(instance.owned.keys() >= set(units)))
-    return owners
+    """Make an instance own units by assigning them; return its ownership manager."""
+    manager = OwnershipManager(instance)
+    assign_until(
+        manager, epoch, units, lambda: bool(instance.owned.keys() >= set(units))
+    )
+    return manager
 
 
-def poll_layout(owners: OwnershipManager) -> None:
-    """Let an instance read the layout once, as its follower does."""
-    assert poll_reader(owners.instance.layout_reader).is_ok()
-    owners.apply_layout()
+def poll_layout(manager: OwnershipManager) -> None:
+    """Read the layout once and apply it, as the instance's thread does."""
+    assert poll_reader(manager.instance.layout_reader).is_ok()
+    manager.apply_layout()
 
 
-def deal_until(
-    owners: OwnershipManager,
+def assign_until(
+    manager: OwnershipManager,
     epoch: int,
     units: Iterable[int],
     check: Callable[[], bool],
 ) -> None:
-    """Tell owners again and again what the group has dealt, until a check holds."""
+    """Apply an assignment of units repeatedly until a check holds."""
 
-    def is_true() -> bool:
-        owners.apply_assignment(GroupAssignment(epoch, frozenset(units)))
+    def apply_and_check() -> bool:
+        manager.apply_assignment(GroupAssignment(epoch, frozenset(units)))
         return check()
 
-    wait_until(is_true)
+    wait_until(apply_and_check)
--- a/plantainyard/entry/tests/test_instance.py
+++ b/plantainyard/entry/tests/test_instance.py
@@ -1,4 +1,4 @@
-"""What an instance holds and shows: configuration, dumps of state."""
+"""State of an instance: its configuration and the dumps of its state."""
 
 import json
 from unittest.mock import Mock
@@ -18,6 +18,7 @@
 
 
 def test_a_configuration_never_reverts():
+    # Guards against a late record of an older version replacing a newer configuration.
     store = StoreState()
     with run_instance(store) as instance:
         put_configuration(store, 9, routes=[])
@@ -27,6 +28,7 @@
 
 
 def test_an_unreadable_configuration_changes_nothing():
+    # Guards against an invalid record that ends or empties the configuration in force.
     store = StoreState()
     with run_instance(store) as instance:
         store.put("keyed.op", "config", b"\xff{")
@@ -35,7 +37,8 @@
         assert instance.configuration and instance.configuration.version == 7
 
 
-def test_a_dump_tells_where_each_task_of_a_job_is():
+def test_a_dump_shows_the_runner_of_each_task_of_a_job():
+    # Guards against dumps that lack the tasks, runs or runners of a running job.
     store = StoreState()
     runner = RunnerState("r0", {JOB: 0.0})
     with run_instance(store, runner) as instance:
--- a/plantainyard/entry/tests/test_ownership_manager.py
+++ b/plantainyard/entry/tests/test_ownership_manager.py
@@ -1,4 +1,4 @@
-"""Taking, keeping and losing the ownership of units."""
+"""Taking over, serving and losing units."""
 
 import io
 import threading
@@ -26,8 +26,8 @@
 from plantainyard.entry.tests.harness import (
     BODY,
     JOB,
+    assign_until,
     call,
-    deal_until,
     own_units,
     run_instance,
     wait_until,
@@ -39,49 +39,50 @@
 from standins.platform import RunnerState, StoreState
 
 
-def test_an_owner_whose_epoch_is_over_stops_at_once():
-    # A paused owner comes back after its successor has written. The store refuses its
-    # records; whatever it would still order is based on what is no longer true.
+def test_an_owner_releases_its_unit_when_the_store_refuses_its_epoch():
+    # Guards against orders that rest on outdated state: a paused owner resumes after
+    # its successor has written, and the store refuses its records.
     store = StoreState()
     with run_instance(store, RunnerState("r0", {JOB: 0.1})) as instance:
-        owners = own_units(instance, 5, 0)
+        manager = own_units(instance, 5, 0)
         calls = build_store_calls(instance.settings.store_address)
         successor = Append("keyed.progress", 0, [], "owner", 6, 0)
         assert calls.append(successor, 5.0).unwrap().accepted
         call(instance, "POST", f"/jobs/{JOB}", BODY)
         wait_until(lambda: not instance.claims)
         wait_until(lambda: not instance.owned)
-        deal_until(owners, 5, {0}, instance.rejoin_needed.is_set)
+        assign_until(manager, 5, {0}, instance.rejoin_needed.is_set)
         assert not instance.claims
 
 
-def test_two_lives_of_an_instance_are_two_members():
-    # A killed process is back before the group has missed it. Under its old name it
-    # would own the unit under a fencing token whose records the store has closed.
+def test_two_incarnations_of_an_instance_have_different_member_names():
+    # Guards against a process that is killed and restarted before the group removes it.
+    # Under its old name it would own the unit with a fencing token whose sequence
+    # numbers are taken, so that the store refuses its records.
     assert make_member_name("edge-1") != make_member_name("edge-1")
 
 
-def test_a_member_that_needs_a_later_epoch_joins_anew():
-    # Guards against a unit that nobody can own: the only member has lost it under the
-    # generation that goes on dealing it the unit.
+def test_a_member_that_needs_a_later_epoch_rejoins_the_group():
+    # Guards against a unit that no instance can own: the only member has lost it in the
+    # generation that still assigns it the unit.
     store = StoreState()
     with run_instance(store) as instance:
         generations = []
         stopping = threading.Event()
 
-        def take(ownership: GroupAssignment) -> None:
-            generations.append(ownership.generation)
+        def take(assignment: GroupAssignment) -> None:
+            generations.append(assignment.generation)
             instance.rejoin_needed.set() if len(generations) == 1 else stopping.set()
 
         follow_group(instance, take, lambda unit: True, stopping)
     assert generations[1] > generations[0]
 
 
-def test_a_new_owner_misses_nothing_where_history_was_dropped():
-    # An instance has read a unit before. Another one owned it meanwhile and assigned
-    # tasks; the store dropped its history. The instance becomes the owner, and one read
-    # that only told it of the drop counted as having read all: it started the tasks
-    # anew, beside the runs that it knew nothing of.
+def test_a_new_owner_reads_everything_if_history_was_dropped():
+    # Guards against tasks that are started a second time. An instance had read a unit
+    # before another one owned it and assigned tasks, and the store dropped the history.
+    # When the instance became the owner, a read that only reported the drop counted as
+    # complete, so it started the tasks beside runs that it didn't know of.
     store = StoreState()
     with run_instance(store) as instance:
         copy = instance.copies[0]
@@ -95,9 +96,8 @@
 
 
 def test_a_new_owner_fences_its_predecessors_before_it_reads():
-    # An owner that was frozen wakes after its successor has read the unit and before
-    # that one has stored anything. Its record would be stored, and its successor never
-    # learn of it.
+    # Guards against a record that a successor never learns of: a frozen owner resumes
+    # after its successor has read the unit and before it has stored anything.
     store = StoreState()
     with run_instance(store) as instance:
         own_units(instance, 7, 0)
@@ -105,43 +105,45 @@
         assert not instance.store.append(late, 5.0).unwrap().accepted
 
 
-def test_an_owner_that_a_runner_refuses_gives_up():
-    # The store hasn't shown an owner its successor yet; a runner that the successor has
-    # called already refuses it. What it does from then on rests on what isn't true.
+def test_an_owner_releases_its_unit_when_a_runner_refuses_a_report():
+    # Guards against an owner that acts on outdated state: a runner that the successor
+    # has already called refuses the owner before the store shows it the successor.
     store = StoreState()
     runner = RunnerState("r0")
     runner.fence = 99
     with run_instance(store, runner) as instance:
-        deal_until(OwnershipManager(instance), 5, {0}, instance.rejoin_needed.is_set)
+        assign_until(OwnershipManager(instance), 5, {0}, instance.rejoin_needed.is_set)
         assert not instance.claims
 
 
-def later(take: Callable[[Any], None], answer: Any) -> None:
-    """Give an answer a tenth of a second later, as a runner does."""
+def answer_later(take: Callable[[Any], None], answer: Any) -> None:
+    """Deliver an answer after a tenth of a second, as a runner does."""
     threading.Timer(0.1, take, (answer,)).start()
 
 
-def test_an_owner_whose_order_a_runner_refuses_gives_up():
-    # The runner answers an owner's report a moment before its successor calls. The
-    # owner's next order is refused, and waiting for the next report it would go on
-    # assigning tasks to runners that do nothing it says.
+def test_an_owner_releases_its_unit_when_a_runner_refuses_an_order():
+    # Guards against an owner that goes on assigning tasks to runners that refuse them
+    # until its next request for a report. The runner has answered the last one just
+    # before the successor called, and refuses the owner's next order.
     store = StoreState()
     with run_instance(store, RunnerState("r0")) as instance:
         held = Ok(RunnerReport(1000, None, [], []))
         refused = OrderResult(OrderOutcome.FENCED)
         instance.runners.close()
         instance.runners = Mock()
-        instance.runners.renew_lease.side_effect = lambda *args: later(args[-1], held)
+        instance.runners.renew_lease.side_effect = lambda *args: answer_later(
+            args[-1], held
+        )
         instance.runners.start.side_effect = lambda *args: args[-1](refused)
-        owners = own_units(instance, 5, 0)
+        manager = own_units(instance, 5, 0)
         assert call(instance, "POST", f"/jobs/{JOB}", BODY)[0] == 200
         wait_until(lambda: not instance.claims)
-        deal_until(owners, 5, {0}, instance.rejoin_needed.is_set)
+        assign_until(manager, 5, {0}, instance.rejoin_needed.is_set)
 
 
-def test_a_cancel_that_is_read_before_its_job_is_told_after_it():
-    # A job is handed over, and its caller's request to cancel it comes to the new unit
-    # first. Told before the job it means nothing, and the job would run.
+def test_a_cancel_that_is_read_before_its_job_is_sent_after_it():
+    # Guards against a cancelled job that runs: it is handed over, and the request to
+    # cancel it reaches the new unit first. Sent before the job, the request is ignored.
     store = StoreState()
     with run_instance(store) as instance:
         assert call(instance, "POST", f"/jobs/{JOB}", BODY)[0] == 200
@@ -153,13 +155,13 @@
         actor = Mock()
         instance.owned[0] = OwnedUnit(Mock(), actor)
         assert poll_reader(instance.copies[0].intake).is_ok()
-        told = [type(sent.args[0]) for sent in actor.tell.call_args_list]
-    assert told[-2:] == [JobSubmitted, CancelRequested]
+        sent_types = [type(sent.args[0]) for sent in actor.tell.call_args_list]
+    assert sent_types[-2:] == [JobSubmitted, CancelRequested]
 
 
-def test_an_owner_denies_no_job_that_it_has_not_read_yet():
-    # A job is stored, and another instance asks the owner for it before the owner's
-    # reading has come that far.
+def test_an_owner_finds_a_job_that_it_has_not_read_yet():
+    # Guards against reporting an accepted job as unknown: another instance queries the
+    # owner for it before the owner has read its record.
     store = StoreState()
     with run_instance(store) as instance:
         assert refresh_copy(instance.copies[0])
@@ -168,9 +170,9 @@
         assert fetch_job(instance, 0, JOB) == JobLookup("queued")
 
 
-def test_a_new_owner_is_told_of_the_cancel_of_a_job_that_was_handed_over():
-    # Guards against a cancelled job that runs on in another unit: its cancel was read
-    # during the takeover.
+def test_a_new_owner_receives_the_cancel_of_a_handed_over_job():
+    # Guards against a cancelled job that goes on running in another unit because the
+    # request to cancel it was read during the takeover.
     store = StoreState()
     with run_instance(store) as instance:
         assert call(instance, "POST", f"/jobs/{JOB}", BODY)[0] == 200
@@ -186,8 +188,8 @@
 
 
 def test_a_unit_whose_takeover_fails_once_gets_an_owner(monkeypatch):
-    # Guards against a unit without an owner for good: a fault ended its takeover, and
-    # the claim stayed.
+    # Guards against a unit that stays without an owner: an exception ended its
+    # takeover, and the claim stayed.
     failures = [RuntimeError("dictionary changed size during iteration")]
     restore = ownership_manager.restore_unit
 
@@ -198,7 +200,7 @@
 
     monkeypatch.setattr(ownership_manager, "restore_unit", fail_once)
     with run_instance(StoreState()) as instance:
-        owners, epochs = OwnershipManager(instance), count(5)
+        manager, epochs = OwnershipManager(instance), count(5)
         epoch = next(epochs)
 
         def is_owned():
@@ -206,16 +208,16 @@
             if instance.rejoin_needed.is_set():
                 instance.rejoin_needed.clear()
                 epoch = next(epochs)
-            owners.apply_assignment(GroupAssignment(epoch, frozenset({0})))
+            manager.apply_assignment(GroupAssignment(epoch, frozenset({0})))
             return bool(instance.owned)
 
         wait_until(is_owned)
     assert not failures
 
 
-def test_a_late_answer_to_an_ended_ownership_changes_no_copy():
-    # Guards against a finished task that is told as unfinished, and begun again: the
-    # instance owns the unit anew when an append of its ownership before is answered.
+def test_a_late_answer_to_an_ended_ownership_does_not_change_the_copy():
+    # Guards against a finished task that is reported as unfinished and started again:
+    # the instance owns the unit anew when an append of an earlier epoch is answered.
     replica, key = Replica(), make_progress_key(JOB, 0, 0)
     old = encode_progress(StepProgress(frozenset(), {0: TaskProgress(1, "r0@1")}))
     new = encode_progress(StepProgress(frozenset({0}), {}))
