--- a/plantainyard/entry/claims.py
+++ b/plantainyard/entry/claims.py
@@ -5,7 +5,7 @@
 several times within seconds, and each change of owner costs a read of the unit and a
 query of all its runners. The group's assignment therefore only names candidates. A
 unit stays with its owner while that owner is running, and the candidate takes it over
-only if the owner is gone, is leaving, is cut off from the store, or owns at least two
+only if the owner is lost, is leaving, is cut off from the store, or owns at least two
 units more than the candidate.
 """
 
@@ -22,7 +22,7 @@
 ]
 
 UNANSWERED_LIMIT = 3
-"""Consecutive unanswered queries after which an owner counts as gone. An owner that
+"""Consecutive unanswered queries after which an owner counts as lost. An owner that
 takes over several units at once occasionally answers too late."""
 
 SETTLE_S = 0.25
--- a/plantainyard/entry/group.py
+++ b/plantainyard/entry/group.py
@@ -80,7 +80,7 @@
     ----------
     generation : int
         The generation that the group reported last; zero for a member that has to join
-        anew.
+        again.
     answered_since : float
         Time since which each call has been answered.
     unreachable : bool
@@ -132,7 +132,7 @@
         self.unreachable = True
 
     def leave(self) -> None:
-        """Leave the group; a later `renew` joins it anew in a later generation."""
+        """Leave the group; a later `renew` joins again in a later generation."""
         self.instance.store.leave(GROUP, self.name, JOIN_TIMEOUT_S)
         self.generation = 0
         self.joined = False
@@ -159,7 +159,7 @@
 
     Notes
     -----
-    An instance that needs a later epoch leaves the group and joins it anew, because
+    An instance that needs a later epoch leaves the group and rejoins it, because
     only a later generation gives a higher fencing token. A reserve is in the group only
     while strong instances are too few; see `reserves`. An instance that leaves keeps
     the units that it owns until others have claimed them.
--- a/plantainyard/entry/instance.py
+++ b/plantainyard/entry/instance.py
@@ -98,8 +98,8 @@
     stopping : Event
         Set when the process stops.
     rejoin_needed : Event
-        Set when the instance needs a later epoch and therefore has to join the group
-        anew.
+        Set when the instance needs a later epoch and therefore has to rejoin the
+        group.
     leaving : Event
         Set while the instance keeps its units only until others take them over.
     """
--- a/plantainyard/entry/ownership_manager.py
+++ b/plantainyard/entry/ownership_manager.py
@@ -194,7 +194,7 @@
         Notes
         -----
         Guards against a unit that no instance can own: the thread would have ended, and
-        its claim would keep this instance from claiming the unit anew and other
+        its claim would keep this instance from claiming the unit again and other
         instances from finding it vacant.
         """
         try:
--- a/plantainyard/entry/tests/test_ownership_manager.py
+++ b/plantainyard/entry/tests/test_ownership_manager.py
@@ -217,7 +217,7 @@
 
 def test_a_late_answer_to_an_ended_ownership_does_not_change_the_copy():
     # Guards against a finished task that is reported as unfinished and started again:
-    # the instance owns the unit anew when an append of an earlier epoch is answered.
+    # the instance owns the unit again when an append of an earlier epoch is answered.
     replica, key = Replica(), make_progress_key(JOB, 0, 0)
     old = encode_progress(StepProgress(frozenset(), {0: TaskProgress(1, "r0@1")}))
     new = encode_progress(StepProgress(frozenset({0}), {}))
--- a/plantainyard/entry/tests/test_units.py
+++ b/plantainyard/entry/tests/test_units.py
@@ -101,7 +101,8 @@
 
 
 def test_a_late_announcement_of_an_owner_does_not_replace_its_successor():
-    # Guards against the announcement of a frozen owner that arrives after the successor's.
+    # Guards against the announcement of a frozen owner that arrives after that of its
+    # successor.
     instance = make_instance("127.0.0.1:1")
     for epoch in (7, 5):
         value = json.dumps({"epoch": epoch, "address": f"a:{epoch}"}).encode()
@@ -128,8 +129,8 @@
 
 
 def test_a_handed_over_job_is_found_in_its_new_unit():
-    # Guards against lookups that end in a job's first unit, which is the one that its id
-    # determines, after a full unit has handed the job over to another.
+    # Guards against lookups that end in a job's first unit, which its id determines,
+    # after that unit was full and has handed the job over to another.
     store = StoreState()
     with run_instance(store, units=2) as instance:
         home = find_unit(JOB, 2)
@@ -234,7 +235,8 @@
 
 
 def test_the_first_of_two_proposed_numbers_of_units_is_kept():
-    # Guards against two instances that both find no decision and count different fleets.
+    # Guards against two numbers of units: two instances both find no decision and count
+    # different fleets.
     store = StoreState()
     with serve_platform(store, ()) as servers:
         for units in (3, 5):
