--- a/plantainyard/entry/peers.py
+++ b/plantainyard/entry/peers.py
@@ -111,7 +111,7 @@
     Notes
     -----
     Guards against a count that omits the jobs accepted since the owner lost the store.
-    Such an owner still answers other instances, which may have a connection to it.
+    Such an owner still answers other instances, which may have lost nothing.
     """
     owned = instance.owned.get(unit)
     if owned is not None:
--- a/plantainyard/entry/tests/test_ownership_manager.py
+++ b/plantainyard/entry/tests/test_ownership_manager.py
@@ -127,12 +127,12 @@
     # before the successor called, and refuses the owner's next order.
     store = StoreState()
     with run_instance(store, RunnerState("r0")) as instance:
-        held = Ok(RunnerReport(1000, None, [], []))
+        report = Ok(RunnerReport(1000, None, [], []))
         refused = OrderResult(OrderOutcome.FENCED)
         instance.runners.close()
         instance.runners = Mock()
         instance.runners.renew_lease.side_effect = lambda *args: answer_later(
-            args[-1], held
+            args[-1], report
         )
         instance.runners.start.side_effect = lambda *args: args[-1](refused)
         manager = own_units(instance, 5, 0)
