--- a/bench/dispatch/play.py
+++ b/bench/dispatch/play.py
@@ -28,21 +28,21 @@
 from plantainyard.batch.replica import Replica, apply_record
 from plantainyard.dispatch import (
     Action,
-    Cancelled,
+    CancelRequested,
     Commit,
     Committed,
     Dispatcher,
     EntryChanged,
     Event,
-    HoldAnswered,
-    HoldFailed,
+    JobSubmitted,
     Limits,
     OrderAnswered,
     OrderKind,
-    Renewed,
-    SendHold,
+    OwnershipRenewed,
+    ReportFailed,
+    ReportReceived,
+    RequestReport,
     SendOrder,
-    Submitted,
     Tick,
     choose_lease,
     restore_dispatcher,
@@ -114,7 +114,9 @@
     owner: Dispatcher | None = None
     generation: int = 0
     fates: dict[str, JobFate] = field(default_factory=dict)
-    waiting: dict[str, tuple[SendHold, float, float, int]] = field(default_factory=dict)
+    waiting: dict[str, tuple[RequestReport, float, float, int]] = field(
+        default_factory=dict
+    )
     starts: int = 0
     stops: int = 0
     paces: int = 0
@@ -198,7 +200,7 @@
     match action:
         case Commit():
             _send_commit(day, action, day.generation)
-        case SendHold():
+        case RequestReport():
             _send_hold(day, action)
         case SendOrder():
             _send_order(day, action)
@@ -207,7 +209,7 @@
 def _tick(day: Day) -> None:
     day.later(TICK_S, partial(_tick, day))
     if not day.active("store_down"):
-        _tell(day, Renewed(day.now))
+        _tell(day, OwnershipRenewed(day.now))
     _tell(day, Tick())
 
 
@@ -222,7 +224,7 @@
     key = make_submission_key(submission.job_id)
     apply_record(day.replica, key, encode_submission(submission))
     generation = day.generation
-    day.later(ACCEPT_S, lambda: _tell(day, Submitted(submission), generation))
+    day.later(ACCEPT_S, lambda: _tell(day, JobSubmitted(submission), generation))
     leaves_s = BEGIN_S + arrival.truth.leaves_at - day.now
     if math.isfinite(leaves_s):
         cancel = partial(_cancel, day, submission.job_id)
@@ -234,7 +236,7 @@
         day.later(0.5, partial(_cancel, day, job_id))
         return
     apply_record(day.replica, make_cancel_key(job_id), b"1")
-    _tell(day, Cancelled(job_id))
+    _tell(day, CancelRequested(job_id))
 
 
 def _send_commit(day: Day, action: Commit, generation: int) -> None:
@@ -264,31 +266,31 @@
     fate.ended = record.value.decode()
 
 
-def _send_hold(day: Day, action: SendHold) -> None:
+def _send_hold(day: Day, action: RequestReport) -> None:
     worker = day.workers[action.entry.runner]
     generation, sent_at = day.generation, day.now
     arrives = partial(_hold, day, action, sent_at, generation)
-    if _is_away(worker, action.entry.born_ms):
+    if _is_away(worker, action.entry.started_at_ms):
         _fail_hold(day, action, sent_at, generation, TIMEOUT_S)
         return
     day.later(worker.delay_s, arrives)
 
 
-def _is_away(worker: Worker, born_ms: int) -> bool:
+def _is_away(worker: Worker, started_at_ms: int) -> bool:
     condition = worker.condition
-    return condition.cut or condition.gone or worker.life != born_ms
+    return condition.cut or condition.gone or worker.incarnation != started_at_ms
 
 
 def _fail_hold(
-    day: Day, action: SendHold, sent_at: float, generation: int, after_s: float
+    day: Day, action: RequestReport, sent_at: float, generation: int, after_s: float
 ) -> None:
-    event = HoldFailed(action.entry.life, sent_at, "timeout")
+    event = ReportFailed(action.entry.incarnation, sent_at, "timeout")
     day.later(after_s, lambda: _tell(day, event, generation))
 
 
-def _hold(day: Day, action: SendHold, sent_at: float, generation: int) -> None:
+def _hold(day: Day, action: RequestReport, sent_at: float, generation: int) -> None:
     worker = day.workers[action.entry.runner]
-    if generation < worker.fence or _is_away(worker, action.entry.born_ms):
+    if generation < worker.fence or _is_away(worker, action.entry.started_at_ms):
         _fail_hold(day, action, sent_at, generation, TIMEOUT_S)
         return
     worker.fence = generation
@@ -302,13 +304,13 @@
 
 
 def _answer_hold(
-    day: Day, worker: Worker, action: SendHold, sent_at: float, generation: int
+    day: Day, worker: Worker, action: RequestReport, sent_at: float, generation: int
 ) -> None:
-    if _is_away(worker, action.entry.born_ms):
+    if _is_away(worker, action.entry.started_at_ms):
         _fail_hold(day, action, sent_at, generation, TIMEOUT_S)
         return
     held = workers.report(day.site, worker, day.now)
-    event = HoldAnswered(action.entry.life, held, sent_at)
+    event = ReportReceived(action.entry.incarnation, held, sent_at)
     day.later(worker.delay_s, lambda: _tell(day, event, generation))
 
 
@@ -329,7 +331,7 @@
     day.stops += action.kind == OrderKind.STOP
     day.paces += action.kind == OrderKind.PACE
     late = any(day.luck.random() < f.share for f in day.active("late_orders"))
-    if late or _is_away(worker, action.entry.born_ms):
+    if late or _is_away(worker, action.entry.started_at_ms):
         _leave_unanswered(day, action)
         if late:
             carry_out = partial(_order, day, action, day.generation, False)
@@ -365,7 +367,7 @@
     clock_ms = round((day.now + after_s) * 1000) if known else None
     result = OrderResult(outcome, clock_ms)
     event = OrderAnswered(
-        action.kind, action.task, action.run, action.entry.life, result, day.now
+        action.kind, action.task, action.run, action.entry.incarnation, result, day.now
     )
     day.later(after_s, lambda: _tell(day, event, generation))
 
@@ -412,7 +414,9 @@
     for name in struck:
         old = day.workers[name]
         if old.condition.gone:
-            new = Worker(name, old.life + 1, old.cpu, old.memory, old.rack, old.delay_s)
+            new = Worker(
+                name, old.incarnation + 1, old.cpu, old.memory, old.rack, old.delay_s
+            )
             day.workers[name] = new
             _tell(day, EntryChanged(name, new.entry))
         old.condition = Condition()
--- a/plantainyard/dispatch/restoring.py
+++ b/plantainyard/dispatch/restoring.py
@@ -5,20 +5,20 @@
 from plantainyard.batch.replica import JobView, Replica
 from plantainyard.batch.values import StepProgress
 from plantainyard.dispatch.forwarding import (
-    find_piece,
+    add_hop,
+    build_task_submission,
     forward_cancel,
     make_forward,
-    note_moved,
-    pass_on,
+    record_handover,
 )
 from plantainyard.dispatch.jobs import (
     add_job,
     cancel_job,
-    check_end,
+    end_if_finished,
     open_occurrence,
 )
 from plantainyard.dispatch.model import Phase, Runner, StepRun, Task
-from plantainyard.dispatch.placing import take_room
+from plantainyard.dispatch.placing import reserve_resources
 from plantainyard.dispatch.queue import set_deadlines
 from plantainyard.dispatch.state import Dispatcher
 
@@ -38,10 +38,10 @@
     views = list(replica.jobs.items())
     delivered = {job_id for job_id, view in views if view.delivered}
     for job_id, view in views:
-        if view.ended:
-            state.ended[job_id] = now
-        elif view.moved is not None:
-            _restore_moved(state, view, view.moved)
+        if view.final_state:
+            state.ended_at[job_id] = now
+        elif view.handed_to is not None:
+            _restore_moved(state, view, view.handed_to)
         elif view.submission is not None:
             _restore_job(state, view, delivered, now)
 
@@ -56,9 +56,9 @@
     """
     if view.submission is None:
         return
-    note_moved(state, view.submission, unit)
+    record_handover(state, view.submission, unit)
     if not view.delivered:
-        forward = make_forward(pass_on(view.submission), unit, view.cancelled)
+        forward = make_forward(add_hop(view.submission), unit, view.cancelled)
         state.actions.append(forward)
         return
     state.unconfirmed.discard(view.submission.job_id)
@@ -73,7 +73,7 @@
     assert submission is not None
     add_job(state, submission, now)
     job = state.jobs[submission.record_id]
-    job.begun = view.begun
+    job.started = view.started
     accepted = submission.accepted_at_ms / 1000 - state.wall_offset_s
     set_deadlines(job, min(now, accepted))
     for (occurrence, number), progress in view.steps.items():
@@ -84,7 +84,7 @@
     if view.cancelled:
         cancel_job(state, submission.record_id, now)
     else:
-        check_end(state, job)
+        end_if_finished(state, job)
 
 
 def _restore_step(
@@ -97,7 +97,7 @@
     for task in step.tasks:
         if task.key.number in progress.done:
             task.phase = Phase.DONE
-            step.done += 1
+            step.done_count += 1
     by_number = {task.key.number: task for task in step.tasks}
     for index, stored in progress.tasks.items():
         task = by_number[index]
@@ -114,26 +114,26 @@
     state: Dispatcher, task: Task, unit: int, delivered: Set[str]
 ) -> None:
     """Send a task that was handed over once more; see `_restore_moved`."""
-    task.phase = Phase.HANDED
+    task.phase = Phase.HANDED_OVER
     task.unit = unit
-    piece = find_piece(task)
-    note_moved(state, piece, unit)
+    piece = build_task_submission(task)
+    record_handover(state, piece, unit)
     if piece.record_id in delivered:
         state.unconfirmed.discard(piece.record_id)
     else:
         state.actions.append(make_forward(piece, unit, False))
 
 
-def _restore_run(state: Dispatcher, task: Task, life: str, now: float) -> None:
+def _restore_run(state: Dispatcher, task: Task, incarnation: str, now: float) -> None:
     task.phase = Phase.ORDERED
-    task.life = life
-    task.settled_at = now
-    runner = state.runners.get(life)
+    task.incarnation = incarnation
+    task.resolved_at = now
+    runner = state.runners.get(incarnation)
     if runner is None:
-        runner = Runner(life, None)
+        runner = Runner(incarnation, None)
         limits = state.limits
         granted = limits.longest_lease_s * (1 + limits.clock_drift)
         runner.lease_bound = now + granted + limits.lease_slack_s
-        state.runners[life] = runner
-        state.lives[life.partition("@")[0]] = life
-    take_room(runner, task)
+        state.runners[incarnation] = runner
+        state.newest_incarnations[incarnation.partition("@")[0]] = incarnation
+    reserve_resources(runner, task)
--- a/plantainyard/dispatch/runs.py
+++ b/plantainyard/dispatch/runs.py
@@ -1,46 +1,48 @@
 """Runs of tasks: what the answers to orders mean, and what the end of a run does."""
 
 from plantainyard.dispatch import jobs
-from plantainyard.dispatch.events import Begun, OrderAnswered, OrderKind
-from plantainyard.dispatch.leases import note_clock
+from plantainyard.dispatch.events import JobStarted, OrderAnswered, OrderKind
+from plantainyard.dispatch.leases import record_clock
 from plantainyard.dispatch.model import Phase, Runner, StepRun, Task
 from plantainyard.dispatch.orders import release_task, send_pace, send_stop
-from plantainyard.dispatch.pacing import pace_of
-from plantainyard.dispatch.placing import release_room
+from plantainyard.dispatch.pacing import get_pace
+from plantainyard.dispatch.placing import release_resources
 from plantainyard.dispatch.state import Dispatcher, mark_dirty
-from plantainyard.dispatch.timing import note_lost
+from plantainyard.dispatch.timing import count_lost_run
 from plantainyard.platform.runners import OrderOutcome
 
-__all__ = ["end_run", "free_task", "note_begun", "take_answer"]
+__all__ = ["end_run", "requeue_task", "mark_started", "apply_order_result"]
 
-_NOT_DONE = frozenset({OrderOutcome.LATE, OrderOutcome.NO_ROOM, OrderOutcome.REFUSED})
+_NOT_DONE = frozenset(
+    {OrderOutcome.LEASE_EXPIRED, OrderOutcome.NO_CAPACITY, OrderOutcome.REFUSED}
+)
 
 
-def note_begun(state: Dispatcher, step: StepRun, now: float) -> None:
+def mark_started(state: Dispatcher, step: StepRun, now: float) -> None:
     """Take note that a runner has, or had, a run of a step's job."""
     job = step.job
-    if job.begun:
+    if job.started:
         return
-    job.begun = True
-    state.begun[id(step)] = step
-    waited_s = round(now - job.taken_at, 3)
-    state.actions.append(Begun(job.submission.record_id, waited_s))
+    job.started = True
+    state.started_steps[id(step)] = step
+    waited_s = round(now - job.received_at, 3)
+    state.actions.append(JobStarted(job.submission.record_id, waited_s))
 
 
-def take_answer(state: Dispatcher, event: OrderAnswered, now: float) -> None:
+def apply_order_result(state: Dispatcher, event: OrderAnswered, now: float) -> None:
     """Take in what became of an order."""
-    runner = state.runners.get(event.life)
+    runner = state.runners.get(event.incarnation)
     if runner is None:
         return
     if event.result.clock_ms is not None:
-        note_clock(runner, event.result.clock_ms, now)
+        record_clock(runner, event.result.clock_ms, now)
     task = runner.tasks.get(event.task)
-    if task is None or task.run != event.run or task.life != event.life:
+    if task is None or task.run != event.run or task.incarnation != event.incarnation:
         return
     if event.kind == OrderKind.PACE:
         _take_pace_answer(task, event)
         return
-    task.order_out = False
+    task.order_pending = False
     outcome = event.result.outcome
     if event.kind == OrderKind.STOP:
         _take_stop_answer(task, outcome, now)
@@ -64,33 +66,33 @@
     end is known, and reports wait longer than repeats. Were the last answer to count,
     each report would have been asked for before it, and none would prove anything.
     """
-    if outcome == OrderOutcome.DONE and task.settled_at is None:
-        task.settled_at = now
+    if outcome == OrderOutcome.DONE and task.resolved_at is None:
+        task.resolved_at = now
 
 
 def _take_start_answer(
     state: Dispatcher, task: Task, runner: Runner, outcome: str, now: float
 ) -> None:
     if outcome == OrderOutcome.DONE:
-        task.settled_at = now
-        note_begun(state, task.step, now)
+        task.resolved_at = now
+        mark_started(state, task.step, now)
         if task.phase == Phase.ORDERED:
             task.phase = Phase.RUNNING
-            task.moved_at = now
+            task.progress_at = now
             spec = task.step.spec
-            if spec.backfill and pace_of(runner, spec.image) < task.pace:
-                send_pace(state, task, runner, pace_of(runner, spec.image), now)
+            if spec.backfill and get_pace(runner, spec.image) < task.pace:
+                send_pace(state, task, runner, get_pace(runner, spec.image), now)
         return
-    if outcome == OrderOutcome.OLD:
+    if outcome == OrderOutcome.STALE_RUN:
         # The run has ended there or was stopped: the next report tells.
-        task.settled_at = now
+        task.resolved_at = now
         return
-    if outcome in _NOT_DONE and task.settled_at is None:
+    if outcome in _NOT_DONE and task.resolved_at is None:
         entry = runner.entry
         if outcome == OrderOutcome.REFUSED and entry is not None:
-            task.avoided.add(entry.runner)
-            runner.bad += 0.5
-        task.not_before = now + state.limits.retry_s
+            task.avoided_runners.add(entry.runner)
+            runner.failure_score += 0.5
+        task.not_before = now + state.limits.refusal_pause_s
         _settle_refusal(state, task, now)
 
 
@@ -106,35 +108,35 @@
     if task.starts_sent > 1 or task.phase == Phase.STOPPING:
         send_stop(state, task, now)
         return
-    free_task(state, task)
+    requeue_task(state, task)
 
 
-def free_task(state: Dispatcher, task: Task) -> None:
+def requeue_task(state: Dispatcher, task: Task) -> None:
     """Let a task wait again, and end its job if that was all it waited for."""
     release_task(state, task)
-    jobs.check_end(state, task.step.job)
+    jobs.end_if_finished(state, task.step.job)
 
 
 def end_run(
     state: Dispatcher, task: Task, runner: Runner, how: str, checkpoint: str, now: float
 ) -> None:
     """Take in the end of a task's newest run."""
-    note_begun(state, task.step, now)
+    mark_started(state, task.step, now)
     if checkpoint:
         task.checkpoint = checkpoint
-    release_room(runner, task)
+    release_resources(runner, task)
     job = task.step.job
     lasting = task.step.spec.long_running
-    if how == "done" and not lasting and not job.cancelled and not job.ended:
-        runner.bad = 0.0
-        task.life = ""
+    if how == "done" and not lasting and not job.cancelled and not job.final_state:
+        runner.failure_score = 0.0
+        task.incarnation = ""
         jobs.finish_task(state, task)
         return
     if how != "done":
-        note_lost(job, how)
+        count_lost_run(job, how)
     if how == "failed":
         _note_failure(state, task, runner, now)
-    free_task(state, task)
+    requeue_task(state, task)
     mark_dirty(state, task.step)
     if not lasting and task.failures >= job.submission.max_attempts:
         jobs.fail_job(state, job, now)
@@ -144,8 +146,8 @@
     first = task.failures == 0
     task.failures += 1
     if runner.entry is not None:
-        task.avoided.add(runner.entry.runner)
+        task.avoided_runners.add(runner.entry.runner)
     # A task that failed elsewhere too says little about this runner.
-    runner.bad += 1.0 if first else 0.25
-    if runner.bad >= state.limits.quarantine_after:
+    runner.failure_score += 1.0 if first else 0.25
+    if runner.failure_score >= state.limits.quarantine_after:
         runner.quarantined_until = now + state.limits.quarantine_s
--- a/plantainyard/dispatch/tests/test_fleet.py
+++ b/plantainyard/dispatch/tests/test_fleet.py
@@ -11,17 +11,17 @@
     rule,
 )
 
-from plantainyard.batch.pending import add_up, count_pending
+from plantainyard.batch.pending import count_pending, sum_pending
 from plantainyard.batch.records import RecordKind, parse_key
 from plantainyard.dispatch import (
-    Cancelled,
+    CancelRequested,
     Event,
     Forward,
     Forwarded,
-    LoadsTold,
-    list_arrived,
+    LoadsReceived,
+    list_arrivals,
 )
-from plantainyard.dispatch.handover import MOST_HOPS
+from plantainyard.dispatch.handover import MAX_HOPS
 from plantainyard.dispatch.tests.test_handover import ROOMY
 from plantainyard.dispatch.tests.world import World, make_step
 from plantainyard.platform.store import Record
@@ -53,11 +53,11 @@
         key = parse_key(record.key)
         if key.kind == RecordKind.CANCEL:
             self.store(record.key, record.value)
-            self.tell(Cancelled(key.job_id))
+            self.tell(CancelRequested(key.job_id))
             return
         self.take(record)
         if self.replica.jobs[key.job_id].cancelled:
-            self.tell(Cancelled(key.job_id))
+            self.tell(CancelRequested(key.job_id))
 
 
 class Fleet(RuleBasedStateMachine):
@@ -93,7 +93,7 @@
         loads = {world.unit: world.state.load for world in self.worlds}
         for world in self.worlds:
             others = {u: load for u, load in loads.items() if u != world.unit}
-            world.tell(LoadsTold(others))
+            world.tell(LoadsReceived(others))
 
     def list_at_work(self) -> list[str]:
         worlds = self.worlds
@@ -139,10 +139,10 @@
             self.worlds[other].cut |= set(self.worlds[other].runners)
         if divided:
             # A job that came from elsewhere can't go on as a whole, and its tasks can.
-            self.submit(unit, long_running=True, hops=MOST_HOPS)
+            self.submit(unit, long_running=True, hops=MAX_HOPS)
         else:
             self.submit(unit)
-        self.worlds[unit].tell(LoadsTold({other: ROOMY}))
+        self.worlds[unit].tell(LoadsReceived({other: ROOMY}))
         self.pass_ticks(ticks)
 
     @rule(unit=st.integers(0, UNITS - 1), ticks=st.integers(1, 8))
@@ -196,15 +196,15 @@
 
     def list_waiting(self) -> list[str]:
         """Return the submitted jobs that no runner has ever begun."""
-        lives = itertools.chain.from_iterable(self.fleet_runners)
-        started = {start[1] for runner in lives for start in runner.started}
+        incarnations = itertools.chain.from_iterable(self.fleet_runners)
+        started = {start[1] for runner in incarnations for start in runner.started}
         return [job for job in self.submitted if f"{job}.0.0.0" not in started]
 
     def count(self, queue: str) -> int:
         told = [count_pending(world.replica, queue) for world in self.worlds]
-        recent = [list_arrived(world.state, queue) for world in self.worlds]
+        recent = [list_arrivals(world.state, queue) for world in self.worlds]
         rows = zip(told, recent, strict=True)
-        return add_up(t._replace(arrived=t.arrived | new) for t, new in rows)
+        return sum_pending(t._replace(arrived=t.arrived | new) for t, new in rows)
 
     def teardown(self) -> None:
         """Heal everything: what was cancelled is gone, the rest is at work."""
--- a/plantainyard/entry/inspection.py
+++ b/plantainyard/entry/inspection.py
@@ -1,7 +1,7 @@
-"""A dump of an instance's state, and what an owner knows of one job, on request.
+"""Dumps of an instance's state and of single jobs, for troubleshooting.
 
-``GET /state`` and ``GET /jobs/ID`` on the metrics port. What is shown is read while
-other threads go on changing it: a picture for people, not a snapshot.
+The metrics port serves them at ``GET /state`` and ``GET /jobs/ID``. The state is read
+while other threads modify it, so a dump is not a consistent snapshot.
 """
 
 import json
@@ -12,29 +12,29 @@
 from plantainyard.clock import read_clock
 from plantainyard.dispatch import Dispatcher, count_state
 from plantainyard.dispatch.model import Job, Task
-from plantainyard.entry.answers import OK, send_answer
 from plantainyard.entry.instance import Instance
-from plantainyard.entry.peers import look_up
+from plantainyard.entry.peers import look_up_job
+from plantainyard.entry.responses import OK, send_response
 
 __all__ = ["build_inspection_app", "describe_job", "describe_state"]
 
-JOBS = "/jobs/"
+JOBS_PATH = "/jobs/"
 
 
 def describe_state(instance: Instance) -> dict[str, Any]:
-    """Return what an instance holds and believes, as JSON values."""
+    """Return the state of an instance as JSON values."""
     now = read_clock()
     configuration = instance.configuration
     return {
         "instance": instance.settings.instance,
         "configuration": {
             "version": configuration.version if configuration else None,
-            "age_s": round(now - instance.operations.synced_at, 3),
+            "age_s": round(now - instance.operations_reader.synced_at, 3),
         },
         "units": instance.layout.units,
         "owners": {u: o._asdict() for u, o in list(instance.layout.owners.items())},
         "owned": {
-            unit: _describe_unit(owned.world.dispatcher, now)
+            unit: _describe_unit(owned.context.dispatcher, now)
             for unit, owned in list(instance.owned.items())
         },
     }
@@ -45,25 +45,25 @@
         **count_state(state)._asdict(),
         "load": state.load._asdict(),
         "renewed_s_ago": round(now - state.renewed_at, 3),
-        "commit_out": state.commit_out,
-        "moved": len(state.moved),
+        "commit_out": state.commit_pending,
+        "moved": len(state.handed_over),
     }
 
 
 def describe_job(instance: Instance, job_id: str) -> dict[str, Any]:
-    """Return what this instance knows of a job: as stored, and as its owner sees it."""
+    """Return the stored state of a job and, on its owner, the state of its tasks."""
     if not instance.copies:
         return {"known": False}
-    copy = instance.copy_of(job_id)
-    found = look_up(copy, job_id)
+    copy = instance.find_copy(job_id)
+    lookup = look_up_job(copy, job_id)
     owned = instance.owned.get(copy.unit)
     owner = instance.layout.owners.get(copy.unit)
-    job = owned.world.dispatcher.jobs.get(job_id) if owned else None
+    job = owned.context.dispatcher.jobs.get(job_id) if owned else None
     return {
-        "known": bool(found.state),
-        "state": found.state,
+        "known": bool(lookup.state),
+        "state": lookup.state,
         "unit": copy.unit,
-        "moved": found.moved,
+        "moved": lookup.moved,
         "owner": owner.address if owner else None,
         "tasks": _describe_tasks(job, read_clock()) if job else None,
     }
@@ -80,12 +80,12 @@
         "task": task.key[1:],
         "phase": task.phase,
         "run": task.run,
-        "runner": task.life,
+        "runner": task.incarnation,
         "waits_s": round(waits_s, 3),
         "failures": task.failures,
         "percent": task.percent,
         "pace": task.pace,
-        "avoids": sorted(task.avoided),
+        "avoids": sorted(task.avoided_runners),
         "unit": task.unit,
     }
 
@@ -93,17 +93,20 @@
 def build_inspection_app(
     instance: Instance, metrics: WSGIApplication
 ) -> Callable[[WSGIEnvironment, StartResponse], Iterable[bytes]]:
-    """Return the application of the metrics port: dumps here, all else to `metrics`."""
+    """Return the WSGI application of the metrics port.
+
+    It serves the dumps and passes all other requests to `metrics`.
+    """
 
     def serve(environ: WSGIEnvironment, start: StartResponse) -> Iterable[bytes]:
         path = environ.get("PATH_INFO", "")
         if path == "/state":
-            answer = describe_state(instance)
-        elif path.startswith(JOBS):
-            answer = describe_job(instance, path.removeprefix(JOBS))
+            data = describe_state(instance)
+        elif path.startswith(JOBS_PATH):
+            data = describe_job(instance, path.removeprefix(JOBS_PATH))
         else:
             return metrics(environ, start)
-        body = json.dumps(answer, indent=1).encode() + b"\n"
-        return send_answer(start, OK, "application/json", body)
+        body = json.dumps(data, indent=1).encode() + b"\n"
+        return send_response(start, OK, "application/json", body)
 
     return serve
--- /dev/null
+++ b/plantainyard/entry/readers.py
@@ -0,0 +1,179 @@
+"""Incremental reading of the records of a keyed topic's partition."""
+
+import threading
+from collections.abc import Callable
+
+from result import Err, Ok, Result
+
+from plantainyard.clock import read_clock
+from plantainyard.errors import CallError
+from plantainyard.platform.store import Record, StoreCalls
+
+__all__ = ["READ_TIMEOUT_S", "PartitionReader", "poll_reader", "read_ahead"]
+
+READ_TIMEOUT_S = 1.0
+"""Timeout in seconds of a call to the store, in addition to the wait that the call asks
+for. The store usually answers within 30 ms; a connection that has stopped responding is
+detected only by this timeout."""
+
+
+MAX_PAGE_TIMEOUT_S = 8.0
+"""Maximum timeout in seconds of a page of newest records. A megabyte takes 1.7 s over a
+link of five megabits per second, and other calls share the link."""
+
+
+class PartitionReader:
+    """Reader of one partition that keeps its position between reads.
+
+    Parameters
+    ----------
+    store : StoreCalls
+        The platform's store.
+    topic : str
+        Name of a keyed topic.
+    partition : int
+        Partition of the topic.
+    on_record : callable
+        Called with each record, in order; a later record of a key replaces the earlier.
+    on_reload : callable, optional
+        Called before the newest records of all keys are read again.
+
+    Attributes
+    ----------
+    offset : int or None
+        Offset of the next read; None if the newest records have to be read first.
+    synced_at : float
+        All records stored before this time have been read.
+    page_timeout_s : float
+        Timeout of the next page of newest records; doubles with each failure.
+    lock : Lock
+        Held during a read.
+    """
+
+    def __init__(
+        self,
+        store: StoreCalls,
+        topic: str,
+        partition: int,
+        on_record: Callable[[Record], None],
+        on_reload: Callable[[], None] | None = None,
+    ) -> None:
+        self.store = store
+        self.topic = topic
+        self.partition = partition
+        self.on_record = on_record
+        self.on_reload = on_reload
+        self.offset: int | None = None
+        self.synced_at = 0.0
+        self.page_timeout_s = READ_TIMEOUT_S
+        self.lock = threading.Lock()
+
+
+def poll_reader(reader: PartitionReader, wait_s: float = 0.0) -> Result[int, CallError]:
+    """Read all new records, waiting up to `wait_s` for the first one.
+
+    Returns
+    -------
+    Result[int, CallError]
+        The number of records read. On success, all records stored before
+        `reader.synced_at` have been read.
+
+    Notes
+    -----
+    Guards against a new owner that starts tasks a second time beside runs that it
+    doesn't know of. If the store has dropped history since the last read, the newest
+    records are read within the same call, so that success always means that everything
+    has been read.
+    """
+    with reader.lock:
+        began = read_clock()
+        count = 0
+        while True:
+            if reader.offset is None:
+                loaded = _load_newest(reader)
+                if isinstance(loaded, Err):
+                    return loaded
+                count += loaded.ok_value
+                wait_s = 0.0
+            assert reader.offset is not None
+            found = reader.store.read(
+                reader.topic, reader.partition, reader.offset, wait_s, READ_TIMEOUT_S
+            )
+            if isinstance(found, Err):
+                return found
+            batch = found.ok_value
+            if batch.dropped:
+                # The store has dropped history; the newest record of each key is kept.
+                reader.offset = None
+                continue
+            for record in batch.records:
+                reader.on_record(record)
+            count += len(batch.records)
+            reader.offset = batch.next_offset
+            if batch.next_offset >= batch.end:
+                reader.synced_at = began
+                return Ok(count)
+            wait_s = 0.0
+
+
+def _load_newest(reader: PartitionReader) -> Result[int, CallError]:
+    """Read the newest record of each key, and set the offset to continue from.
+
+    Notes
+    -----
+    Guards against a takeover that doesn't finish. Over a narrow link a page takes
+    longer than other reads may take; with a timeout of one second it was aborted and
+    restarted for half a minute. The timeout therefore doubles with each failure. It
+    starts short in case the connection has stopped responding.
+
+    The pages aren't a consistent snapshot, because a record may change between two of
+    them. Reading continues from the end offset that the first page reports, so that
+    each such change is read again.
+    """
+    if reader.on_reload is not None:
+        reader.on_reload()
+    after = ""
+    start: int | None = None
+    count = 0
+    while True:
+        found = reader.store.read_newest(
+            reader.topic, reader.partition, after, reader.page_timeout_s
+        )
+        if isinstance(found, Err):
+            reader.page_timeout_s = min(2 * reader.page_timeout_s, MAX_PAGE_TIMEOUT_S)
+            return found
+        page = found.ok_value
+        if start is None:
+            start = page.end
+        for record in page.records:
+            reader.on_record(record)
+        count += len(page.records)
+        after = page.last_key
+        if not page.more:
+            reader.page_timeout_s = READ_TIMEOUT_S
+            reader.offset = start
+            return Ok(count)
+
+
+def read_ahead(reader: PartitionReader) -> Result[int, CallError]:
+    """Read the records beyond the reader's offset without advancing it.
+
+    Notes
+    -----
+    Serves answers that must include all records stored before the call while another
+    thread is waiting in a read on the same reader. Records are passed on twice, which
+    has no effect where only a key's newest record counts and each key is written once.
+    """
+    offset = reader.offset
+    if offset is None:
+        return poll_reader(reader)
+    found = reader.store.read(
+        reader.topic, reader.partition, offset, 0.0, READ_TIMEOUT_S
+    )
+    if isinstance(found, Err):
+        return found
+    if found.ok_value.dropped:
+        return poll_reader(reader)
+    for record in found.ok_value.records:
+        reader.on_record(record)
+    return Ok(len(found.ok_value.records))
--- a/plantainyard/entry/tests/site.py
+++ b/plantainyard/entry/tests/harness.py
@@ -1,4 +1,4 @@
-"""One instance over the stand-in platform, for tests."""
+"""Test harness that runs one instance on the stand-in platform."""
 
 import contextlib
 import io
@@ -7,12 +7,12 @@
 from collections.abc import Callable, Iterable, Iterator
 
 from plantainyard.clock import read_clock
+from plantainyard.entry.caller_api import serve_request
 from plantainyard.entry.eventlog import EventLog
-from plantainyard.entry.front import serve_request
+from plantainyard.entry.group import GroupAssignment
 from plantainyard.entry.instance import Instance
-from plantainyard.entry.ownership import Ownership
-from plantainyard.entry.owning import Owners
-from plantainyard.entry.tails import poll_tail
+from plantainyard.entry.ownership_manager import OwnershipManager
+from plantainyard.entry.readers import poll_reader
 from plantainyard.entry.topics import LAYOUT, UNITS_KEY
 from standins.platform import RunnerState, StoreState, serve_platform
 from standins.platform.samples import (
@@ -23,15 +23,16 @@
     make_step_body,
 )
 
-PATIENCE_S = 20.0
+WAIT_TIMEOUT_S = 20.0
 JOB = "5c0e7a21d94b36f8"
 BODY = make_body(make_step_body(2))
 
 
 def wait_until(check: Callable[[], object]) -> None:
-    until = read_clock() + PATIENCE_S
+    """Wait until a check holds; fail after `WAIT_TIMEOUT_S`."""
+    deadline = read_clock() + WAIT_TIMEOUT_S
     while not check():
-        assert read_clock() < until, "not within the test's patience"
+        assert read_clock() < deadline, f"check did not hold within {WAIT_TIMEOUT_S} s"
         time.sleep(0.02)
 
 
@@ -39,14 +40,15 @@
 def run_instance(
     store: StoreState, *runners: RunnerState, units: int = 1
 ) -> Iterator[Instance]:
+    """Run an instance that has read its configuration and the layout."""
     put_configuration(store, 7)
     store.put(LAYOUT, UNITS_KEY, json.dumps({"units": units}).encode())
     with serve_platform(store, runners) as servers:
         log = EventLog("edge-1", io.StringIO())
         instance = Instance(make_settings(servers.store), log)
-        assert poll_tail(instance.operations).is_ok()
-        assert poll_tail(instance.layout_tail).is_ok()
-        instance.open_units()
+        assert poll_reader(instance.operations_reader).is_ok()
+        assert poll_reader(instance.layout_reader).is_ok()
+        instance.create_copies()
         try:
             yield instance
         finally:
@@ -62,6 +64,7 @@
 def call(
     instance: Instance, method: str, path: str, body: object = None
 ) -> tuple[int, dict]:
+    """Serve a caller's request; return the status code and the body."""
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
     environ = {
         "REQUEST_METHOD": method,
@@ -74,26 +77,31 @@
     return int(answer.status[:3]), answer.body
 
 
-def own_units(instance: Instance, epoch: int, *units: int) -> Owners:
-    """Let an instance own units that the group has dealt to it."""
-    owners = Owners(instance)
-    deal_until(owners, epoch, units, lambda: bool(instance.owned.keys() >= set(units)))
-    return owners
+def own_units(instance: Instance, epoch: int, *units: int) -> OwnershipManager:
+    """Make an instance own units by assigning them; return its ownership manager."""
+    manager = OwnershipManager(instance)
+    assign_until(
+        manager, epoch, units, lambda: bool(instance.owned.keys() >= set(units))
+    )
+    return manager
 
 
-def poll_layout(owners: Owners) -> None:
-    """Let an instance read the layout once, as its follower does."""
-    assert poll_tail(owners.instance.layout_tail).is_ok()
-    owners.confirm()
+def poll_layout(manager: OwnershipManager) -> None:
+    """Read the layout once and apply it, as the instance's thread does."""
+    assert poll_reader(manager.instance.layout_reader).is_ok()
+    manager.apply_layout()
 
 
-def deal_until(
-    owners: Owners, epoch: int, units: Iterable[int], check: Callable[[], bool]
+def assign_until(
+    manager: OwnershipManager,
+    epoch: int,
+    units: Iterable[int],
+    check: Callable[[], bool],
 ) -> None:
-    """Tell owners again and again what the group has dealt, until a check holds."""
+    """Apply an assignment of units repeatedly until a check holds."""
 
-    def is_true() -> bool:
-        owners.take(Ownership(epoch, frozenset(units)))
+    def apply_and_check() -> bool:
+        manager.apply_assignment(GroupAssignment(epoch, frozenset(units)))
         return check()
 
-    wait_until(is_true)
+    wait_until(apply_and_check)
--- a/plantainyard/entry/unit.py
+++ b/plantainyard/entry/unit.py
@@ -1,4 +1,4 @@
-"""The owner of a unit: an actor around the dispatcher, and what it asks for."""
+"""Owner of a unit: an actor that runs the dispatcher and carries out its actions."""
 
 import contextlib
 import queue
@@ -16,27 +16,27 @@
 from plantainyard.batch.replica import (
     Replica,
     apply_record,
-    note_begun,
-    note_delivered,
+    mark_job_started,
+    mark_jobs_delivered,
 )
 from plantainyard.batch.tasks import TaskKey
 from plantainyard.clock import read_clock
 from plantainyard.dispatch import (
     Action,
-    Begun,
     Commit,
     Committed,
-    Delivered,
     Dispatcher,
     Forward,
     Forwarded,
-    HoldAnswered,
-    HoldFailed,
+    HandoversConfirmed,
+    JobStarted,
     JobSummary,
     Limits,
     OrderAnswered,
     OrderKind,
-    SendHold,
+    ReportFailed,
+    ReportReceived,
+    RequestReport,
     SendOrder,
     Tick,
     step,
@@ -47,58 +47,59 @@
 from plantainyard.errors import CallError, ErrorKind
 from plantainyard.platform.entries import RunnerEntry
 from plantainyard.platform.runners import (
-    Held,
     Order,
     OrderOutcome,
     OrderResult,
     RunnerCalls,
+    RunnerReport,
 )
 from plantainyard.platform.store import Append, StoreCalls
 
-__all__ = ["UnitActor", "UnitWorld", "keep_unit_actor"]
+__all__ = ["UnitActor", "UnitContext", "run_unit_actor"]
 
 TICK_S = 0.1
-"""Time between looks at what waits for a time: repeats, leases, schedules."""
+"""Time in seconds between ticks, at which retries, leases and schedules fall due."""
 
 ORDER_TIMEOUT_S = 0.4
-"""Longest wait for the answer to an order; a region away it takes 30 ms."""
+"""Timeout in seconds of an order. An answer from another region takes 30 ms."""
 
-HOLD_TIMEOUT_S = 0.4
-"""Longest wait for a report beyond the wait that was asked for; as for orders."""
+REPORT_TIMEOUT_S = 0.4
+"""Timeout in seconds of a report, in addition to the wait that the request asks for;
+the same as for orders."""
 
 APPEND_TIMEOUT_S = 0.6
-"""Longest wait for the store before the same append is sent again; the store answers
-a repeat like the first, so that only the wait is lost."""
+"""Timeout in seconds of the first attempt of an append. The store answers a repeated
+append like the first, so that only the waiting time is lost."""
 
 SLOW_APPEND_TIMEOUT_S = 3.0
-"""The same for repeats: a slow store must get the time to answer at all."""
+"""Timeout in seconds of repeated appends, which leaves a slow store time to answer."""
 
 RETRY_S = 0.05
-"""Pause before an append is sent again."""
+"""Pause in seconds before an append is repeated."""
 
 
 @dataclass(slots=True, eq=False)
-class UnitWorld:
-    """What a unit's actor works with.
+class UnitContext:
+    """Dependencies and shared state of one ownership of a unit.
 
     Attributes
     ----------
     unit, epoch : int
-        The unit, and the fencing token under which it is owned.
+        Number of the unit, and fencing token of the ownership.
     store, runners : StoreCalls, RunnerCalls
-        The platform.
+        Clients of the platform's store and of the runners.
     replica : Replica
-        Gets each record once it is stored.
+        Copy of the unit's jobs; each record is applied once it is stored.
     log : EventLog
-        For decisions.
-    depose : callable
-        Called once when a successor has shown itself.
+        Log for decisions.
+    step_down : callable
+        Called when a successor has fenced this ownership, or after a failure.
     meters : Meters
-        For latencies.
+        Metrics for latencies and counts.
     dispatcher : Dispatcher
-        The unit's state, for gauges.
+        The unit's state, read for gauges.
     stopping : Event
-        Set when the unit is given up.
+        Set when the unit is released.
     """
 
     unit: int
@@ -107,21 +108,21 @@
     runners: RunnerCalls
     replica: Replica
     log: EventLog
-    depose: Callable[[], None]
+    step_down: Callable[[], None]
     meters: Meters
     dispatcher: Dispatcher = field(default_factory=lambda: Dispatcher(Limits()))
     stopping: threading.Event = field(default_factory=threading.Event)
 
 
 class UnitActor(pykka.ThreadingActor):
-    """Runs a unit's dispatcher and carries out its actions.
+    """Actor that runs a unit's dispatcher and carries out its actions.
 
     Parameters
     ----------
-    world : UnitWorld
-        Where actions go.
+    context : UnitContext
+        Dependencies of the ownership.
     dispatcher : Dispatcher
-        The state, restored from the store.
+        State of the dispatcher, restored from the store.
     """
 
     use_daemon_thread = True
@@ -132,68 +133,69 @@
 
         Notes
         -----
-        The library's own is a bounded queue in Python, of which each event takes and
-        wakes several locks; this one takes one, in C, and nothing here bounds it.
+        The library's default is a bounded queue written in Python, in which each event
+        takes and notifies several locks. This queue takes one lock, in C. It is
+        unbounded.
         """
         return queue.SimpleQueue()
 
-    def __init__(self, world: UnitWorld, dispatcher: Dispatcher) -> None:
+    def __init__(self, context: UnitContext, dispatcher: Dispatcher) -> None:
         super().__init__()
-        self.world = world
+        self.context = context
         self.dispatcher = dispatcher
         self.sequence = 0
-        self.commits = ThreadPoolExecutor(1, "commit")
-        self.forwards = ThreadPoolExecutor(1, "forward")
+        self.commit_pool = ThreadPoolExecutor(1, "commit")
+        self.forward_pool = ThreadPoolExecutor(1, "forward")
 
     def on_receive(self, message: Any) -> None:
-        """Take in an event and carry out what the dispatcher asks for."""
-        if self.world.stopping.is_set():
+        """Pass an event to the dispatcher and carry out the resulting actions."""
+        if self.context.stopping.is_set():
             return
         now = read_clock()
-        if isinstance(message, HoldAnswered):
-            self._log_ends(message)
+        if isinstance(message, ReportReceived):
+            self._log_run_ends(message)
         for action in step(self.dispatcher, message, now):
             self._perform(action)
         if isinstance(message, OrderAnswered):
-            self._log_start(message, now)
+            self._log_run_start(message, now)
 
-    def _log_start(self, message: OrderAnswered, now: float) -> None:
+    def _log_run_start(self, message: OrderAnswered, now: float) -> None:
         job = self.dispatcher.jobs.get(message.task.job_id)
         done = message.result.outcome == OrderOutcome.DONE
         if message.kind != OrderKind.START or job is None or not done:
             return
-        self.world.log.write(
+        self.context.log.write(
             "run_started",
             job=message.task.job_id,
             task=message.task[1:],
             run=message.run,
-            runner=message.life,
-            waited_s=round(now - job.taken_at, 3),
+            runner=message.incarnation,
+            waited_s=round(now - job.received_at, 3),
         )
 
-    def _note_begun(self, action: Begun) -> None:
-        self.world.meters.first_start.observe(action.waited_s)
-        self.world.log.write("job_begun", job=action.job_id, waited_s=action.waited_s)
-        note_begun(self.world.replica, action.job_id)
+    def _record_job_start(self, action: JobStarted) -> None:
+        self.context.meters.first_start.observe(action.waited_s)
+        self.context.log.write("job_begun", job=action.job_id, waited_s=action.waited_s)
+        mark_job_started(self.context.replica, action.job_id)
 
-    def _log_ends(self, message: HoldAnswered) -> None:
-        runner = self.dispatcher.runners.get(message.life)
+    def _log_run_ends(self, message: ReportReceived) -> None:
+        runner = self.dispatcher.runners.get(message.incarnation)
         if runner is None:
             return
-        for end in message.held.ended:
-            if end.number > runner.seen:
-                self.world.log.write(
+        for end in message.report.ended:
+            if end.number > runner.last_end:
+                self.context.log.write(
                     "run_ended",
                     job=end.task.job_id,
                     task=end.task[1:],
                     run=end.run,
-                    runner=message.life,
-                    how=end.how,
+                    runner=message.incarnation,
+                    how=end.outcome,
                 )
 
     def on_stop(self) -> None:
-        """Let go of the threads; calls that are out end by their own timeouts."""
-        for pool in (self.commits, self.forwards):
+        """Shut the thread pools down; calls in progress end by their own timeouts."""
+        for pool in (self.commit_pool, self.forward_pool):
             pool.shutdown(wait=False, cancel_futures=True)
 
     def on_failure(
@@ -202,135 +204,137 @@
         exception_value: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """Give the unit up after a fault of the program.
+        """Release the unit after an unexpected exception.
 
         Notes
         -----
-        Guards against a unit that is owned and not served: the actor has ended, while
-        the group goes on naming this instance. The next owner, here or elsewhere,
-        begins from the store.
+        Guards against a unit that is owned but not served: the actor has ended, while
+        the group still assigns the unit to this instance. The next owner, on this or
+        another instance, starts from the stored records.
         """
         frames = tb.format_exception(exception_type, exception_value, traceback)
-        self.world.log.write("unit_failed", unit=self.world.unit, why=frames[-3:])
-        self.world.depose()
+        self.context.log.write("unit_failed", unit=self.context.unit, why=frames[-3:])
+        self.context.step_down()
 
     def _perform(self, action: Action) -> None:
         if isinstance(action, Commit):
             self.sequence += 1
-            self.commits.submit(self._commit, action, self.sequence)
-        elif isinstance(action, SendHold):
-            self._hold(action)
-        elif isinstance(action, Begun):
-            self._note_begun(action)
-        elif isinstance(action, Delivered):
-            note_delivered(self.world.replica, action.job_ids)
+            self.commit_pool.submit(self._commit, action, self.sequence)
+        elif isinstance(action, RequestReport):
+            self._request_report(action)
+        elif isinstance(action, JobStarted):
+            self._record_job_start(action)
+        elif isinstance(action, HandoversConfirmed):
+            mark_jobs_delivered(self.context.replica, action.job_ids)
         elif isinstance(action, Forward):
-            self.forwards.submit(self._forward, action)
+            self.forward_pool.submit(self._forward, action)
         else:
-            self._order(action)
+            self._send_order(action)
 
     def _commit(self, action: Commit, sequence: int) -> None:
-        """Store records and take them into the copy, which later ownerships share.
+        """Store records and apply them to the replica, which later ownerships share.
 
         Notes
         -----
-        Guards against old progress over new: an answer may come when this ownership is
-        over and the instance owns the unit again, under a later one.
+        Guards against overwriting newer progress with older: an answer may arrive after
+        this ownership has ended and the instance owns the unit again in a later epoch.
         """
-        world = self.world
+        context = self.context
         append = Append(
-            PROGRESS, world.unit, action.records, PRODUCER, world.epoch, sequence
+            PROGRESS, context.unit, action.records, PRODUCER, context.epoch, sequence
         )
-        if append_until_known(world, append) and not world.stopping.is_set():
+        if append_until_answered(context, append) and not context.stopping.is_set():
             for record in action.records:
-                apply_record(world.replica, record.key, record.value)
+                apply_record(context.replica, record.key, record.value)
             for summary in action.summaries:
-                self._note_end(summary)
+                self._record_job_end(summary)
             self.actor_ref.tell(Committed())
 
-    def _note_end(self, summary: JobSummary) -> None:
-        """Log a job's end with where its time went, and count that time.
+    def _record_job_end(self, summary: JobSummary) -> None:
+        """Log a job's end with a breakdown of its time, and update the metrics.
 
         Notes
         -----
-        The counters tell of all jobs, also of those whose lines are left out.
+        The counters include all jobs, also those whose log lines are left out.
         """
-        world = self.world
-        world.log.write(
+        context = self.context
+        context.log.write(
             "job_ended",
             job=summary.job_id,
             state=summary.state,
-            took_s=summary.took_s,
-            late_s=summary.late_s,
-            task_s=summary.times,
-            lost=summary.lost,
+            took_s=summary.duration_s,
+            late_s=summary.lateness_s,
+            task_s=summary.task_time_s,
+            lost=summary.lost_runs,
         )
-        for part, seconds in summary.times.items():
-            world.meters.task_seconds.labels(part).inc(seconds)
-        for how, runs in summary.lost.items():
-            world.meters.lost_runs.labels(how).inc(runs)
+        for part, seconds in summary.task_time_s.items():
+            context.meters.task_seconds.labels(part).inc(seconds)
+        for how, runs in summary.lost_runs.items():
+            context.meters.lost_runs.labels(how).inc(runs)
 
     def _forward(self, action: Forward) -> None:
-        """Store records for another unit, however often it takes.
+        """Store records for another unit, retrying until it succeeds.
 
         Notes
         -----
-        No fencing is needed: whoever owned this unit when the handing over was stored
-        may send the job, and a repeat changes nothing.
+        No fencing is needed. Whichever instance owned this unit when the hand-over was
+        stored may send the job, and a repeated append changes nothing.
         """
-        world = self.world
+        context = self.context
         append = Append(INTAKE, action.unit, action.records)
-        while not world.stopping.is_set():
-            answer = world.store.append(append, SLOW_APPEND_TIMEOUT_S)
+        while not context.stopping.is_set():
+            answer = context.store.append(append, SLOW_APPEND_TIMEOUT_S)
             if isinstance(answer, Ok):
                 keys = [record.key for record in action.records]
                 for key in keys:
-                    world.log.write("job_handed_over", key=key, unit=action.unit)
-                self._tell(Forwarded(keys))
+                    context.log.write("job_handed_over", key=key, unit=action.unit)
+                self._send_event(Forwarded(keys))
                 return
             why = answer.err_value.detail
-            world.log.write("order_failed", kind="forward", why=why)
-            world.stopping.wait(RETRY_S)
+            context.log.write("order_failed", kind="forward", why=why)
+            context.stopping.wait(RETRY_S)
 
-    def _hold(self, action: SendHold) -> None:
+    def _request_report(self, action: RequestReport) -> None:
         sent_at = read_clock()
         entry = action.entry
-        order = _address(entry, self.world.epoch, lease=action.lease_until_ms)
+        order = _build_report_order(
+            entry, self.context.epoch, lease=action.lease_until_ms
+        )
 
-        def take(answer: Result[Held, CallError]) -> None:
-            self._tell(self._judge_report(entry.life, answer, sent_at))
+        def on_answer(answer: Result[RunnerReport, CallError]) -> None:
+            self._send_event(self._interpret_report(entry.incarnation, answer, sent_at))
 
-        self.world.runners.hold(
-            order, action.last_seen, action.wait_s, HOLD_TIMEOUT_S, take
+        self.context.runners.renew_lease(
+            order, action.last_seen, action.wait_s, REPORT_TIMEOUT_S, on_answer
         )
 
-    def _judge_report(
-        self, life: str, answer: Result[Held, CallError], sent_at: float
-    ) -> HoldAnswered | HoldFailed:
+    def _interpret_report(
+        self, incarnation: str, answer: Result[RunnerReport, CallError], sent_at: float
+    ) -> ReportReceived | ReportFailed:
         if isinstance(answer, Ok):
-            return HoldAnswered(life, answer.ok_value, sent_at)
+            return ReportReceived(incarnation, answer.ok_value, sent_at)
         error = answer.err_value
         if error.kind == ErrorKind.CONFLICT:
-            self.world.depose()
-        self.world.log.write("runner_silent", runner=life, why=error.detail)
-        other_life = error.kind == ErrorKind.OTHER_LIFE
-        return HoldFailed(life, sent_at, error.detail, other_life)
+            self.context.step_down()
+        self.context.log.write("runner_silent", runner=incarnation, why=error.detail)
+        other_incarnation = error.kind == ErrorKind.OTHER_INCARNATION
+        return ReportFailed(incarnation, sent_at, error.detail, other_incarnation)
 
-    def _order(self, action: SendOrder) -> None:
+    def _send_order(self, action: SendOrder) -> None:
         sent_at = read_clock()
         order = Order(
             runner=action.entry.runner,
-            born_ms=action.entry.born_ms,
+            started_at_ms=action.entry.started_at_ms,
             address=action.entry.address,
             task=action.task,
             run=action.run,
-            fence=self.world.epoch,
+            fence=self.context.epoch,
             spec=action.spec,
             lease_until_ms=action.lease_until_ms,
             checkpoint=action.checkpoint,
             percent=action.percent,
         )
-        calls = self.world.runners
+        calls = self.context.runners
         send = {
             OrderKind.START: calls.start,
             OrderKind.STOP: calls.stop,
@@ -339,88 +343,93 @@
         send(
             order,
             ORDER_TIMEOUT_S,
-            lambda result: self._take_result(action, result, sent_at),
+            lambda result: self._handle_result(action, result, sent_at),
         )
 
-    def _take_result(
+    def _handle_result(
         self, action: SendOrder, result: OrderResult, sent_at: float
     ) -> None:
         if result.outcome == OrderOutcome.FENCED:
-            self.world.depose()
+            self.context.step_down()
         if result.outcome != OrderOutcome.DONE:
-            self.world.log.write(
+            self.context.log.write(
                 "order_failed",
                 kind=action.kind,
                 job=action.task.job_id,
                 task=action.task[1:],
                 run=action.run,
-                runner=action.entry.life,
+                runner=action.entry.incarnation,
                 outcome=result.outcome,
                 why=result.detail,
             )
-        life = action.entry.life
-        self._tell(
-            OrderAnswered(action.kind, action.task, action.run, life, result, sent_at)
+        incarnation = action.entry.incarnation
+        self._send_event(
+            OrderAnswered(
+                action.kind, action.task, action.run, incarnation, result, sent_at
+            )
         )
 
-    def _tell(self, event: Any) -> None:
+    def _send_event(self, event: Any) -> None:
         with contextlib.suppress(pykka.ActorDeadError):
             self.actor_ref.tell(event)
 
 
-def _address(entry: RunnerEntry, epoch: int, lease: int) -> Order:
-    """Return an order about no task: a report is about the whole runner."""
-    nothing = TaskKey("", 0, 0, 0)
+def _build_report_order(entry: RunnerEntry, epoch: int, lease: int) -> Order:
+    """Return an order without a task, because a report covers the whole runner."""
+    no_task = TaskKey("", 0, 0, 0)
     return Order(
         entry.runner,
-        entry.born_ms,
+        entry.started_at_ms,
         entry.address,
-        nothing,
+        no_task,
         0,
         epoch,
         lease_until_ms=lease,
     )
 
 
-def append_until_known(world: UnitWorld, append: Append) -> bool:
-    """Send an append until the store has it; return False if a successor fenced it.
+def append_until_answered(context: UnitContext, append: Append) -> bool:
+    """Send an append until the store answers; return whether it was accepted.
 
     Notes
     -----
-    Guards against an append whose answer was lost: it may have taken effect, or may
-    seconds later. A repeat under the same sequence number is stored once.
+    Guards against an append whose answer was lost, which may have taken effect or may
+    do so seconds later. A repeat with the same sequence number is stored only once. A
+    refused append means that a successor has fenced this ownership.
     """
     timeout_s = APPEND_TIMEOUT_S
-    while not world.stopping.is_set():
-        answer = world.store.append(append, timeout_s)
+    while not context.stopping.is_set():
+        answer = context.store.append(append, timeout_s)
         if isinstance(answer, Err):
             timeout_s = SLOW_APPEND_TIMEOUT_S
-            world.log.write("order_failed", kind="append", why=answer.err_value.detail)
-            world.stopping.wait(RETRY_S)
+            context.log.write(
+                "order_failed", kind="append", why=answer.err_value.detail
+            )
+            context.stopping.wait(RETRY_S)
             continue
         if answer.ok_value.accepted:
             return True
-        world.depose()
+        context.step_down()
         return False
     return False
 
 
 @contextlib.contextmanager
-def keep_unit_actor(
-    world: UnitWorld, dispatcher: Dispatcher
+def run_unit_actor(
+    context: UnitContext, dispatcher: Dispatcher
 ) -> Iterator[pykka.ActorRef[UnitActor]]:
-    """Run a unit's actor, and its clock, for the length of the context."""
-    actor = UnitActor.start(world, dispatcher)
-    ticker = threading.Thread(target=_tick, args=(world, actor), daemon=True)
+    """Run a unit's actor and its ticker for the duration of the context."""
+    actor = UnitActor.start(context, dispatcher)
+    ticker = threading.Thread(target=_tick, args=(context, actor), daemon=True)
     ticker.start()
     try:
         yield actor
     finally:
-        world.stopping.set()
+        context.stopping.set()
         actor.stop(block=False)
 
 
-def _tick(world: UnitWorld, actor: pykka.ActorRef[UnitActor]) -> None:
-    while not world.stopping.wait(TICK_S):
+def _tick(context: UnitContext, actor: pykka.ActorRef[UnitActor]) -> None:
+    while not context.stopping.wait(TICK_S):
         with contextlib.suppress(pykka.ActorDeadError):
             actor.tell(Tick())
