--- a/bench/gateways.py
+++ b/bench/gateways.py
@@ -18,25 +18,25 @@
 from plantainyard.protocol import RunnerInfo, encode_message
 from plantainyard.routing import (
     Answer,
-    AskCredits,
     AttemptEnded,
     AuthorityGained,
-    CreditsAnswered,
+    CreditAnswerReceived,
     Event,
     Forward,
     ForwardEnded,
     GatewayState,
-    LateEnded,
+    LateAttemptEnded,
     LenderState,
     LenderStep,
+    Location,
     Outcome,
     Owner,
     OwnersChanged,
     Peer,
     PeersChanged,
-    Place,
     Request,
     RequestArrived,
+    RequestCredits,
     Response,
     RoutingSettings,
     RunnerUp,
@@ -46,7 +46,7 @@
     build_fixed_lender,
     build_leased_lender,
     build_single_lender,
-    count_room,
+    count_free_credits,
     step,
 )
 
@@ -144,7 +144,7 @@
         failing = self.rng.sample(self.runners, round(scenario.failing * RUNNERS))
         self.failing = {runner.id for runner in failing}
         self.gateways = {
-            name: GatewayState(Place(name, domain, REGIONS[domain]), name, SETTINGS)
+            name: GatewayState(Location(name, domain, REGIONS[domain]), name, SETTINGS)
             for name, domain in GATEWAYS.items()
         }
         self.owners = {
@@ -182,7 +182,7 @@
                     self.later(delay_s, partial(self.run, name, action))
                 case Forward():
                     self.forward(name, action)
-                case AskCredits():
+                case RequestCredits():
                     self.ask(name, action)
 
     def measure_delay(self, name: str, domain: str) -> float:
@@ -192,7 +192,7 @@
             return DELAYS_S[0]
         return DELAYS_S[1] if REGIONS[own] == REGIONS[domain] else DELAYS_S[2]
 
-    def ask(self, name: str, action: AskCredits) -> None:
+    def ask(self, name: str, action: RequestCredits) -> None:
         """Carry an ask to the owner and its answer back."""
         rack = action.ask.rack
         delay_s = self.measure_delay(name, self.owners[rack].domain)
@@ -201,7 +201,7 @@
             answers = self.steps[rack](self.lenders[rack], action.ask, self.now)
             self.credit_bytes += len(encode_message(action.ask))
             self.credit_bytes += sum(len(encode_message(a)) for a in answers)
-            for event in map(CreditsAnswered, answers):
+            for event in map(CreditAnswerReceived, answers):
                 self.later(delay_s, partial(self.feed, name, event))
 
         self.later(delay_s, act)
@@ -239,7 +239,7 @@
         def end() -> None:
             self.busy[runner] -= 1
             if late:
-                answered = LateEnded(action.key, runner, latency_s)
+                answered = LateAttemptEnded(action.key, runner, latency_s)
                 self.later(delay_s, partial(self.feed, name, answered))
 
         self.later(service_s, end)
@@ -307,7 +307,7 @@
     def read_room(self, name: str) -> dict[str, int]:
         """Return what a gateway tells of its free credits."""
         if self.scenario.way != Ways.SINGLE:
-            return count_room(self.gateways[name], self.now)
+            return count_free_credits(self.gateways[name], self.now)
         dispatches = name in {owner.instance for owner in self.owners.values()}
         return {"billing": DISPATCHER_ROOM} if dispatches else {}
 
--- a/plantainyard/gateway/actor.py
+++ b/plantainyard/gateway/actor.py
@@ -19,7 +19,6 @@
 from plantainyard.routing import (
     Action,
     Answer,
-    AskCredits,
     AttemptEnded,
     Drain,
     Drained,
@@ -27,12 +26,13 @@
     Forward,
     ForwardEnded,
     GatewayState,
-    Place,
+    Location,
     RequestArrived,
+    RequestCredits,
     Send,
     SendResult,
     Tick,
-    count_room,
+    count_free_credits,
     dump_gateway,
     step,
 )
@@ -117,7 +117,7 @@
         if isinstance(message, _Dump):
             return self._dump()
         if isinstance(message, _Room):
-            return count_room(self.state, read_clock())
+            return count_free_credits(self.state, read_clock())
         events = [message]
         while events:
             actions = step(self.state, events.pop(0), read_clock())
@@ -136,7 +136,7 @@
 
 @contextlib.contextmanager
 def run_gateway(
-    settings: Settings, name: str, ask: Callable[[AskCredits], object]
+    settings: Settings, name: str, ask: Callable[[RequestCredits], object]
 ) -> Iterator[Gateway]:
     """Run the actor for the length of the context.
 
@@ -152,14 +152,14 @@
         answer with `tell_event`.
     """
     instance = settings.instance
-    place = Place(instance.id, instance.domain, instance.region)
+    place = Location(instance.id, instance.domain, instance.region)
     state = GatewayState(place, name, build_routing_settings(settings))
     tickets: dict[str, Ticket] = {}
     lock, drained = threading.Lock(), threading.Event()
 
     def perform(action: Action) -> Event | None:
         match action:
-            case AskCredits():
+            case RequestCredits():
                 ask(action)
             case Drained():
                 drained.set()
--- a/plantainyard/gateway/app.py
+++ b/plantainyard/gateway/app.py
@@ -203,7 +203,7 @@
     # repeated and that reached nobody did not run.
     safe = request.idempotent and not sent
     outcome = Outcome.REFUSED if safe else Outcome.UNKNOWN
-    return FinalAnswer(outcome, Reason.LOST, _RETRY_S)
+    return FinalAnswer(outcome, Reason.ANSWER_LOST, _RETRY_S)
 
 
 def _refuse_full(request: Request) -> FinalAnswer:
--- a/plantainyard/gateway/sending.py
+++ b/plantainyard/gateway/sending.py
@@ -29,7 +29,7 @@
     FinalAnswer,
     Forward,
     ForwardEnded,
-    LateEnded,
+    LateAttemptEnded,
     Response,
     Send,
     SendResult,
@@ -144,7 +144,7 @@
     if not is_late:
         tell(event)
     elif event.result != SendResult.LOST:
-        tell(LateEnded(action.key, action.runner.id, event.latency_s))
+        tell(LateAttemptEnded(action.key, action.runner.id, event.latency_s))
 
 
 def send_to_runner(
@@ -203,7 +203,7 @@
         sender.instance,
         base64.b64encode(body).decode(),
         content_type,
-        request.judged,
+        request.admitted,
     )
     address = action.peer.address
     url = address if "://" in address else f"http://{address}"
--- a/plantainyard/gateway/tests/test_gateway_http.py
+++ b/plantainyard/gateway/tests/test_gateway_http.py
@@ -28,7 +28,7 @@
 from plantainyard.routing import (
     AuthorityChanged,
     AuthorityGained,
-    CreditsAnswered,
+    CreditAnswerReceived,
     LenderState,
     Owner,
     OwnersChanged,
@@ -115,7 +115,7 @@
 
     def ask(action):
         answer = owned.ask(action.ask)
-        tell_event(handles[0], CreditsAnswered(answer))
+        tell_event(handles[0], CreditAnswerReceived(answer))
 
     with run_gateway(settings, settings.instance.id, ask) as gateway:
         handles.append(gateway)
--- a/plantainyard/gateway/tests/test_sending.py
+++ b/plantainyard/gateway/tests/test_sending.py
@@ -5,7 +5,13 @@
 
 from plantainyard.gateway import sending
 from plantainyard.protocol import RunnerInfo
-from plantainyard.routing import AttemptEnded, LateEnded, Request, Send, SendResult
+from plantainyard.routing import (
+    AttemptEnded,
+    LateAttemptEnded,
+    Request,
+    Send,
+    SendResult,
+)
 
 RUNNER = RunnerInfo("r1", "billing", "", "k1", "d1", "reg", 1, 60)
 ACTION = Send("a", Request("a", "a", "billing", "t", 1.0), RUNNER, 1.0, 1.0)
@@ -14,7 +20,7 @@
 @pytest.mark.parametrize(
     ("result", "told"),
     [
-        (SendResult.ANSWERED, [LateEnded("a", "r1", 2.0)]),
+        (SendResult.ANSWERED, [LateAttemptEnded("a", "r1", 2.0)]),
         (SendResult.LOST, []),
     ],
 )
--- a/plantainyard/gateway/tuning.py
+++ b/plantainyard/gateway/tuning.py
@@ -21,7 +21,7 @@
     requests, limits = settings.requests, settings.limits
     return RoutingSettings(
         credit_s=requests.credit_s,
-        ask_every_s=min(0.5, requests.credit_s / _ASKS_IN_LEASE),
+        credit_request_interval_s=min(0.5, requests.credit_s / _ASKS_IN_LEASE),
         request_max_s=requests.request_max_s,
         drift=settings.platform.clock_drift,
         queue_count=limits.queue_requests,
--- a/plantainyard/membership/ownership.py
+++ b/plantainyard/membership/ownership.py
@@ -8,7 +8,7 @@
 
 from typing import NamedTuple
 
-from plantainyard.routing.identity import rank_names
+from plantainyard.routing.arbiter import rank_names
 from plantainyard.state import Claim
 
 from .authority import make_epoch
--- a/plantainyard/node/lending.py
+++ b/plantainyard/node/lending.py
@@ -17,8 +17,8 @@
     AuthorityLost,
     LenderState,
     RoutingSettings,
-    RunnerGone,
     RunnerLeaving,
+    RunnerTerminated,
     RunnerUp,
     build_leased_lender,
     dump_lender,
@@ -122,7 +122,7 @@
         for runner_id in message.leaving & {r.id for r in message.runners}:
             self.step(lender, RunnerLeaving(runner_id), now)
         for runner_id in known - {r.id for r in message.runners}:
-            self.step(lender, RunnerGone(runner_id), now)
+            self.step(lender, RunnerTerminated(runner_id), now)
 
     def _dump(self) -> Mapping[str, Any]:
         return {rack: dump_lender(lender) for rack, lender in self.lenders.items()}
--- a/plantainyard/operators/homes.py
+++ b/plantainyard/operators/homes.py
@@ -6,7 +6,7 @@
 
 from plantainyard.placement import check_possible
 from plantainyard.placement.filters import check_worker
-from plantainyard.routing.identity import find_home
+from plantainyard.routing.arbiter import find_home_domain
 from plantainyard.work import Job, Size, WorkerInfo
 
 __all__ = [
@@ -46,7 +46,7 @@
     ids without a prefix.
     """
     names = list(allowed)
-    return find_home(request_id, names) if names else None
+    return find_home_domain(request_id, names) if names else None
 
 
 def name_request(request_id: str, home: str) -> str:
--- a/plantainyard/presence.py
+++ b/plantainyard/presence.py
@@ -40,13 +40,13 @@
     Heartbeat,
 )
 from plantainyard.routing import (
-    AskCredits,
     AuthorityChanged,
-    CreditsAnswered,
+    CreditAnswerReceived,
     Owner,
     OwnersChanged,
     Peer,
     PeersChanged,
+    RequestCredits,
 )
 from plantainyard.settings import Settings
 
@@ -233,13 +233,15 @@
     return {rack: owner for rack, (_, owner) in found.items()}
 
 
-def request_credits(local: LocalState, action: AskCredits) -> None:
+def request_credits(local: LocalState, action: RequestCredits) -> None:
     """Request credits from a rack's owner and pass its answer to the gateway."""
     node = local.node
     if node is None:
         return
     if action.owner == node.settings.instance.id:
-        tell_event(node.gateway, CreditsAnswered(ask_actor(node.lender, action.ask)))
+        tell_event(
+            node.gateway, CreditAnswerReceived(ask_actor(node.lender, action.ask))
+        )
         return
     views: tuple[PeerView, ...] = ask_actor(node.peers, Query(read_peers))
     peer = next((view for view in views if view.instance == action.owner), None)
@@ -251,4 +253,4 @@
     if isinstance(result, Err):
         log_call_error(_logger, result.err_value, level=logging.DEBUG)
         return
-    tell_event(node.gateway, CreditsAnswered(result.ok_value))
+    tell_event(node.gateway, CreditAnswerReceived(result.ok_value))
--- a/plantainyard/relay/words.py
+++ b/plantainyard/relay/words.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from plantainyard.protocol import Heartbeat
-from plantainyard.routing.identity import rank_names
+from plantainyard.routing.arbiter import rank_names
 
 __all__ = [
     "PeerAddress",
--- a/plantainyard/routing/identity.py
+++ b/plantainyard/routing/arbiter.py
@@ -23,12 +23,12 @@
 
 __all__ = [
     "Arbiter",
-    "IdVerdict",
-    "Verdict",
-    "find_home",
-    "find_rack",
-    "finish_id",
-    "judge_id",
+    "IdResult",
+    "IdDecision",
+    "find_home_domain",
+    "find_arbiter_rack",
+    "record_id_answer",
+    "decide_id",
     "parse_issue_time",
     "rank_names",
     "restart_history",
@@ -36,11 +36,11 @@
 
 _UUID_VERSION = 7
 _STAMP_SHIFT = 80
-_COMPACT_SLACK = 1000
-_DROPPED = "the answer is no longer kept"
+_COMPACT_MARGIN = 1000
+_DROPPED_DETAIL = "the answer is no longer kept"
 
 
-class Verdict:
+class IdDecision:
     """Names of the arbiter's verdicts.
 
     Notes
@@ -70,10 +70,10 @@
     MALFORMED = "malformed"
 
 
-class IdVerdict(NamedTuple):
+class IdResult(NamedTuple):
     """A verdict, with the key of the first arrival or its answer."""
 
-    verdict: str
+    decision: str
     key: str = ""
     answer: FinalAnswer | None = None
 
@@ -102,12 +102,12 @@
     def __init__(self, settings: RoutingSettings, wall_s: float) -> None:
         self.history_since = wall_s + 2 * settings.id_skew_s
         self.entries: dict[str, _Entry] = {}
-        self.by_issue: list[tuple[float, str]] = []
-        self.kept: list[tuple[float, str]] = []
+        self.ids_by_issue: list[tuple[float, str]] = []
+        self.answers_by_issue: list[tuple[float, str]] = []
         self.answer_bytes = 0
 
 
-def find_home(request_id: str, domains: Iterable[str]) -> str:
+def find_home_domain(request_id: str, domains: Iterable[str]) -> str:
     """Return the home domain of an id: its prefix, else by hash over all domains.
 
     Returns
@@ -129,7 +129,7 @@
     return rank_names(request_id, names)[0] if names else ""
 
 
-def find_rack(request_id: str, racks: Iterable[str]) -> str:
+def find_arbiter_rack(request_id: str, racks: Iterable[str]) -> str:
     """Return the rack whose owner judges an id, by rendezvous hash."""
     return rank_names(request_id, racks)[0]
 
@@ -171,14 +171,14 @@
     return (value.int >> _STAMP_SHIFT) / 1000.0
 
 
-def judge_id(
+def decide_id(
     arbiter: Arbiter,
     request_id: str,
     key: str,
     digest: int,
     settings: RoutingSettings,
     wall_s: float,
-) -> IdVerdict:
+) -> IdResult:
     """Decide whether an id may run, and remember it if so.
 
     Parameters
@@ -199,26 +199,26 @@
     """
     issued = parse_issue_time(request_id)
     if issued is None:
-        return IdVerdict(Verdict.MALFORMED)
+        return IdResult(IdDecision.MALFORMED)
     # Let run, the id would look fresh to a later arbiter, whose history begins at
     # this clock. An arbiter with a faster clock may have let it run already.
     if issued > wall_s + settings.id_skew_s:
-        return IdVerdict(Verdict.AHEAD)
+        return IdResult(IdDecision.AHEAD)
     _forget_old(arbiter, settings, wall_s)
     entry = arbiter.entries.get(request_id)
     if entry is not None:
-        return _judge_known(entry, digest)
+        return _decide_known(entry, digest)
     # A former arbiter may have let the id run, or this one has dropped it: a second
     # run would charge twice.
     if issued <= arbiter.history_since:
-        return IdVerdict(Verdict.UNKNOWN)
+        return IdResult(IdDecision.UNKNOWN)
     arbiter.entries[request_id] = _Entry(key, digest, issued)
-    heapq.heappush(arbiter.by_issue, (issued, request_id))
+    heapq.heappush(arbiter.ids_by_issue, (issued, request_id))
     _compact(arbiter)
-    return IdVerdict(Verdict.RUN, key)
+    return IdResult(IdDecision.RUN, key)
 
 
-def finish_id(
+def record_id_answer(
     arbiter: Arbiter, request_id: str, answer: FinalAnswer, settings: RoutingSettings
 ) -> None:
     """Keep the answer of an id for its repeats.
@@ -237,9 +237,9 @@
         return
     entry.answer = answer
     arbiter.answer_bytes += _count_bytes(answer)
-    heapq.heappush(arbiter.kept, (entry.issued, request_id))
-    while arbiter.answer_bytes > settings.id_answer_bytes and arbiter.kept:
-        _drop_body(arbiter, heapq.heappop(arbiter.kept)[1])
+    heapq.heappush(arbiter.answers_by_issue, (entry.issued, request_id))
+    while arbiter.answer_bytes > settings.id_answer_bytes and arbiter.answers_by_issue:
+        _drop_body(arbiter, heapq.heappop(arbiter.answers_by_issue)[1])
 
 
 def restart_history(arbiter: Arbiter, settings: RoutingSettings, wall_s: float) -> None:
@@ -255,20 +255,20 @@
     arbiter.history_since = max(arbiter.history_since, since)
 
 
-def _judge_known(entry: _Entry, digest: int) -> IdVerdict:
+def _decide_known(entry: _Entry, digest: int) -> IdResult:
     if entry.digest != digest:
-        return IdVerdict(Verdict.REUSED)
+        return IdResult(IdDecision.REUSED)
     if entry.answer is None:
-        return IdVerdict(Verdict.JOIN, entry.key)
-    return IdVerdict(Verdict.REPEAT, entry.key, entry.answer)
+        return IdResult(IdDecision.JOIN, entry.key)
+    return IdResult(IdDecision.REPEAT, entry.key, entry.answer)
 
 
 def _forget_old(arbiter: Arbiter, settings: RoutingSettings, wall_s: float) -> None:
     oldest = wall_s - settings.id_memory_s
-    while arbiter.by_issue and (
-        arbiter.by_issue[0][0] < oldest or len(arbiter.entries) >= settings.id_count
+    while arbiter.ids_by_issue and (
+        arbiter.ids_by_issue[0][0] < oldest or len(arbiter.entries) >= settings.id_count
     ):
-        issued, request_id = heapq.heappop(arbiter.by_issue)
+        issued, request_id = heapq.heappop(arbiter.ids_by_issue)
         entry = arbiter.entries.get(request_id)
         if entry is None or entry.issued != issued:
             continue
@@ -279,10 +279,10 @@
 
 def _compact(arbiter: Arbiter) -> None:
     """Drop the marks of ids that were refused and forgotten, now and then."""
-    if len(arbiter.by_issue) > 2 * len(arbiter.entries) + _COMPACT_SLACK:
+    if len(arbiter.ids_by_issue) > 2 * len(arbiter.entries) + _COMPACT_MARGIN:
         pairs = [(entry.issued, key) for key, entry in arbiter.entries.items()]
-        arbiter.by_issue = pairs
-        heapq.heapify(arbiter.by_issue)
+        arbiter.ids_by_issue = pairs
+        heapq.heapify(arbiter.ids_by_issue)
 
 
 def _drop_body(arbiter: Arbiter, request_id: str) -> None:
@@ -290,7 +290,7 @@
     if entry is None or entry.answer is None:
         return
     arbiter.answer_bytes -= _count_bytes(entry.answer)
-    entry.answer = entry.answer._replace(response=None, detail=_DROPPED)
+    entry.answer = entry.answer._replace(response=None, detail=_DROPPED_DETAIL)
 
 
 def _count_bytes(answer: FinalAnswer) -> int:
--- a/plantainyard/routing/arbitration.py
+++ b/plantainyard/routing/arbitration.py
@@ -4,21 +4,21 @@
 from itertools import chain
 from typing import NamedTuple
 
-from plantainyard.routing.events import AuthorityChanged, Owner
-from plantainyard.routing.identity import (
+from plantainyard.routing.arbiter import (
     Arbiter,
-    IdVerdict,
-    Verdict,
-    find_home,
-    find_rack,
-    finish_id,
-    judge_id,
+    IdDecision,
+    IdResult,
+    decide_id,
+    find_arbiter_rack,
+    find_home_domain,
+    record_id_answer,
     restart_history,
 )
+from plantainyard.routing.events import AuthorityChanged, Owner
 from plantainyard.routing.outcomes import FinalAnswer, Outcome, Reason
 from plantainyard.routing.values import Request, RoutingSettings
 
-__all__ = ["Admission", "Arbitration", "admit_id", "settle_id"]
+__all__ = ["Admission", "Arbitration", "admit_id", "complete_id"]
 
 
 class Admission(NamedTuple):
@@ -46,9 +46,9 @@
     def __init__(self, instance: str) -> None:
         self.instance = instance
         self.arbiters: dict[str, Arbiter] = {}
-        self.until: dict[str, float] = {}
-        self.running: dict[str, str] = {}
-        self.joined: dict[str, list[str]] = {}
+        self.authority_until: dict[str, float] = {}
+        self.running_racks: dict[str, str] = {}
+        self.joined_keys: dict[str, list[str]] = {}
 
     def extend(self, event: AuthorityChanged, settings: RoutingSettings) -> None:
         """Take over the beginning or the renewal of an authority."""
@@ -57,15 +57,15 @@
             self.arbiters[event.rack] = Arbiter(settings, event.wall_s)
         elif event.gained:
             restart_history(arbiter, settings, event.wall_s)
-        self.until[event.rack] = event.until
+        self.authority_until[event.rack] = event.until
 
-    def select_joined(self) -> list[str]:
+    def list_joined(self) -> list[str]:
         """Return the keys of the arrivals that wait for an earlier one."""
-        return list(chain.from_iterable(self.joined.values()))
+        return list(chain.from_iterable(self.joined_keys.values()))
 
     def leave(self, key: str) -> None:
         """Take an arrival out of those that wait."""
-        for keys in self.joined.values():
+        for keys in self.joined_keys.values():
             if key in keys:
                 keys.remove(key)
 
@@ -94,39 +94,41 @@
         Present time on the wall clock and on the lease clock.
     """
     domains = sorted({owner.domain for owner in owners.values()})
-    home = find_home(request.id, domains)
+    home = find_home_domain(request.id, domains)
     if not home:
-        return _miss(settings, "the home domain isn't known")
-    rack = find_rack(request.id, [r for r, o in owners.items() if o.domain == home])
+        return _build_unknown(settings, "the home domain isn't known")
+    rack = find_arbiter_rack(
+        request.id, [r for r, o in owners.items() if o.domain == home]
+    )
     # Without authority another instance may be judging the same ids by now; both
     # would let the id run.
-    if now < arbitration.until.get(rack, float("-inf")):
+    if now < arbitration.authority_until.get(rack, float("-inf")):
         arbiter = arbitration.arbiters[rack]
-        verdict = judge_id(
+        verdict = decide_id(
             arbiter, request.id, request.key, request.digest, settings, wall_s
         )
         return _apply_verdict(arbitration, rack, request, verdict, settings)
     owner = owners[rack].instance
     if not owner or owner == arbitration.instance:
-        return _miss(settings, f"{rack} has no arbiter now")
+        return _build_unknown(settings, f"{rack} has no arbiter now")
     return Admission(f"arbiter of {rack}", owner=owner)
 
 
-def settle_id(
+def complete_id(
     arbitration: Arbitration,
     request: Request,
     answer: FinalAnswer,
     settings: RoutingSettings,
 ) -> list[str]:
     """Keep the answer of a request that ran here; return the keys that joined it."""
-    rack = arbitration.running.pop(request.key, None)
+    rack = arbitration.running_racks.pop(request.key, None)
     if rack is None:
         return []
-    finish_id(arbitration.arbiters[rack], request.id, answer, settings)
-    return arbitration.joined.pop(request.key, [])
+    record_id_answer(arbitration.arbiters[rack], request.id, answer, settings)
+    return arbitration.joined_keys.pop(request.key, [])
 
 
-def _miss(settings: RoutingSettings, reason: str) -> Admission:
+def _build_unknown(settings: RoutingSettings, reason: str) -> Admission:
     answer = FinalAnswer(Outcome.UNKNOWN, Reason.NO_ARBITER, settings.credit_s)
     return Admission(reason, answer)
 
@@ -135,26 +137,26 @@
     arbitration: Arbitration,
     rack: str,
     request: Request,
-    verdict: IdVerdict,
+    verdict: IdResult,
     settings: RoutingSettings,
 ) -> Admission:
-    match verdict.verdict:
-        case Verdict.RUN:
-            arbitration.running[request.key] = rack
+    match verdict.decision:
+        case IdDecision.RUN:
+            arbitration.running_racks[request.key] = rack
             return Admission("first sight, may run")
-        case Verdict.JOIN if verdict.key in arbitration.running:
-            arbitration.joined.setdefault(verdict.key, []).append(request.key)
+        case IdDecision.JOIN if verdict.key in arbitration.running_racks:
+            arbitration.joined_keys.setdefault(verdict.key, []).append(request.key)
             return Admission(f"joins {verdict.key}", joined=True)
-        case Verdict.REPEAT:
+        case IdDecision.REPEAT:
             return Admission(f"repeat of {verdict.key}", verdict.answer)
-        case Verdict.REUSED:
-            answer = FinalAnswer(Outcome.REFUSED, Reason.REUSED)
+        case IdDecision.REUSED:
+            answer = FinalAnswer(Outcome.REFUSED, Reason.ID_REUSED)
             return Admission("id used for another request", answer)
-        case Verdict.AHEAD:
-            answer = FinalAnswer(Outcome.UNKNOWN, Reason.AHEAD, settings.id_skew_s)
+        case IdDecision.AHEAD:
+            answer = FinalAnswer(Outcome.UNKNOWN, Reason.ID_AHEAD, settings.id_skew_s)
             return Admission("id was issued ahead of the clock", answer)
-        case Verdict.MALFORMED:
+        case IdDecision.MALFORMED:
             answer = FinalAnswer(Outcome.REFUSED, Reason.MALFORMED)
             return Admission("id has no time of issue", answer)
-    answer = FinalAnswer(Outcome.UNKNOWN, Reason.HISTORY)
+    answer = FinalAnswer(Outcome.UNKNOWN, Reason.ID_EXPIRED)
     return Admission("older than the history", answer)
--- a/plantainyard/routing/credits.py
+++ b/plantainyard/routing/credits.py
@@ -19,25 +19,25 @@
     "CreditState",
     "apply_answer",
     "build_ask",
-    "build_return",
+    "build_closing_ask",
     "check_credit",
     "count_free",
     "count_in_flight",
     "drop_runner",
-    "end_lost",
+    "release_lost",
     "release_slot",
     "take_slot",
 ]
 
 
-class _Held:
+class _RunnerCredits:
     """Credits and requests in progress of one runner."""
 
     def __init__(self, info: RunnerInfo) -> None:
         self.info = info
         self.limit = 0
         self.valid_until = float("-inf")
-        self.sending = 0
+        self.sending_count = 0
         self.lost: list[tuple[str, float]] = []
 
 
@@ -53,9 +53,9 @@
 
     def __init__(self, gateway: str) -> None:
         self.gateway = gateway
-        self.held: dict[str, _Held] = {}
+        self.runners: dict[str, _RunnerCredits] = {}
         self.sequences: dict[str, int] = {}
-        self.asked: dict[str, float] = {}
+        self.requested_at: dict[str, float] = {}
         self.terms: dict[str, str] = {}
 
 
@@ -95,7 +95,7 @@
     return _report(state, rack, demand, now)
 
 
-def build_return(state: CreditState, rack: str, now: float) -> CreditAsk:
+def build_closing_ask(state: CreditState, rack: str, now: float) -> CreditAsk:
     """Return the last ask to the owner of `rack`: it gives all credits back."""
     for _, held in _select_rack(state, rack):
         held.limit = 0
@@ -120,15 +120,15 @@
     if not answer.granted:
         return False
     lease_s = answer.lease_s * (1 - settings.drift) - settings.send_margin_s
-    valid_until = state.asked[answer.rack] + lease_s
+    valid_until = state.requested_at[answer.rack] + lease_s
     for info in answer.runners:
-        state.held.setdefault(info.id, _Held(info)).info = info
+        state.runners.setdefault(info.id, _RunnerCredits(info)).info = info
     names = answer.grants.keys() | set(answer.leaving)
     for key, held in _select_rack(state, answer.rack):
         held.limit = answer.grants.get(key, 0)
         held.valid_until = valid_until
         if key not in names and not count_in_flight(held):
-            del state.held[key]
+            del state.runners[key]
     return True
 
 
@@ -141,10 +141,10 @@
         Time after which the request must not be sent any more; None where no valid
         credit is free.
     """
-    held = state.held.get(runner_id)
+    held = state.runners.get(runner_id)
     if held is None or count_free(held, now) <= 0:
         return None
-    held.sending += 1
+    held.sending_count += 1
     return held.valid_until
 
 
@@ -183,18 +183,18 @@
     now : float
         Present time.
     """
-    held = state.held.get(runner_id)
+    held = state.runners.get(runner_id)
     if held is None:
         return
-    held.sending -= 1
+    held.sending_count -= 1
     if not ended:
         until = now + settings.request_max_s * (1 + 2 * settings.drift)
         held.lost.append((key, until))
 
 
-def end_lost(state: CreditState, runner_id: str, key: str) -> None:
+def release_lost(state: CreditState, runner_id: str, key: str) -> None:
     """Give back the slot of a lost request that has ended for certain after all."""
-    held = state.held.get(runner_id)
+    held = state.runners.get(runner_id)
     lost = [k for k, _ in held.lost] if held else []
     if held and key in lost:
         del held.lost[lost.index(key)]
@@ -202,26 +202,26 @@
 
 def drop_runner(state: CreditState, runner_id: str) -> None:
     """Forget a runner that has ended, once its last request has been answered."""
-    held = state.held.get(runner_id)
+    held = state.runners.get(runner_id)
     if held is None:
         return
     held.limit = 0
     if not count_in_flight(held):
-        del state.held[runner_id]
+        del state.runners[runner_id]
 
 
-def count_in_flight(held: _Held) -> int:
+def count_in_flight(held: _RunnerCredits) -> int:
     """Return the requests of this gateway that can be in progress at a runner."""
-    return held.sending + len(held.lost)
+    return held.sending_count + len(held.lost)
 
 
-def count_free(held: _Held, now: float) -> int:
+def count_free(held: _RunnerCredits, now: float) -> int:
     """Return the credits that are valid and not in use."""
     _expire(held, now)
     return max(0, held.limit - count_in_flight(held))
 
 
-def _expire(held: _Held, now: float) -> None:
+def _expire(held: _RunnerCredits, now: float) -> None:
     held.lost = [(key, until) for key, until in held.lost if now < until]
     if now >= held.valid_until:
         held.limit = 0
@@ -235,12 +235,12 @@
         for key, held in _select_rack(state, rack)
     }
     state.sequences[rack] = state.sequences.get(rack, 0) + 1
-    state.asked[rack] = now
+    state.requested_at[rack] = now
     sequence, term = state.sequences[rack], state.terms.get(rack, "")
     return CreditAsk(state.gateway, rack, sequence, demand, holdings, term)
 
 
-def _return_idle(group: list[_Held], keep: int) -> None:
+def _return_idle(group: list[_RunnerCredits], keep: int) -> None:
     """Lower limits until `keep` credits are left, from those with the most idle."""
     excess = sum(held.limit for held in group) - keep
     while excess > 0:
@@ -251,6 +251,6 @@
         excess -= 1
 
 
-def _select_rack(state: CreditState, rack: str) -> list[tuple[str, _Held]]:
-    items = list(state.held.items())
+def _select_rack(state: CreditState, rack: str) -> list[tuple[str, _RunnerCredits]]:
+    items = list(state.runners.items())
     return [(key, held) for key, held in items if held.info.rack == rack]
--- a/plantainyard/routing/events.py
+++ b/plantainyard/routing/events.py
@@ -9,16 +9,16 @@
 __all__ = [
     "Action",
     "Answer",
-    "AskCredits",
+    "RequestCredits",
     "AttemptEnded",
     "AuthorityChanged",
-    "CreditsAnswered",
+    "CreditAnswerReceived",
     "Drain",
     "Drained",
     "Event",
     "Forward",
     "ForwardEnded",
-    "LateEnded",
+    "LateAttemptEnded",
     "Owner",
     "OwnersChanged",
     "Peer",
@@ -45,7 +45,7 @@
     domain: str
     region: str
     address: str
-    room: dict[str, int] = {}
+    free_credits: dict[str, int] = {}
 
 
 class RequestArrived(NamedTuple):
@@ -82,7 +82,7 @@
     retry_after_s: float = 0.0
 
 
-class LateEnded(NamedTuple):
+class LateAttemptEnded(NamedTuple):
     """A sending that was given up as lost has ended at its runner after all.
 
     `latency_s` is its whole duration.
@@ -101,7 +101,7 @@
     answer: FinalAnswer | None = None
 
 
-class CreditsAnswered(NamedTuple):
+class CreditAnswerReceived(NamedTuple):
     """A rack's owner answered an ask."""
 
     answer: CreditAnswer
@@ -114,7 +114,7 @@
     """
 
     leaving: tuple[str, ...] = ()
-    gone: tuple[str, ...] = ()
+    terminated: tuple[str, ...] = ()
 
 
 class OwnersChanged(NamedTuple):
@@ -154,9 +154,9 @@
 Event = (
     RequestArrived
     | AttemptEnded
-    | LateEnded
+    | LateAttemptEnded
     | ForwardEnded
-    | CreditsAnswered
+    | CreditAnswerReceived
     | RunnersChanged
     | OwnersChanged
     | PeersChanged
@@ -196,7 +196,7 @@
     answer: FinalAnswer
 
 
-class AskCredits(NamedTuple):
+class RequestCredits(NamedTuple):
     """Send `ask` to the owner of its rack."""
 
     owner: str
@@ -207,4 +207,4 @@
     """Nothing is in progress any more: the instance may stop."""
 
 
-Action = Send | Forward | Answer | AskCredits | Drained
+Action = Send | Forward | Answer | RequestCredits | Drained
--- a/plantainyard/routing/gateway.py
+++ b/plantainyard/routing/gateway.py
@@ -17,26 +17,26 @@
 from plantainyard.routing.credits import (
     count_free,
     drop_runner,
-    end_lost,
+    release_lost,
 )
 from plantainyard.routing.events import Action, Event
-from plantainyard.routing.flights import GatewayState
 from plantainyard.routing.health import describe_runner, forget_runners, mark_leaving
 from plantainyard.routing.lifecycle import (
     accept_request,
     end_attempt,
     end_forward,
-    expire_flights,
+    expire_pending,
 )
-from plantainyard.routing.queue import measure_service, select_waiting
-from plantainyard.routing.supply import (
-    ask_credits,
+from plantainyard.routing.queue import record_service_time, select_waiting
+from plantainyard.routing.sending import (
+    apply_credit_answer,
+    request_credits,
     return_credits,
     send_waiting,
-    take_credits,
 )
+from plantainyard.routing.state import GatewayState
 
-__all__ = ["GatewayState", "count_room", "dump_gateway", "is_idle", "step"]
+__all__ = ["GatewayState", "count_free_credits", "dump_gateway", "is_idle", "step"]
 
 
 def step(state: GatewayState, event: Event, now: float) -> list[Action]:
@@ -61,11 +61,11 @@
     The cost of an event is proportional to the queue's length and the number of
     runners.
     """
-    actions = _take_event(state, event, now)
-    actions += expire_flights(state, now)
+    actions = _apply_event(state, event, now)
+    actions += expire_pending(state, now)
     actions += send_waiting(state, now)
-    actions += ask_credits(state, event, now)
-    if _is_done(state, now):
+    actions += request_credits(state, event, now)
+    if _is_drain_complete(state, now):
         state.drained = True
         actions += return_credits(state, now)
         actions.append(events.Drained())
@@ -74,17 +74,17 @@
 
 def is_idle(state: GatewayState) -> bool:
     """Tell whether no request is in progress."""
-    return not state.flights
+    return not state.pending
 
 
-def count_room(state: GatewayState, now: float) -> dict[str, int]:
+def count_free_credits(state: GatewayState, now: float) -> dict[str, int]:
     """Return the credits for each service that nothing here is waiting for."""
-    room: Counter[str] = Counter()
-    for held in state.credits.held.values():
-        if held.info.domain == state.place.domain:
-            room[held.info.service] += count_free(held, now)
-    room.subtract(request.service for request in select_waiting(state.queue))
-    return {service: free for service, free in room.items() if free > 0}
+    free_credits: Counter[str] = Counter()
+    for held in state.credits.runners.values():
+        if held.info.domain == state.location.domain:
+            free_credits[held.info.service] += count_free(held, now)
+    free_credits.subtract(request.service for request in select_waiting(state.queue))
+    return {service: free for service, free in free_credits.items() if free > 0}
 
 
 def dump_gateway(state: GatewayState, now: float) -> dict[str, object]:
@@ -92,19 +92,19 @@
     runners = {
         key: {
             "limit": held.limit,
-            "sending": held.sending,
+            "sending": held.sending_count,
             "lost": len(held.lost),
             "valid_for_s": held.valid_until - now,
             "health": describe_runner(state.health, key, now),
         }
-        for key, held in state.credits.held.items()
+        for key, held in state.credits.runners.items()
     }
     return {
         "runners": runners,
         "queued": state.queue.count,
         "queued_bytes": state.queue.size_bytes,
-        "service_s": state.queue.service_s,
-        "in_progress": len(state.flights),
+        "service_s": state.queue.service_time_s,
+        "in_progress": len(state.pending),
         "forwarding": state.forwarding,
         "retry_tokens": state.budget.tokens,
         "ids": {r: len(a.entries) for r, a in state.arbitration.arbiters.items()},
@@ -113,27 +113,27 @@
     }
 
 
-def _take_event(state: GatewayState, event: Event, now: float) -> list[Action]:
+def _apply_event(state: GatewayState, event: Event, now: float) -> list[Action]:
     match event:
         case events.RequestArrived(request, wall_s):
             return accept_request(state, request, wall_s, now)
         case events.AttemptEnded():
             return end_attempt(state, event, now)
-        case events.LateEnded(key, runner_id, latency_s):
-            end_lost(state.credits, runner_id, key)
-            measure_service(state.queue, latency_s)
+        case events.LateAttemptEnded(key, runner_id, latency_s):
+            release_lost(state.credits, runner_id, key)
+            record_service_time(state.queue, latency_s)
         case events.ForwardEnded():
             return end_forward(state, event, now)
-        case events.CreditsAnswered(answer):
-            take_credits(state, answer)
+        case events.CreditAnswerReceived(answer):
+            apply_credit_answer(state, answer)
             for runner_id in answer.leaving:
                 mark_leaving(state.health, runner_id, "its rack's owner")
-        case events.RunnersChanged(leaving, gone):
+        case events.RunnersChanged(leaving, terminated):
             for runner_id in leaving:
                 mark_leaving(state.health, runner_id, "list")
-            for runner_id in gone:
+            for runner_id in terminated:
                 drop_runner(state.credits, runner_id)
-            forget_runners(state.health, {*state.credits.held, *leaving})
+            forget_runners(state.health, {*state.credits.runners, *leaving})
         case events.OwnersChanged(owners):
             state.owners = owners
         case events.PeersChanged(peers):
@@ -145,6 +145,6 @@
     return []
 
 
-def _is_done(state: GatewayState, now: float) -> bool:
+def _is_drain_complete(state: GatewayState, now: float) -> bool:
     over = state.drain_after is not None and now >= state.drain_after
-    return over and not state.flights and not state.drained
+    return over and not state.pending and not state.drained
--- a/plantainyard/routing/health.py
+++ b/plantainyard/routing/health.py
@@ -20,7 +20,7 @@
     "HealthState",
     "describe_runner",
     "forget_runners",
-    "is_panicking",
+    "is_in_panic_mode",
     "mark_leaving",
     "record_result",
     "select_usable",
@@ -28,23 +28,23 @@
 ]
 
 _SMOOTHING = 0.2
-_SLOW_SAMPLES = 8
-_SLOW_FLOOR_S = 0.05
+_MIN_SLOW_SAMPLES = 8
+_MIN_SLOW_LATENCY_S = 0.05
 
 
 class _Health:
     """What is known of one runner."""
 
     def __init__(self) -> None:
-        self.failures = 0
+        self.consecutive_failures = 0
         self.samples = 0
         self.latency_s = 0.0
-        self.aside_until = float("-inf")
-        self.aside_s = 0.0
-        self.is_aside = False
-        self.probing = False
-        self.leaving = ""
-        self.why = ""
+        self.ejected_until = float("-inf")
+        self.ejection_s = 0.0
+        self.is_ejected = False
+        self.probe_in_flight = False
+        self.leaving_source = ""
+        self.reason = ""
 
 
 class HealthState:
@@ -81,15 +81,17 @@
     """
     health = state.runners.setdefault(runner_id, _Health())
     if result == SendResult.NOT_SENT:
-        health.probing = False
+        health.probe_in_flight = False
         return
-    was_probe, health.probing = health.probing, False
+    was_probe, health.probe_in_flight = health.probe_in_flight, False
     if result == SendResult.ANSWERED:
         _record_success(state, health, was_probe, latency_s, settings, now)
         return
-    health.failures += 1
-    if was_probe or health.failures >= settings.aside_failures:
-        _set_aside(health, f"{health.failures} failures in a row", settings, now)
+    health.consecutive_failures += 1
+    if was_probe or health.consecutive_failures >= settings.ejection_failures:
+        _eject(
+            health, f"{health.consecutive_failures} failures in a row", settings, now
+        )
 
 
 def mark_leaving(state: HealthState, runner_id: str, source: str) -> None:
@@ -101,7 +103,7 @@
     runner that just disappears is covered by its failures.
     """
     health = state.runners.setdefault(runner_id, _Health())
-    health.leaving = health.leaving or source
+    health.leaving_source = health.leaving_source or source
 
 
 def select_usable(
@@ -132,27 +134,27 @@
         Usable runners, those due for a probe first.
     """
     present = [key for key in runner_ids if not _is_leaving(state, key)]
-    if is_panicking(state, present, settings):
+    if is_in_panic_mode(state, present, settings):
         return present
-    healthy = [key for key in present if not _is_aside(state, key)]
+    healthy = [key for key in present if not _is_ejected(state, key)]
     probes = [key for key in present if _is_due(state, key, now)]
     # With nothing healthy a non-idempotent request goes to a due runner too: it would
     # otherwise wait for an idempotent one that may never come.
     return [*probes, *healthy] if idempotent or not healthy else healthy
 
 
-def is_panicking(
+def is_in_panic_mode(
     state: HealthState, runner_ids: Iterable[str], settings: RoutingSettings
 ) -> bool:
     """Tell whether too many of the runners are set aside to believe it."""
-    flags = [_is_aside(state, key) for key in runner_ids]
-    return sum(flags) > settings.panic_share * len(flags)
+    flags = [_is_ejected(state, key) for key in runner_ids]
+    return sum(flags) > settings.panic_threshold * len(flags)
 
 
 def start_probe(state: HealthState, runner_id: str, now: float) -> None:
     """Note that a request is being sent to a runner; a set-aside one gets one only."""
     if _is_due(state, runner_id, now):
-        state.runners[runner_id].probing = True
+        state.runners[runner_id].probe_in_flight = True
 
 
 def forget_runners(state: HealthState, present: Iterable[str]) -> None:
@@ -172,12 +174,12 @@
     health = state.runners.get(runner_id)
     if health is None:
         return "healthy"
-    if health.leaving:
-        return f"leaving ({health.leaving})"
-    if not health.is_aside:
+    if health.leaving_source:
+        return f"leaving ({health.leaving_source})"
+    if not health.is_ejected:
         return "healthy"
-    left = max(0.0, health.aside_until - now)
-    return f"set aside for {left:.1f} s more ({health.why})"
+    left = max(0.0, health.ejected_until - now)
+    return f"set aside for {left:.1f} s more ({health.reason})"
 
 
 def _record_success(
@@ -190,53 +192,51 @@
 ) -> None:
     # Answers to what was sent before a runner was set aside come in later; they are
     # no sign that it has recovered.
-    if health.is_aside and not was_probe:
+    if health.is_ejected and not was_probe:
         return
-    health.failures = 0
+    health.consecutive_failures = 0
     health.samples += 1
     weight = _SMOOTHING if health.samples > 1 and not was_probe else 1.0
     health.latency_s += weight * (latency_s - health.latency_s)
     if _is_slow(state, health, settings):
-        _set_aside(health, f"slow, {health.latency_s:.3f} s", settings, now)
+        _eject(health, f"slow, {health.latency_s:.3f} s", settings, now)
         health.samples = 0
         return
-    health.is_aside = False
-    health.aside_s = 0.0
+    health.is_ejected = False
+    health.ejection_s = 0.0
 
 
 def _is_slow(state: HealthState, health: _Health, settings: RoutingSettings) -> bool:
     known = [h.latency_s for h in state.runners.values() if h.samples]
-    if health.samples < _SLOW_SAMPLES or len(known) < 3:
+    if health.samples < _MIN_SLOW_SAMPLES or len(known) < 3:
         return False
-    limit = max(_SLOW_FLOOR_S, settings.slow_factor * median(known))
+    limit = max(_MIN_SLOW_LATENCY_S, settings.slow_factor * median(known))
     return health.latency_s > limit
 
 
-def _set_aside(
-    health: _Health, why: str, settings: RoutingSettings, now: float
-) -> None:
-    if health.is_aside and now < health.aside_until:
+def _eject(health: _Health, why: str, settings: RoutingSettings, now: float) -> None:
+    if health.is_ejected and now < health.ejected_until:
         return
-    health.aside_s = min(
-        settings.aside_max_s, max(settings.aside_s, 2.0 * health.aside_s)
+    health.ejection_s = min(
+        settings.ejection_max_s, max(settings.ejection_s, 2.0 * health.ejection_s)
     )
-    health.aside_until = now + health.aside_s
-    health.is_aside = True
-    health.why = why
+    health.ejected_until = now + health.ejection_s
+    health.is_ejected = True
+    health.reason = why
 
 
 def _is_leaving(state: HealthState, runner_id: str) -> bool:
     health = state.runners.get(runner_id)
-    return health is not None and bool(health.leaving)
+    return health is not None and bool(health.leaving_source)
 
 
-def _is_aside(state: HealthState, runner_id: str) -> bool:
+def _is_ejected(state: HealthState, runner_id: str) -> bool:
     health = state.runners.get(runner_id)
-    return health is not None and health.is_aside
+    return health is not None and health.is_ejected
 
 
 def _is_due(state: HealthState, runner_id: str, now: float) -> bool:
     health = state.runners.get(runner_id)
-    if health is None or not health.is_aside or health.probing:
+    if health is None or not health.is_ejected or health.probe_in_flight:
         return False
-    return now >= health.aside_until
+    return now >= health.ejected_until
--- a/plantainyard/routing/lender.py
+++ b/plantainyard/routing/lender.py
@@ -16,13 +16,13 @@
 from plantainyard.routing.events import Tick
 from plantainyard.routing.loans import (
     LentRunner,
+    accepts_requests,
     add_loan,
+    apply_report,
     count_lendable,
-    count_others,
+    count_lent_to_others,
     expire_loans,
-    is_open,
-    stretch_span,
-    take_report,
+    extend_for_drift,
 )
 from plantainyard.routing.shares import share_slots, spread_share
 from plantainyard.routing.values import RoutingSettings
@@ -34,7 +34,7 @@
     "LenderEvent",
     "LenderState",
     "LenderStep",
-    "RunnerGone",
+    "RunnerTerminated",
     "RunnerLeaving",
     "RunnerUp",
     "build_fixed_lender",
@@ -82,7 +82,7 @@
     runner_id: str
 
 
-class RunnerGone(NamedTuple):
+class RunnerTerminated(NamedTuple):
     """A runner has ended for certain."""
 
     runner_id: str
@@ -95,7 +95,7 @@
     | AuthorityLost
     | RunnerUp
     | RunnerLeaving
-    | RunnerGone
+    | RunnerTerminated
     | Tick
 )
 
@@ -112,12 +112,12 @@
     def __init__(self, rack: str) -> None:
         self.rack = rack
         self.term = ""
-        self.terms = 0
+        self.term_count = 0
         self.authority_until = float("-inf")
         self.authority_since = float("-inf")
         self.runners: dict[str, LentRunner] = {}
         self.sequences: dict[str, int] = {}
-        self.heard: dict[str, float] = {}
+        self.last_ask_times: dict[str, float] = {}
         self.demands: dict[str, dict[str, int]] = {}
 
 
@@ -202,8 +202,8 @@
                 _add_runner(state, runner, fresh, settings)
             case RunnerLeaving(runner_id) if runner_id in state.runners:
                 state.runners[runner_id].leaving = True
-            case RunnerGone(runner_id) if runner_id in state.runners:
-                state.runners[runner_id].gone = True
+            case RunnerTerminated(runner_id) if runner_id in state.runners:
+                state.runners[runner_id].terminated = True
         return []
 
     return step
@@ -217,14 +217,14 @@
     now: float,
 ) -> None:
     """Forget what an earlier term knew: another owner may have lent since."""
-    state.terms += 1
-    state.term = f"{epoch}.{state.terms}"
+    state.term_count += 1
+    state.term = f"{epoch}.{state.term_count}"
     state.authority_since = now
     state.authority_until = until
     state.sequences.clear()
-    state.heard.clear()
+    state.last_ask_times.clear()
     state.demands.clear()
-    infos = [(r.info, r.leaving) for r in state.runners.values() if not r.gone]
+    infos = [(r.info, r.leaving) for r in state.runners.values() if not r.terminated]
     state.runners.clear()
     for info, leaving in infos:
         _add_runner(state, info, False, settings)
@@ -236,12 +236,12 @@
 ) -> None:
     if info.id in state.runners:
         state.runners[info.id].info = info
-        state.runners[info.id].gone = False
+        state.runners[info.id].terminated = False
         return
     # A former owner may have lent slots to a gateway that has not spoken yet: lending
     # them again overfills the runner. Its last lease was asked for before this
     # authority began, so after one lease and one longest request nothing is left of it.
-    hold = stretch_span(settings, settings.credit_s + settings.request_max_s)
+    hold = extend_for_drift(settings, settings.credit_s + settings.request_max_s)
     until = float("-inf") if fresh else state.authority_since + hold
     state.runners[info.id] = LentRunner(info, until)
 
@@ -250,16 +250,20 @@
     for runner in state.runners.values():
         expire_loans(runner, settings, now)
     # A runner called gone by mistake comes back with its loans, which still count.
-    for key in [k for k, r in state.runners.items() if r.gone and not r.loans]:
+    for key in [k for k, r in state.runners.items() if r.terminated and not r.loans]:
         del state.runners[key]
-    quiet = stretch_span(settings, settings.credit_s)
-    for gateway in [g for g, heard in state.heard.items() if now > heard + quiet]:
+    quiet = extend_for_drift(settings, settings.credit_s)
+    for gateway in [
+        g for g, heard in state.last_ask_times.items() if now > heard + quiet
+    ]:
         state.demands.pop(gateway, None)
     # A sequence is forgotten only when nothing of its gateway can be running: an ask
     # that overtook another could otherwise free slots that are in use.
-    gone = quiet + stretch_span(settings, settings.request_max_s)
-    for gateway in [g for g, heard in state.heard.items() if now > heard + gone]:
-        del state.heard[gateway]
+    terminated = quiet + extend_for_drift(settings, settings.request_max_s)
+    for gateway in [
+        g for g, heard in state.last_ask_times.items() if now > heard + terminated
+    ]:
+        del state.last_ask_times[gateway]
         state.sequences.pop(gateway, None)
 
 
@@ -282,19 +286,21 @@
     if ask.sequence <= state.sequences.get(ask.gateway, -1):
         return _refuse_ask(ask, "a newer ask was seen", state.term)
     state.sequences[ask.gateway] = ask.sequence
-    state.heard[ask.gateway] = now
+    state.last_ask_times[ask.gateway] = now
     state.demands[ask.gateway] = ask.demand
     if ask.closing:
         del state.demands[ask.gateway]
     for runner in state.runners.values():
-        take_report(runner, ask, now)
+        apply_report(runner, ask, now)
     grants = _grant_all(state, ask, settings, find_target, now)
     runners = tuple(
         runner.info
         for key, runner in state.runners.items()
-        if not runner.gone and key not in ask.holdings
+        if not runner.terminated and key not in ask.holdings
+    )
+    leaving = tuple(
+        key for key, r in state.runners.items() if r.leaving and not r.terminated
     )
-    leaving = tuple(key for key, r in state.runners.items() if r.leaving and not r.gone)
     return CreditAnswer(
         ask.gateway,
         ask.rack,
@@ -338,19 +344,21 @@
     runners = {
         key: runner
         for key, runner in state.runners.items()
-        if runner.info.service == service and is_open(runner)
+        if runner.info.service == service and accepts_requests(runner)
     }
     held = {key: ask.holdings[key] for key in runners if key in ask.holdings}
-    most = {
-        key: max(0, count_lendable(runner, now) - count_others(runner, ask.gateway))
+    max_slots = {
+        key: max(
+            0, count_lendable(runner, now) - count_lent_to_others(runner, ask.gateway)
+        )
         for key, runner in runners.items()
     }
-    return spread_share(target, held, most)
+    return spread_share(target, held, max_slots)
 
 
 def _count_slots(state: LenderState, service: str) -> int:
     return sum(
         runner.info.slots
         for runner in state.runners.values()
-        if runner.info.service == service and is_open(runner)
+        if runner.info.service == service and accepts_requests(runner)
     )
--- a/plantainyard/routing/lifecycle.py
+++ b/plantainyard/routing/lifecycle.py
@@ -5,32 +5,35 @@
 from plantainyard.protocol.constants import MAX_HOPS
 from plantainyard.routing import events
 from plantainyard.routing.arbitration import admit_id
-from plantainyard.routing.choices import choose_peer
 from plantainyard.routing.credits import release_slot
 from plantainyard.routing.events import Action, Answer, Peer
-from plantainyard.routing.flights import (
-    Flight,
-    GatewayState,
-    finish_request,
-    note_decision,
-)
 from plantainyard.routing.health import mark_leaving, record_result
 from plantainyard.routing.outcomes import FinalAnswer, Outcome, Reason
 from plantainyard.routing.queue import (
-    GivenUp,
+    Rejection,
     expire_requests,
-    measure_service,
     push_request,
+    record_service_time,
+)
+from plantainyard.routing.retries import SendResult, decide_retry
+from plantainyard.routing.selection import choose_peer
+from plantainyard.routing.state import (
+    GatewayState,
+    PendingRequest,
+    finish_request,
+    record_decision,
 )
-from plantainyard.routing.retries import SendResult, judge_retry
 from plantainyard.routing.values import Request
 
-__all__ = ["accept_request", "end_attempt", "end_forward", "expire_flights"]
+__all__ = ["accept_request", "end_attempt", "end_forward", "expire_pending"]
 
-_LEAST_RETRY_S = 0.1
-_LEAST_SPARE_S = 0.05
-_SPARE_SHARE = 0.1
-_DOUBTS = {SendResult.LOST: Outcome.UNKNOWN, SendResult.FAILED: Outcome.FAILED}
+_MIN_RETRY_AFTER_S = 0.1
+_MIN_FORWARD_MARGIN_S = 0.05
+_FORWARD_MARGIN_SHARE = 0.1
+_EARLIER_OUTCOMES = {
+    SendResult.LOST: Outcome.UNKNOWN,
+    SendResult.FAILED: Outcome.FAILED,
+}
 
 
 def accept_request(
@@ -38,15 +41,15 @@
 ) -> list[Action]:
     """Take a request in: have its id judged where that is needed, then queue it."""
     if state.drained:
-        answer = FinalAnswer(Outcome.REFUSED, Reason.DRAINING, _LEAST_RETRY_S)
+        answer = FinalAnswer(Outcome.REFUSED, Reason.DRAINING, _MIN_RETRY_AFTER_S)
         return [Answer(request.key, answer)]
-    state.flights[request.key] = Flight(request)
-    if request.idempotent or request.judged:
+    state.pending[request.key] = PendingRequest(request)
+    if request.idempotent or request.admitted:
         return _enqueue(state, request, now)
     admission = admit_id(
         state.arbitration, state.owners, request, state.settings, wall_s, now
     )
-    note_decision(state, request, f"id: {admission.reason}", now)
+    record_decision(state, request, f"id: {admission.reason}", now)
     if admission.answer is not None:
         return finish_request(state, request.key, admission.answer)
     if admission.joined:
@@ -73,17 +76,17 @@
 def _forward(
     state: GatewayState, request: Request, peer: Peer, now: float
 ) -> list[Action]:
-    flight = state.flights[request.key]
-    flight.peer = peer.instance
-    flight.tried |= {peer.instance}
+    pending = state.pending[request.key]
+    pending.peer = peer.instance
+    pending.tried_peers |= {peer.instance}
     state.forwarding += 1
-    if peer.region != state.place.region:
+    if peer.region != state.location.region:
         state.link.tokens -= request.size_bytes
-    note_decision(state, request, f"forward to {peer.instance}", now)
+    record_decision(state, request, f"forward to {peer.instance}", now)
     left_s = request.deadline - now
     # The peer gives up at the deadline that it is told. If that were the end of the
     # waiting here too, its "not run" would come too late and be told as "unknown".
-    spare_s = max(_LEAST_SPARE_S, _SPARE_SHARE * left_s)
+    spare_s = max(_MIN_FORWARD_MARGIN_S, _FORWARD_MARGIN_SHARE * left_s)
     deadline = request.deadline - spare_s
     sent = request._replace(hops=request.hops + 1, deadline=deadline)
     return [events.Forward(request.key, sent, peer, left_s)]
@@ -95,20 +98,24 @@
         actions = _try_forward(state, request, now)
         if actions:
             return actions
-        if not _is_served(state, request.service):
+        if not _may_have_runner(state, request.service):
             reason, wait_s = Reason.NO_RUNNERS, state.settings.credit_s
             answer = FinalAnswer(Outcome.REFUSED, reason, wait_s)
             return finish_request(state, request.key, answer)
-    given_up = push_request(state.queue, request, state.settings, now)
-    return list(chain.from_iterable(_pass_on(state, item, now) for item in given_up))
+    rejected = push_request(state.queue, request, state.settings, now)
+    return list(
+        chain.from_iterable(_forward_or_reject(state, item, now) for item in rejected)
+    )
 
 
-def _pass_on(state: GatewayState, item: GivenUp, now: float) -> list[Action]:
+def _forward_or_reject(
+    state: GatewayState, item: Rejection, now: float
+) -> list[Action]:
     """Send what can't run here to the nearest peer with room, or refuse it."""
     actions = _try_forward(state, item.request, now)
     if actions:
         return actions
-    note_decision(state, item.request, f"given up: {item.reason}", now)
+    record_decision(state, item.request, f"given up: {item.reason}", now)
     answer = FinalAnswer(Outcome.REFUSED, item.reason, item.retry_after_s)
     return finish_request(state, item.request.key, answer)
 
@@ -116,25 +123,25 @@
 def _has_credits(state: GatewayState, service: str, now: float) -> bool:
     return any(
         held.limit > 0 and now < held.valid_until
-        for held in state.credits.held.values()
+        for held in state.credits.runners.values()
         if held.info.service == service
     )
 
 
-def _is_served(state: GatewayState, service: str) -> bool:
+def _may_have_runner(state: GatewayState, service: str) -> bool:
     """Tell whether a runner of the service may exist, as far as is known here."""
-    if any(held.info.service == service for held in state.credits.held.values()):
+    if any(held.info.service == service for held in state.credits.runners.values()):
         return True
     near = {o.region for o in state.owners.values() if o.instance}
     # Before the first word of an owner nothing is known of its runners.
-    return state.place.region in near and not state.credits.terms
+    return state.location.region in near and not state.credits.terms
 
 
 def _try_forward(state: GatewayState, request: Request, now: float) -> list[Action]:
     """Forward to the nearest peer with room; return nothing where there is none."""
-    flight = state.flights[request.key]
+    pending = state.pending[request.key]
     peer = choose_peer(
-        state.place, state.peers.values(), request, state.link, flight.tried
+        state.location, state.peers.values(), request, state.link, pending.tried_peers
     )
     if (
         peer is None
@@ -144,20 +151,23 @@
         return []
     # Until the peer's next word the room is counted down here: else every request
     # of that time would go to the one peer that looked emptiest.
-    room = {**peer.room, request.service: peer.room[request.service] - 1}
-    state.peers[peer.instance] = peer._replace(room=room)
-    judged = request._replace(judged=not request.idempotent)
-    return _forward(state, judged, peer, now)
+    free_credits = {
+        **peer.free_credits,
+        request.service: peer.free_credits[request.service] - 1,
+    }
+    state.peers[peer.instance] = peer._replace(free_credits=free_credits)
+    admitted = request._replace(admitted=not request.idempotent)
+    return _forward(state, admitted, peer, now)
 
 
 def end_attempt(
     state: GatewayState, event: events.AttemptEnded, now: float
 ) -> list[Action]:
     """Take the end of a sending: answer the caller, or send again."""
-    flight = state.flights.get(event.key)
-    if flight is None or not flight.runner_id:
+    pending = state.pending.get(event.key)
+    if pending is None or not pending.runner_id:
         return []
-    runner_id, flight.runner_id = flight.runner_id, ""
+    runner_id, pending.runner_id = pending.runner_id, ""
     ended = event.result != SendResult.LOST
     release_slot(state.credits, runner_id, event.key, ended, state.settings, now)
     record_result(
@@ -166,32 +176,34 @@
     if event.leaving:
         mark_leaving(state.health, runner_id, "its own word")
     if event.result == SendResult.ANSWERED:
-        measure_service(state.queue, event.latency_s)
+        record_service_time(state.queue, event.latency_s)
         answer = FinalAnswer(Outcome.DONE, response=event.response)
         return finish_request(state, event.key, answer)
     if event.result != SendResult.NOT_SENT:
-        flight.failed_at |= {runner_id}
-    flight.doubt = _DOUBTS.get(event.result, flight.doubt)
-    return _retry(state, flight, event, now)
+        pending.failed_runners |= {runner_id}
+    pending.earlier_outcome = _EARLIER_OUTCOMES.get(
+        event.result, pending.earlier_outcome
+    )
+    return _retry(state, pending, event, now)
 
 
 def _retry(
-    state: GatewayState, flight: Flight, event: events.AttemptEnded, now: float
+    state: GatewayState, pending: PendingRequest, event: events.AttemptEnded, now: float
 ) -> list[Action]:
-    request = flight.request
-    verdict = judge_retry(
+    request = pending.request
+    verdict = decide_retry(
         state.budget,
         request,
         event.result,
-        flight.attempts,
-        state.queue.service_s,
+        pending.attempts,
+        state.queue.service_time_s,
         state.settings,
         now,
     )
-    note_decision(state, request, f"{event.result}: again={verdict.again}", now)
-    if verdict.again:
+    record_decision(state, request, f"{event.result}: again={verdict.retry}", now)
+    if verdict.retry:
         return _enqueue(state, request, now)
-    wait = max(_LEAST_RETRY_S, event.retry_after_s, state.queue.service_s)
+    wait = max(_MIN_RETRY_AFTER_S, event.retry_after_s, state.queue.service_time_s)
     retry_after_s = 0.0 if verdict.outcome == Outcome.FAILED else wait
     answer = FinalAnswer(verdict.outcome, verdict.reason, retry_after_s, event.response)
     return finish_request(state, request.key, answer)
@@ -201,28 +213,34 @@
     state: GatewayState, event: events.ForwardEnded, now: float
 ) -> list[Action]:
     """Take the end of a forward: hand the peer's answer on, or go another way."""
-    flight = state.flights.get(event.key)
-    if flight is None or not flight.peer:
+    pending = state.pending.get(event.key)
+    if pending is None or not pending.peer:
         return []
-    peer, flight.peer = flight.peer, ""
+    peer, pending.peer = pending.peer, ""
     state.forwarding -= 1
     if event.answer is not None:
-        _correct_room(state, peer, flight.request.service, event.answer.outcome)
+        _update_free_credits(state, peer, pending.request.service, event.answer.outcome)
         return finish_request(state, event.key, event.answer)
     state.peers.pop(peer, None)
-    request = flight.request
-    unjudged = not request.idempotent and not _is_judged_here(state, request)
+    request = pending.request
+    unjudged = not request.idempotent and not _is_admitted(state, request)
     if unjudged:
-        reason = Reason.LOST if event.result == SendResult.LOST else Reason.NO_ARBITER
+        reason = (
+            Reason.ANSWER_LOST if event.result == SendResult.LOST else Reason.NO_ARBITER
+        )
         answer = FinalAnswer(Outcome.UNKNOWN, reason, state.settings.credit_s)
         return finish_request(state, event.key, answer)
-    flight.attempts += 1
-    flight.doubt = _DOUBTS.get(event.result, flight.doubt)
+    pending.attempts += 1
+    pending.earlier_outcome = _EARLIER_OUTCOMES.get(
+        event.result, pending.earlier_outcome
+    )
     ended = events.AttemptEnded(event.key, event.result)
-    return _retry(state, flight, ended, now)
+    return _retry(state, pending, ended, now)
 
 
-def _correct_room(state: GatewayState, peer: str, service: str, outcome: str) -> None:
+def _update_free_credits(
+    state: GatewayState, peer: str, service: str, outcome: str
+) -> None:
     """Count a peer's room up or out by the way in which a forward ended.
 
     Notes
@@ -234,24 +252,28 @@
     known = state.peers.get(peer)
     if known is None:
         return
-    room = 0 if outcome == Outcome.REFUSED else known.room.get(service, 0) + 1
-    state.peers[peer] = known._replace(room={**known.room, service: room})
+    free_credits = (
+        0 if outcome == Outcome.REFUSED else known.free_credits.get(service, 0) + 1
+    )
+    state.peers[peer] = known._replace(
+        free_credits={**known.free_credits, service: free_credits}
+    )
 
 
-def _is_judged_here(state: GatewayState, request: Request) -> bool:
-    return request.judged or request.key in state.arbitration.running
+def _is_admitted(state: GatewayState, request: Request) -> bool:
+    return request.admitted or request.key in state.arbitration.running_racks
 
 
-def expire_flights(state: GatewayState, now: float) -> list[Action]:
+def expire_pending(state: GatewayState, now: float) -> list[Action]:
     """Give up what can't be in time any more."""
-    given_up = expire_requests(state.queue, now)
-    actions = [_pass_on(state, item, now) for item in given_up]
+    rejected = expire_requests(state.queue, now)
+    actions = [_forward_or_reject(state, item, now) for item in rejected]
     late = [
         key
-        for key in state.arbitration.select_joined()
-        if now >= state.flights[key].request.deadline
+        for key in state.arbitration.list_joined()
+        if now >= state.pending[key].request.deadline
     ]
-    answer = FinalAnswer(Outcome.UNKNOWN, Reason.LOST, _LEAST_RETRY_S)
+    answer = FinalAnswer(Outcome.UNKNOWN, Reason.ANSWER_LOST, _MIN_RETRY_AFTER_S)
     for key in late:
         state.arbitration.leave(key)
         actions.append(finish_request(state, key, answer))
--- a/plantainyard/routing/loans.py
+++ b/plantainyard/routing/loans.py
@@ -17,11 +17,11 @@
     "Loan",
     "add_loan",
     "count_lendable",
-    "count_others",
+    "count_lent_to_others",
     "expire_loans",
-    "is_open",
-    "stretch_span",
-    "take_report",
+    "accepts_requests",
+    "extend_for_drift",
+    "apply_report",
 ]
 
 
@@ -38,10 +38,10 @@
     def __init__(self, info: RunnerInfo, withhold_until: float) -> None:
         self.info = info
         self.leaving = False
-        self.gone = False
+        self.terminated = False
         self.withhold_until = withhold_until
-        self.adopted = 0
-        self.heard: set[str] = set()
+        self.reported_slots = 0
+        self.reporting_gateways: set[str] = set()
         self.loans: dict[str, Loan] = {}
 
 
@@ -49,22 +49,22 @@
     """Drop the loans under which nothing can be running any more."""
     # A silent gateway may be paused or cut off and still have requests running: its
     # slots are free only after its lease and the longest request started under it.
-    hold = stretch_span(settings, settings.request_max_s)
+    hold = extend_for_drift(settings, settings.request_max_s)
     over = [g for g, loan in runner.loans.items() if now > loan.lease_end + hold]
     for gateway in over:
         del runner.loans[gateway]
 
 
-def take_report(runner: LentRunner, ask: CreditAsk, now: float) -> None:
+def apply_report(runner: LentRunner, ask: CreditAsk, now: float) -> None:
     """Set the gateway's loan to what its report shows, the lease unchanged."""
     held = ask.holdings.get(runner.info.id, Holding(0, 0))
     count = max(held.limit, held.in_flight)
     known = runner.loans.get(ask.gateway)
-    if now < runner.withhold_until and ask.gateway not in runner.heard:
-        runner.heard.add(ask.gateway)
+    if now < runner.withhold_until and ask.gateway not in runner.reporting_gateways:
+        runner.reporting_gateways.add(ask.gateway)
         # First word of a gateway since the owner changed: what it holds, the former
         # owner lent, so it is within the slots and need not be withheld any longer.
-        runner.adopted += count
+        runner.reported_slots += count
     if count == 0:
         runner.loans.pop(ask.gateway, None)
         return
@@ -82,26 +82,26 @@
     # be sending under the one before: the answer may be late or lost.
     slots = max(limit, known.slots if known else 0)
     if slots:
-        lease_end = now + stretch_span(settings, settings.credit_s)
+        lease_end = now + extend_for_drift(settings, settings.credit_s)
         runner.loans[gateway] = Loan(slots, lease_end)
 
 
-def stretch_span(settings: RoutingSettings, span: float) -> float:
+def extend_for_drift(settings: RoutingSettings, span: float) -> float:
     """Return how long `span` of a slow clock can last on this one."""
     return span * (1 + 2 * settings.drift)
 
 
-def is_open(runner: LentRunner) -> bool:
+def accepts_requests(runner: LentRunner) -> bool:
     """Tell whether the runner takes new requests."""
-    return not runner.leaving and not runner.gone
+    return not runner.leaving and not runner.terminated
 
 
 def count_lendable(runner: LentRunner, now: float) -> int:
     """Return the slots that can be lent in all."""
     slots = runner.info.slots
-    return min(slots, runner.adopted) if now < runner.withhold_until else slots
+    return min(slots, runner.reported_slots) if now < runner.withhold_until else slots
 
 
-def count_others(runner: LentRunner, gateway: str) -> int:
+def count_lent_to_others(runner: LentRunner, gateway: str) -> int:
     """Return the slots that other gateways than `gateway` can be using."""
     return sum(loan.slots for g, loan in runner.loans.items() if g != gateway)
--- a/plantainyard/routing/outcomes.py
+++ b/plantainyard/routing/outcomes.py
@@ -53,13 +53,13 @@
     MALFORMED = "malformed request"
     NO_RUNNERS = "no runner of the service is reachable"
     DRAINING = "instance is stopping"
-    BUDGET = "retry budget is used up"
-    LOST = "answer was lost"
-    HISTORY = "request id is older than the history of ids"
-    AHEAD = "request id was issued ahead of the clock"
+    RETRY_BUDGET = "retry budget is used up"
+    ANSWER_LOST = "answer was lost"
+    ID_EXPIRED = "request id is older than the history of ids"
+    ID_AHEAD = "request id was issued ahead of the clock"
     NO_ARBITER = "arbiter of the request id can't be reached"
-    REUSED = "request id was used for another request"
-    RAN = "runner reported a failure"
+    ID_REUSED = "request id was used for another request"
+    RUN_FAILED = "runner reported a failure"
 
 
 _STATUS = {
@@ -69,7 +69,7 @@
     Outcome.UNKNOWN: 504,
 }
 _TOO_MANY = frozenset({Reason.QUEUE_FULL, Reason.SHED, Reason.QUOTA})
-_BAD_REQUEST = frozenset({Reason.MALFORMED, Reason.REUSED})
+_BAD_REQUEST = frozenset({Reason.MALFORMED, Reason.ID_REUSED})
 
 
 class Response(NamedTuple):
--- a/plantainyard/routing/queue.py
+++ b/plantainyard/routing/queue.py
@@ -21,24 +21,24 @@
 from plantainyard.routing.values import Request, RoutingSettings
 
 __all__ = [
-    "GivenUp",
+    "Rejection",
     "QueueState",
     "drop_request",
     "estimate_wait",
     "expire_requests",
-    "measure_service",
+    "record_service_time",
     "pop_request",
     "push_request",
     "select_waiting",
 ]
 
 _SMOOTHING = 0.1
-_FIRST_SERVICE_S = 0.02
+_INITIAL_SERVICE_TIME_S = 0.02
 _SLOW_DEVIATIONS = 4.0
-_LEAST_RETRY_S = 0.1
+_MIN_RETRY_AFTER_S = 0.1
 
 
-class GivenUp(NamedTuple):
+class Rejection(NamedTuple):
     """A request that leaves the queue without having been sent."""
 
     request: Request
@@ -46,13 +46,13 @@
     retry_after_s: float
 
 
-class _Lane:
+class _ClassQueue:
     """The waiting requests of one class: a first-in-first-out line for each team."""
 
     def __init__(self) -> None:
-        self.lines: dict[str, deque[Request]] = {}
+        self.team_queues: dict[str, deque[Request]] = {}
         self.passes: dict[str, float] = {}
-        self.floor = 0.0
+        self.global_pass = 0.0
 
 
 class QueueState:
@@ -66,20 +66,20 @@
 
     def __init__(self, weights: Mapping[str, float] | None = None) -> None:
         self.weights = dict(weights or {})
-        self.urgent = _Lane()
-        self.ordinary = _Lane()
-        self.ordinary_debt = 0.0
+        self.urgent = _ClassQueue()
+        self.ordinary = _ClassQueue()
+        self.ordinary_deficit = 0.0
         self.count = 0
         self.size_bytes = 0
-        self.service_s = _FIRST_SERVICE_S
+        self.service_time_s = _INITIAL_SERVICE_TIME_S
         self.deviation_s = 0.0
-        self.latest_starts: dict[str, float] = {}
+        self.latest_send_times: dict[str, float] = {}
         self.slots = 1
 
 
 def push_request(
     state: QueueState, request: Request, settings: RoutingSettings, now: float
-) -> list[GivenUp]:
+) -> list[Rejection]:
     """Queue `request`; return whatever is given up for it, itself perhaps.
 
     Notes
@@ -91,21 +91,21 @@
     ever correct it.
     """
     wait = estimate_wait(state, request.urgent)
-    slow_s = state.service_s + _SLOW_DEVIATIONS * state.deviation_s
+    slow_s = state.service_time_s + _SLOW_DEVIATIONS * state.deviation_s
     latest = request.deadline - min(slow_s, (request.deadline - now) / 2)
     if now + wait > latest or now >= request.deadline:
-        return [_give_up(state, request, Reason.DEADLINE)]
+        return [_reject(state, request, Reason.DEADLINE)]
     if request.size_bytes > settings.queue_bytes:
-        return [_give_up(state, request, Reason.QUEUE_FULL)]
-    shed: list[GivenUp] = []
-    while not _has_room(state, request, settings):
-        victim = _pick_victim(state, request, settings)
+        return [_reject(state, request, Reason.QUEUE_FULL)]
+    shed: list[Rejection] = []
+    while not _fits(state, request, settings):
+        victim = _choose_shed(state, request, settings)
         if victim is None:
-            return [*shed, _give_up(state, request, Reason.QUEUE_FULL)]
+            return [*shed, _reject(state, request, Reason.QUEUE_FULL)]
         drop_request(state, victim)
-        shed.append(_give_up(state, victim, Reason.SHED))
+        shed.append(_reject(state, victim, Reason.SHED))
     _append(state, request)
-    state.latest_starts[request.key] = latest
+    state.latest_send_times[request.key] = latest
     return shed
 
 
@@ -126,23 +126,23 @@
     urgent = _pick_team(state.urgent, can_send)
     ordinary = _pick_team(state.ordinary, can_send)
     if urgent is not None and ordinary is not None:
-        state.ordinary_debt += settings.ordinary_share
-        take_ordinary = state.ordinary_debt >= 1.0
-        state.ordinary_debt -= 1.0 if take_ordinary else 0.0
+        state.ordinary_deficit += settings.ordinary_share
+        take_ordinary = state.ordinary_deficit >= 1.0
+        state.ordinary_deficit -= 1.0 if take_ordinary else 0.0
     else:
         take_ordinary = ordinary is not None
     team = ordinary if take_ordinary else urgent
     if team is None:
         return None
-    lane = state.ordinary if take_ordinary else state.urgent
-    request = next(r for r in lane.lines[team] if can_send(r))
+    queue = state.ordinary if take_ordinary else state.urgent
+    request = next(r for r in queue.team_queues[team] if can_send(r))
     drop_request(state, request)
-    lane.floor = max(lane.floor, lane.passes.get(team, 0.0))
-    lane.passes[team] = lane.floor + 1.0 / state.weights.get(team, 1.0)
+    queue.global_pass = max(queue.global_pass, queue.passes.get(team, 0.0))
+    queue.passes[team] = queue.global_pass + 1.0 / state.weights.get(team, 1.0)
     return request
 
 
-def expire_requests(state: QueueState, now: float) -> list[GivenUp]:
+def expire_requests(state: QueueState, now: float) -> list[Rejection]:
     """Take out the requests whose deadline can't be met any more.
 
     Notes
@@ -150,86 +150,90 @@
     What is sent too late runs in vain: its caller has gone when the answer comes, and
     its slot is lost until the longest request has ended.
     """
-    starts = state.latest_starts
+    starts = state.latest_send_times
     late = [r for r in select_waiting(state) if now > starts[r.key]]
     for request in late:
         drop_request(state, request)
-    return [_give_up(state, request, Reason.DEADLINE) for request in late]
+    return [_reject(state, request, Reason.DEADLINE) for request in late]
 
 
 def drop_request(state: QueueState, request: Request) -> None:
     """Take `request` out of the queue."""
-    lane = state.urgent if request.urgent else state.ordinary
-    line = lane.lines[request.team]
-    line.remove(request)
-    del state.latest_starts[request.key]
+    queue = state.urgent if request.urgent else state.ordinary
+    team_queue = queue.team_queues[request.team]
+    team_queue.remove(request)
+    del state.latest_send_times[request.key]
     state.count -= 1
     state.size_bytes -= request.size_bytes
-    if not line:
-        del lane.lines[request.team]
+    if not team_queue:
+        del queue.team_queues[request.team]
     # A team that is away keeps its pass only while that is ahead of the others; the
     # memory of teams is bounded by those that were served a short time ago.
-    for team in [t for t, p in lane.passes.items() if p <= lane.floor]:
-        if team not in lane.lines:
-            del lane.passes[team]
+    for team in [t for t, p in queue.passes.items() if p <= queue.global_pass]:
+        if team not in queue.team_queues:
+            del queue.passes[team]
 
 
 def estimate_wait(state: QueueState, urgent: bool) -> float:
     """Return the expected seconds until a request pushed now is sent."""
-    ahead = _count_lane(state.urgent)
+    ahead = _count_waiting(state.urgent)
     if not urgent:
-        ahead += _count_lane(state.ordinary)
-    return ahead * state.service_s / max(1, state.slots)
+        ahead += _count_waiting(state.ordinary)
+    return ahead * state.service_time_s / max(1, state.slots)
 
 
-def measure_service(state: QueueState, service_s: float) -> None:
+def record_service_time(state: QueueState, service_time_s: float) -> None:
     """Take the duration of a sending into the estimate.
 
     References
     ----------
     RFC 6298, section 2, has the same estimate for round trips.
     """
-    error = service_s - state.service_s
-    state.service_s += _SMOOTHING * error
+    error = service_time_s - state.service_time_s
+    state.service_time_s += _SMOOTHING * error
     state.deviation_s += _SMOOTHING * (abs(error) - state.deviation_s)
 
 
 def select_waiting(state: QueueState) -> Iterable[Request]:
     """Return the waiting requests, urgent ones first."""
-    lines = chain(state.urgent.lines.values(), state.ordinary.lines.values())
-    return list(chain.from_iterable(lines))
+    team_queues = chain(
+        state.urgent.team_queues.values(), state.ordinary.team_queues.values()
+    )
+    return list(chain.from_iterable(team_queues))
 
 
-def _give_up(state: QueueState, request: Request, reason: str) -> GivenUp:
-    wait = estimate_wait(state, request.urgent) + state.service_s
-    return GivenUp(request, reason, max(_LEAST_RETRY_S, wait))
+def _reject(state: QueueState, request: Request, reason: str) -> Rejection:
+    wait = estimate_wait(state, request.urgent) + state.service_time_s
+    return Rejection(request, reason, max(_MIN_RETRY_AFTER_S, wait))
 
 
-def _has_room(state: QueueState, request: Request, settings: RoutingSettings) -> bool:
+def _fits(state: QueueState, request: Request, settings: RoutingSettings) -> bool:
     fits = state.size_bytes + request.size_bytes <= settings.queue_bytes
     return fits and state.count < settings.queue_count
 
 
 def _append(state: QueueState, request: Request) -> None:
-    lane = state.urgent if request.urgent else state.ordinary
-    if request.team not in lane.lines:
+    queue = state.urgent if request.urgent else state.ordinary
+    if request.team not in queue.team_queues:
         # Without the floor a team that was away would be owed all the turns since.
-        lane.passes[request.team] = max(lane.floor, lane.passes.get(request.team, 0.0))
-    lane.lines.setdefault(request.team, deque()).append(request)
+        queue.passes[request.team] = max(
+            queue.global_pass, queue.passes.get(request.team, 0.0)
+        )
+    queue.team_queues.setdefault(request.team, deque()).append(request)
     state.count += 1
     state.size_bytes += request.size_bytes
 
 
-def _pick_team(lane: _Lane, can_send: Callable[[Request], object]) -> str | None:
+def _pick_team(queue: _ClassQueue, can_send: Callable[[Request], object]) -> str | None:
     teams = (
         team
-        for team, line in lane.lines.items()
-        if any(can_send(request) for request in line)
+        for team, team_queue in queue.team_queues.items()
+        if any(can_send(request) for request in team_queue)
     )
-    return min(teams, key=lambda team: (lane.passes[team], team), default=None)
+    return min(teams, key=lambda team: (queue.passes[team], team), default=None)
 
 
-def _pick_victim(
+def _choose_shed(
     state: QueueState, request: Request, settings: RoutingSettings
 ) -> Request | None:
     """Return the request to shed for `request`, or None where there is none.
@@ -241,27 +245,34 @@
     # Without a part of its own in the queue, ordinary work would be shed for urgent
     # work before its turn comes, and starve whatever its share of the slots is.
     part = max(1, int(settings.ordinary_share * settings.queue_count))
-    ordinary = _count_lane(state.ordinary)
+    ordinary = _count_waiting(state.ordinary)
     if request.urgent and ordinary > part:
-        return state.ordinary.lines[_find_heaviest(state, state.ordinary)][-1]
-    if not request.urgent and ordinary < part and state.urgent.lines:
-        return state.urgent.lines[_find_heaviest(state, state.urgent)][-1]
-    lane = state.urgent if request.urgent else state.ordinary
-    if not lane.lines:
+        return state.ordinary.team_queues[_find_heaviest_team(state, state.ordinary)][
+            -1
+        ]
+    if not request.urgent and ordinary < part and state.urgent.team_queues:
+        return state.urgent.team_queues[_find_heaviest_team(state, state.urgent)][-1]
+    queue = state.urgent if request.urgent else state.ordinary
+    if not queue.team_queues:
         return None
-    heaviest = _find_heaviest(state, lane)
-    own = (len(lane.lines.get(request.team, ())) + 1) / _weigh(state, request.team)
-    load = len(lane.lines[heaviest]) / _weigh(state, heaviest)
-    return lane.lines[heaviest][-1] if load > own else None
+    heaviest = _find_heaviest_team(state, queue)
+    own = (len(queue.team_queues.get(request.team, ())) + 1) / _get_weight(
+        state, request.team
+    )
+    load = len(queue.team_queues[heaviest]) / _get_weight(state, heaviest)
+    return queue.team_queues[heaviest][-1] if load > own else None
 
 
-def _find_heaviest(state: QueueState, lane: _Lane) -> str:
-    return max(lane.lines, key=lambda t: (len(lane.lines[t]) / _weigh(state, t), t))
+def _find_heaviest_team(state: QueueState, queue: _ClassQueue) -> str:
+    return max(
+        queue.team_queues,
+        key=lambda t: (len(queue.team_queues[t]) / _get_weight(state, t), t),
+    )
 
 
-def _weigh(state: QueueState, team: str) -> float:
+def _get_weight(state: QueueState, team: str) -> float:
     return state.weights.get(team, 1.0)
 
 
-def _count_lane(lane: _Lane) -> int:
-    return sum(len(line) for line in lane.lines.values())
+def _count_waiting(queue: _ClassQueue) -> int:
+    return sum(len(team_queue) for team_queue in queue.team_queues.values())
--- a/plantainyard/routing/retries.py
+++ b/plantainyard/routing/retries.py
@@ -14,10 +14,10 @@
 
 __all__ = [
     "RetryBudget",
-    "RetryVerdict",
+    "RetryDecision",
     "SendResult",
     "earn_retry",
-    "judge_retry",
+    "decide_retry",
 ]
 
 
@@ -58,10 +58,10 @@
         self.tokens = tokens
 
 
-class RetryVerdict(NamedTuple):
+class RetryDecision(NamedTuple):
     """Whether to send again, and the outcome if not."""
 
-    again: bool
+    retry: bool
     outcome: str = ""
     reason: str = ""
 
@@ -71,15 +71,15 @@
     budget.tokens = min(settings.retry_burst, budget.tokens + settings.retry_share)
 
 
-def judge_retry(
+def decide_retry(
     budget: RetryBudget,
     request: Request,
     result: str,
     attempts: int,
-    service_s: float,
+    service_time_s: float,
     settings: RoutingSettings,
     now: float,
-) -> RetryVerdict:
+) -> RetryDecision:
     """Decide what follows a sending that brought no answer.
 
     Parameters
@@ -109,20 +109,20 @@
     # twice. Only a sending that provably did not run is repeated.
     safe = request.idempotent or result in (SendResult.NOT_RUN, SendResult.NOT_SENT)
     if not safe or attempts >= settings.attempts_max:
-        return RetryVerdict(False, outcome, reason)
-    if now + service_s > request.deadline:
-        return RetryVerdict(False, outcome, reason or Reason.DEADLINE)
+        return RetryDecision(False, outcome, reason)
+    if now + service_time_s > request.deadline:
+        return RetryDecision(False, outcome, reason or Reason.DEADLINE)
     if result == SendResult.NOT_SENT:
-        return RetryVerdict(True)
+        return RetryDecision(True)
     if budget.tokens < 1.0:
-        return RetryVerdict(False, outcome, reason or Reason.BUDGET)
+        return RetryDecision(False, outcome, reason or Reason.RETRY_BUDGET)
     budget.tokens -= 1.0
-    return RetryVerdict(True)
+    return RetryDecision(True)
 
 
 def _conclude(result: str) -> tuple[str, str]:
     if result == SendResult.FAILED:
-        return Outcome.FAILED, Reason.RAN
+        return Outcome.FAILED, Reason.RUN_FAILED
     if result == SendResult.LOST:
-        return Outcome.UNKNOWN, Reason.LOST
+        return Outcome.UNKNOWN, Reason.ANSWER_LOST
     return Outcome.REFUSED, ""
--- a/plantainyard/routing/choices.py
+++ b/plantainyard/routing/selection.py
@@ -14,17 +14,17 @@
 __all__ = [
     "Candidates",
     "LinkBudget",
-    "Place",
+    "Location",
     "choose_peer",
     "choose_runner",
     "divide_demand",
-    "rank_distance",
+    "compute_distance",
     "rank_runners",
     "refill_link",
 ]
 
 
-class Place(NamedTuple):
+class Location(NamedTuple):
     """Where an instance stands."""
 
     instance: str
@@ -43,14 +43,14 @@
 
     def __init__(self, tokens: float) -> None:
         self.tokens = tokens
-        self.filled = float("-inf")
+        self.refilled_at = float("-inf")
 
 
-def rank_distance(place: Place, domain: str, region: str) -> int:
+def compute_distance(location: Location, domain: str, region: str) -> int:
     """Return 0 for the same failure domain, 1 for the same region, else 2."""
-    if domain == place.domain:
+    if domain == location.domain:
         return 0
-    return 1 if region == place.region else 2
+    return 1 if region == location.region else 2
 
 
 class Candidates(NamedTuple):
@@ -64,7 +64,7 @@
 
 
 def rank_runners(
-    place: Place,
+    location: Location,
     credits: CreditState,
     health: HealthState,
     service: str,
@@ -80,19 +80,23 @@
     of a kind that wait: with a call for each, a full queue in front of failing
     runners made one decision as long as a request.
     """
-    held = {key: h for key, h in credits.held.items() if h.info.service == service}
+    held = {key: h for key, h in credits.runners.items() if h.info.service == service}
     usable = select_usable(health, held, idempotent, settings, now)
-    room = {key: count_free(held[key], now) for key in usable}
+    free_credits = {key: count_free(held[key], now) for key in usable}
 
     def rank(key: str) -> tuple[int, int, str]:
         info = held[key].info
-        return rank_distance(place, info.domain, info.region), -room[key], key
+        return (
+            compute_distance(location, info.domain, info.region),
+            -free_credits[key],
+            key,
+        )
 
-    free = sorted((key for key in usable if room[key] > 0), key=rank)
+    free = sorted((key for key in usable if free_credits[key] > 0), key=rank)
     return Candidates(tuple(usable), tuple(free))
 
 
-def choose_runner(candidates: Candidates, failed_at: frozenset[str]) -> str | None:
+def choose_runner(candidates: Candidates, failed_runners: frozenset[str]) -> str | None:
     """Return the runner for a request, or None where no slot is free.
 
     Notes
@@ -101,18 +105,18 @@
     fail there again. Only where no other runner exists is the same one taken twice.
     """
     for key in candidates.free:
-        if key not in failed_at:
+        if key not in failed_runners:
             return key
-    others = any(key not in failed_at for key in candidates.usable)
+    others = any(key not in failed_runners for key in candidates.usable)
     return None if others or not candidates.free else candidates.free[0]
 
 
 def choose_peer(
-    place: Place,
+    location: Location,
     peers: Iterable[Peer],
     request: Request,
     link: LinkBudget,
-    tried: frozenset[str],
+    tried_peers: frozenset[str],
 ) -> Peer | None:
     """Return the nearest peer with room for `request`, or None.
 
@@ -125,27 +129,30 @@
         return None
 
     def rank(peer: Peer) -> tuple[int, int, str]:
-        distance = rank_distance(place, peer.domain, peer.region)
-        return distance, -peer.room[request.service], peer.instance
+        distance = compute_distance(location, peer.domain, peer.region)
+        return distance, -peer.free_credits[request.service], peer.instance
 
-    def is_open(peer: Peer) -> bool:
-        room = peer.room.get(request.service, 0) > 0 and peer.instance not in tried
-        near = peer.region == place.region
-        return room and (near or link.tokens >= request.size_bytes)
+    def accepts_requests(peer: Peer) -> bool:
+        free_credits = (
+            peer.free_credits.get(request.service, 0) > 0
+            and peer.instance not in tried_peers
+        )
+        near = peer.region == location.region
+        return free_credits and (near or link.tokens >= request.size_bytes)
 
-    return min(filter(is_open, peers), key=rank, default=None)
+    return min(filter(accepts_requests, peers), key=rank, default=None)
 
 
 def refill_link(link: LinkBudget, settings: RoutingSettings, now: float) -> None:
     """Add the bytes that time has brought, one second's worth at most."""
-    if math.isfinite(link.filled):
-        gained = (now - link.filled) * settings.link_bytes_s
+    if math.isfinite(link.refilled_at):
+        gained = (now - link.refilled_at) * settings.link_bytes_s
         link.tokens = min(settings.link_bytes_s, link.tokens + gained)
-    link.filled = now
+    link.refilled_at = now
 
 
 def divide_demand(
-    place: Place,
+    location: Location,
     owners: Mapping[str, Owner],
     demand: Mapping[str, int],
     credits: CreditState,
@@ -158,12 +165,14 @@
     The racks of the own domain are asked for the whole demand in equal parts; the
     other racks of the region for what those have not lent.
     """
-    ranks = {r: rank_distance(place, o.domain, o.region) for r, o in owners.items()}
+    ranks = {
+        r: compute_distance(location, o.domain, o.region) for r, o in owners.items()
+    }
     near = [rack for rack, rank in ranks.items() if rank == 0]
     far = [rack for rack, rank in ranks.items() if rank == 1]
     local: Counter[str] = Counter()
-    for held in credits.held.values():
-        if held.info.domain == place.domain and now < held.valid_until:
+    for held in credits.runners.values():
+        if held.info.domain == location.domain and now < held.valid_until:
             local[held.info.service] += held.limit
     part = {s: math.ceil(n / max(1, len(near))) for s, n in demand.items()}
     rest = {
--- a/plantainyard/routing/supply.py
+++ b/plantainyard/routing/sending.py
@@ -6,40 +6,40 @@
 
 from plantainyard.protocol.messages import CreditAnswer
 from plantainyard.routing import events
-from plantainyard.routing.choices import (
-    Candidates,
-    choose_runner,
-    divide_demand,
-    rank_runners,
-    refill_link,
-)
 from plantainyard.routing.credits import (
     apply_answer,
     build_ask,
-    build_return,
+    build_closing_ask,
     count_free,
     take_slot,
 )
 from plantainyard.routing.events import Action, Event
-from plantainyard.routing.flights import GatewayState, note_decision
 from plantainyard.routing.health import start_probe
 from plantainyard.routing.queue import pop_request, select_waiting
 from plantainyard.routing.retries import earn_retry
+from plantainyard.routing.selection import (
+    Candidates,
+    choose_runner,
+    divide_demand,
+    rank_runners,
+    refill_link,
+)
+from plantainyard.routing.state import GatewayState, record_decision
 from plantainyard.routing.values import Request
 
-__all__ = ["ask_credits", "return_credits", "send_waiting", "take_credits"]
+__all__ = ["request_credits", "return_credits", "send_waiting", "apply_credit_answer"]
 
-_URGENT_ASK_S = 0.05
+_BACKLOG_INTERVAL_S = 0.05
 _PEAK_DECAY = 0.8
-_LEAST_PEAK = 0.5
+_MIN_PEAK = 0.5
 # Below the two seconds within which a leaving runner must get nothing new.
-_CALM_ASK_S = 1.5
-_CALM_SHARE = 0.3
+_IDLE_INTERVAL_MAX_S = 1.5
+_IDLE_INTERVAL_SHARE = 0.3
 
 
 def send_waiting(state: GatewayState, now: float) -> list[Action]:
     """Send what waits, as far as credits are free."""
-    held = state.credits.held.values()
+    held = state.credits.runners.values()
     state.queue.slots = sum(h.limit for h in held if now < h.valid_until)
     actions: list[Action] = []
     while state.queue.count and any(count_free(h, now) > 0 for h in held):
@@ -59,7 +59,7 @@
     @cache
     def rank(service: str, idempotent: bool) -> Candidates:
         return rank_runners(
-            state.place,
+            state.location,
             state.credits,
             state.health,
             service,
@@ -70,29 +70,29 @@
 
     def find(request: Request) -> str | None:
         candidates = rank(request.service, request.idempotent)
-        return choose_runner(candidates, state.flights[request.key].failed_at)
+        return choose_runner(candidates, state.pending[request.key].failed_runners)
 
     return find
 
 
 def _send(state: GatewayState, request: Request, runner_id: str, now: float) -> Action:
-    runner = state.credits.held[runner_id].info
+    runner = state.credits.runners[runner_id].info
     not_after = take_slot(state.credits, runner_id, now)
     assert not_after is not None
-    flight = state.flights[request.key]
-    flight.runner_id = runner_id
-    flight.attempts += 1
-    if flight.attempts == 1:
+    pending = state.pending[request.key]
+    pending.runner_id = runner_id
+    pending.attempts += 1
+    if pending.attempts == 1:
         earn_retry(state.budget, state.settings)
     start_probe(state.health, runner_id, now)
-    note_decision(
-        state, request, f"send to {runner_id}, attempt {flight.attempts}", now
+    record_decision(
+        state, request, f"send to {runner_id}, attempt {pending.attempts}", now
     )
     timeout_s = min(request.deadline - now, state.settings.request_max_s)
     return events.Send(request.key, request, runner, not_after, timeout_s)
 
 
-def take_credits(state: GatewayState, answer: CreditAnswer) -> None:
+def apply_credit_answer(state: GatewayState, answer: CreditAnswer) -> None:
     """Take an owner's answer over, and judge whether hurrying brought anything.
 
     Notes
@@ -101,20 +101,20 @@
     nothing and, at the shortest time between asks, cost more than all control may;
     so the time doubles with each answer that brings no more credits.
     """
-    before = _count_limits(state, answer.rack)
+    before = _sum_limits(state, answer.rack)
     if not apply_answer(state.credits, answer, state.settings):
         return
-    grown = _count_limits(state, answer.rack) > before
-    hurry_s = 2 * state.hurries.get(answer.rack, _URGENT_ASK_S)
-    state.hurries[answer.rack] = _URGENT_ASK_S if grown else hurry_s
+    grown = _sum_limits(state, answer.rack) > before
+    hurry_s = 2 * state.backlog_intervals.get(answer.rack, _BACKLOG_INTERVAL_S)
+    state.backlog_intervals[answer.rack] = _BACKLOG_INTERVAL_S if grown else hurry_s
 
 
-def _count_limits(state: GatewayState, rack: str) -> int:
-    held = state.credits.held.values()
+def _sum_limits(state: GatewayState, rack: str) -> int:
+    held = state.credits.runners.values()
     return sum(h.limit for h in held if h.info.rack == rack)
 
 
-def ask_credits(state: GatewayState, event: Event, now: float) -> list[Action]:
+def request_credits(state: GatewayState, event: Event, now: float) -> list[Action]:
     """Ask the owners of the region's racks for credits where it is time to.
 
     Notes
@@ -123,35 +123,38 @@
     that credits aren't given back between two bursts.
     """
     refill_link(state.link, state.settings, now)
-    again = _find_refused(event)
+    retry = _find_new_term_rack(event)
     due = [
         rack
         for rack, owner in state.owners.items()
         if owner.instance
-        and owner.region == state.place.region
-        and (_is_due(state, rack, now) or rack == again)
+        and owner.region == state.location.region
+        and (_is_due(state, rack, now) or rack == retry)
     ]
     if not due or state.drained:
         return []
     demand = _measure_demand(state)
-    parts = divide_demand(state.place, state.owners, demand, state.credits, now)
-    asks = [_build_rack_ask(state, rack, parts[rack], now) for rack in due]
+    parts = divide_demand(state.location, state.owners, demand, state.credits, now)
+    asks = [_build_request(state, rack, parts[rack], now) for rack in due]
     return [ask for ask in asks if ask is not None]
 
 
 def _measure_demand(state: GatewayState) -> dict[str, int]:
     wanted = Counter(
-        flight.request.service for flight in state.flights.values() if flight.runner_id
+        pending.request.service
+        for pending in state.pending.values()
+        if pending.runner_id
     )
     wanted.update(request.service for request in select_waiting(state.queue))
-    services = {*wanted, *state.peaks}
-    state.peaks = {
-        s: max(wanted[s], _PEAK_DECAY * state.peaks.get(s, 0.0)) for s in services
+    services = {*wanted, *state.demand_peaks}
+    state.demand_peaks = {
+        s: max(wanted[s], _PEAK_DECAY * state.demand_peaks.get(s, 0.0))
+        for s in services
     }
-    return {s: round(n) for s, n in state.peaks.items() if n >= _LEAST_PEAK}
+    return {s: round(n) for s, n in state.demand_peaks.items() if n >= _MIN_PEAK}
 
 
-def _build_rack_ask(
+def _build_request(
     state: GatewayState, rack: str, demand: dict[str, int], now: float
 ) -> Action | None:
     """Return the ask to a rack's owner; None where there is nothing to say.
@@ -162,40 +165,40 @@
     a part of the idle slots too, and those belong to the gateways next to them.
     """
     owner = state.owners[rack]
-    if any(demand.values()) or owner.domain == state.place.domain:
+    if any(demand.values()) or owner.domain == state.location.domain:
         ask = build_ask(state.credits, rack, demand, state.settings, now)
-        return events.AskCredits(owner.instance, ask)
-    if any(held.info.rack == rack for held in state.credits.held.values()):
-        ask = build_return(state.credits, rack, now)
-        return events.AskCredits(owner.instance, ask)
+        return events.RequestCredits(owner.instance, ask)
+    if any(held.info.rack == rack for held in state.credits.runners.values()):
+        ask = build_closing_ask(state.credits, rack, now)
+        return events.RequestCredits(owner.instance, ask)
     return None
 
 
-def _find_refused(event: Event) -> str:
+def _find_new_term_rack(event: Event) -> str:
     """Return the rack whose owner wants to be asked again under its new term."""
     match event:
-        case events.CreditsAnswered(answer) if answer.term and not answer.granted:
+        case events.CreditAnswerReceived(answer) if answer.term and not answer.granted:
             return answer.rack
     return ""
 
 
 def _is_due(state: GatewayState, rack: str, now: float) -> bool:
-    waited = now - state.credits.asked.get(rack, float("-inf"))
+    waited = now - state.credits.requested_at.get(rack, float("-inf"))
     if not state.queue.count:
-        state.hurries.clear()
-    hurry_s = state.hurries.get(rack, _URGENT_ASK_S)
+        state.backlog_intervals.clear()
+    hurry_s = state.backlog_intervals.get(rack, _BACKLOG_INTERVAL_S)
     hurry = state.queue.count > 0 and waited >= hurry_s
-    calm_s = min(_CALM_ASK_S, state.settings.credit_s * _CALM_SHARE)
-    every_s = state.settings.ask_every_s
-    return hurry or waited >= (every_s if state.flights else max(every_s, calm_s))
+    calm_s = min(_IDLE_INTERVAL_MAX_S, state.settings.credit_s * _IDLE_INTERVAL_SHARE)
+    every_s = state.settings.credit_request_interval_s
+    return hurry or waited >= (every_s if state.pending else max(every_s, calm_s))
 
 
 def return_credits(state: GatewayState, now: float) -> list[Action]:
     """Hand all credits back, so that others need not wait for the leases to end."""
-    racks = {held.info.rack for held in state.credits.held.values()}
+    racks = {held.info.rack for held in state.credits.runners.values()}
     return [
-        events.AskCredits(
-            state.owners[rack].instance, build_return(state.credits, rack, now)
+        events.RequestCredits(
+            state.owners[rack].instance, build_closing_ask(state.credits, rack, now)
         )
         for rack in sorted(racks & state.owners.keys())
     ]
--- a/plantainyard/routing/shares.py
+++ b/plantainyard/routing/shares.py
@@ -49,7 +49,7 @@
 
 
 def spread_share(
-    target: int, held: Mapping[str, Holding], most: Mapping[str, int]
+    target: int, held: Mapping[str, Holding], max_slots: Mapping[str, int]
 ) -> dict[str, int]:
     """Divide a gateway's share among runners.
 
@@ -72,22 +72,25 @@
     The slots that are in use are kept first, then those that are held, so that
     credits don't move without need; new ones come from the emptiest runners.
     """
-    grants = dict.fromkeys(most, 0)
+    grants = dict.fromkeys(max_slots, 0)
     left = target
-    in_use = {key: min(h.in_flight, most[key]) for key, h in held.items()}
-    holds = {key: min(h.limit, most[key]) for key, h in held.items()}
-    for goal in (in_use, holds, most):
-        left = _raise_grants(grants, goal, most, left)
+    in_use = {key: min(h.in_flight, max_slots[key]) for key, h in held.items()}
+    holds = {key: min(h.limit, max_slots[key]) for key, h in held.items()}
+    for goal in (in_use, holds, max_slots):
+        left = _raise_grants(grants, goal, max_slots, left)
     return grants
 
 
 def _raise_grants(
-    grants: dict[str, int], goal: Mapping[str, int], most: Mapping[str, int], left: int
+    grants: dict[str, int],
+    goal: Mapping[str, int],
+    max_slots: Mapping[str, int],
+    left: int,
 ) -> int:
     """Raise grants towards `goal`, one slot at a time where most room is left."""
     open_keys = [key for key in goal if grants[key] < goal[key]]
     while left > 0 and open_keys:
-        key = max(open_keys, key=lambda k: (most[k] - grants[k], k))
+        key = max(open_keys, key=lambda k: (max_slots[k] - grants[k], k))
         grants[key] += 1
         left -= 1
         if grants[key] >= goal[key]:
--- a/plantainyard/routing/flights.py
+++ b/plantainyard/routing/state.py
@@ -3,22 +3,22 @@
 from collections import deque
 from collections.abc import Mapping
 
-from plantainyard.routing.arbitration import Arbitration, settle_id
-from plantainyard.routing.choices import LinkBudget, Place
+from plantainyard.routing.arbitration import Arbitration, complete_id
 from plantainyard.routing.credits import CreditState
 from plantainyard.routing.events import Action, Answer, Owner, Peer
 from plantainyard.routing.health import HealthState
 from plantainyard.routing.outcomes import FinalAnswer, Outcome
 from plantainyard.routing.queue import QueueState
 from plantainyard.routing.retries import RetryBudget
+from plantainyard.routing.selection import LinkBudget, Location
 from plantainyard.routing.values import Request, RoutingSettings
 
-__all__ = ["Flight", "GatewayState", "finish_request", "note_decision"]
+__all__ = ["PendingRequest", "GatewayState", "finish_request", "record_decision"]
 
 _DECISIONS_KEPT = 200
 
 
-class Flight:
+class PendingRequest:
     """A request that was accepted and not yet answered."""
 
     def __init__(self, request: Request) -> None:
@@ -26,9 +26,9 @@
         self.attempts = 0
         self.runner_id = ""
         self.peer = ""
-        self.failed_at: frozenset[str] = frozenset()
-        self.tried: frozenset[str] = frozenset()
-        self.doubt = ""
+        self.failed_runners: frozenset[str] = frozenset()
+        self.tried_peers: frozenset[str] = frozenset()
+        self.earlier_outcome = ""
 
 
 class GatewayState:
@@ -48,25 +48,25 @@
 
     def __init__(
         self,
-        place: Place,
+        location: Location,
         name: str,
         settings: RoutingSettings,
         weights: Mapping[str, float] | None = None,
     ) -> None:
-        self.place = place
+        self.location = location
         self.settings = settings
         self.credits = CreditState(name)
         self.health = HealthState()
         self.queue = QueueState(weights)
         self.budget = RetryBudget(settings.retry_burst)
         self.link = LinkBudget(settings.link_bytes_s)
-        self.arbitration = Arbitration(place.instance)
+        self.arbitration = Arbitration(location.instance)
         self.owners: dict[str, Owner] = {}
         self.peers: dict[str, Peer] = {}
-        self.flights: dict[str, Flight] = {}
+        self.pending: dict[str, PendingRequest] = {}
         self.forwarding = 0
-        self.peaks: dict[str, float] = {}
-        self.hurries: dict[str, float] = {}
+        self.demand_peaks: dict[str, float] = {}
+        self.backlog_intervals: dict[str, float] = {}
         self.drain_after: float | None = None
         self.drained = False
         self.decisions: deque[str] = deque(maxlen=_DECISIONS_KEPT)
@@ -74,17 +74,19 @@
 
 def finish_request(state: GatewayState, key: str, answer: FinalAnswer) -> list[Action]:
     """Answer a request, and the repeats that have joined it."""
-    flight = state.flights.pop(key)
+    pending = state.pending.pop(key)
     # "Refused" says that the request did not run. After an earlier sending that ran,
     # or may have run, it would be untrue, whatever became of the last one.
-    if answer.outcome == Outcome.REFUSED and flight.doubt:
-        answer = answer._replace(outcome=flight.doubt)
-    joined = settle_id(state.arbitration, flight.request, answer, state.settings)
+    if answer.outcome == Outcome.REFUSED and pending.earlier_outcome:
+        answer = answer._replace(outcome=pending.earlier_outcome)
+    joined = complete_id(state.arbitration, pending.request, answer, state.settings)
     for other in joined:
-        state.flights.pop(other)
+        state.pending.pop(other)
     return [Answer(k, answer) for k in (key, *joined)]
 
 
-def note_decision(state: GatewayState, request: Request, text: str, now: float) -> None:
+def record_decision(
+    state: GatewayState, request: Request, text: str, now: float
+) -> None:
     """Keep a decision and its reason for the dump."""
     state.decisions.append(f"{now:.3f} {request.id} ({request.key}): {text}")
--- a/plantainyard/routing/tests/processes.py
+++ b/plantainyard/routing/tests/processes.py
@@ -6,7 +6,7 @@
 from plantainyard.routing import (
     GatewayState,
     LenderState,
-    Place,
+    Location,
     RoutingSettings,
     Send,
     build_leased_lender,
@@ -66,8 +66,8 @@
     """One process of an instance, with a clock of its own."""
 
     def __init__(self, instance, name, rate):
-        place = Place(instance, DOMAINS[instance], "reg")
-        self.gateway = GatewayState(place, name, ROUTING)
+        location = Location(instance, DOMAINS[instance], "reg")
+        self.gateway = GatewayState(location, name, ROUTING)
         self.instance = instance
         self.rate = rate
         self.lenders = {rack: LenderState(rack) for rack in RACKS}
--- a/plantainyard/routing/tests/test_arbitration.py
+++ b/plantainyard/routing/tests/test_arbitration.py
@@ -14,7 +14,7 @@
     Request,
     RoutingSettings,
 )
-from plantainyard.routing.arbitration import Arbitration, admit_id, settle_id
+from plantainyard.routing.arbitration import Arbitration, admit_id, complete_id
 from plantainyard.routing.tests.test_gateway import issue_id
 
 ROUTING = RoutingSettings(id_skew_s=0.5, id_memory_s=6.0, id_count=5)
@@ -67,7 +67,7 @@
             assert not allowed[name]
         if running and rng.random() < 0.7:
             arbiter, ended = running.pop(rng.randrange(len(running)))
-            settle_id(arbiter, ended, FinalAnswer(Outcome.DONE), ROUTING)
+            complete_id(arbiter, ended, FinalAnswer(Outcome.DONE), ROUTING)
         assert all(len(a.arbiters["k1"].entries) <= 5 for a in arbiters if a.arbiters)
 
 
--- a/plantainyard/routing/tests/test_failures.py
+++ b/plantainyard/routing/tests/test_failures.py
@@ -21,15 +21,14 @@
 
 from plantainyard.routing import (
     Answer,
-    AskCredits,
     AttemptEnded,
     AuthorityChanged,
     AuthorityExtended,
     AuthorityGained,
-    CreditsAnswered,
+    CreditAnswerReceived,
     Forward,
     ForwardEnded,
-    LateEnded,
+    LateAttemptEnded,
     Outcome,
     Owner,
     OwnersChanged,
@@ -38,6 +37,7 @@
     Reason,
     Request,
     RequestArrived,
+    RequestCredits,
     Response,
     RunnerUp,
     Send,
@@ -97,7 +97,7 @@
             match action:
                 case Answer(key, answer):
                     self.take_answer(process, key, answer)
-                case AskCredits(owner, ask):
+                case RequestCredits(owner, ask):
                     self.messages.append(Message("ask", process, (owner, ask)))
                 case Send(key) | Forward(key):
                     process.threads[key] = (self.now + action.timeout_s, action)
@@ -197,7 +197,7 @@
             case "ask":
                 self.handle_ask(process, *message.content)
             case "answer" if process.alive:
-                self.feed(process, CreditsAnswered(message.content))
+                self.feed(process, CreditAnswerReceived(message.content))
             case "relayed" if message.key in process.threads:
                 del process.threads[message.key]
                 ended = ForwardEnded(message.key, SendResult.ANSWERED, message.content)
@@ -255,7 +255,7 @@
             return
         _, current = process.threads.get(key, (0.0, None))
         if current is not run.send:
-            self.feed(process, LateEnded(key, run.send.runner.id, 0.1))
+            self.feed(process, LateAttemptEnded(key, run.send.runner.id, 0.1))
             return
         del process.threads[key]
         ok = result == "ok"
@@ -330,9 +330,9 @@
         late = [k for k, (until, _) in process.threads.items() if until <= self.now]
         for key in late:
             del process.threads[key]
-            flight = process.gateway.flights[key]
+            pending = process.gateway.pending[key]
             lost = SendResult.LOST
-            kind = AttemptEnded if flight.runner_id else ForwardEnded
+            kind = AttemptEnded if pending.runner_id else ForwardEnded
             self.feed(process, kind(key, lost))
 
     def tell_views(self):
@@ -366,8 +366,8 @@
     @invariant()
     def keep_lists_true(self):
         for process in self.processes.values():
-            flights = process.gateway.flights.keys()
-            assert process.threads.keys() <= flights
+            pending = process.gateway.pending.keys()
+            assert process.threads.keys() <= pending
 
     def teardown(self):
         if not hasattr(self, "now"):
--- a/plantainyard/routing/tests/test_gateway.py
+++ b/plantainyard/routing/tests/test_gateway.py
@@ -3,18 +3,18 @@
 from plantainyard.protocol import RunnerInfo
 from plantainyard.routing import (
     Answer,
-    AskCredits,
     AttemptEnded,
     AuthorityChanged,
     AuthorityGained,
-    CreditsAnswered,
+    CreditAnswerReceived,
     GatewayState,
     LenderState,
+    Location,
     Owner,
     OwnersChanged,
-    Place,
     Request,
     RequestArrived,
+    RequestCredits,
     Response,
     RoutingSettings,
     RunnerUp,
@@ -39,16 +39,16 @@
 
 def build_gateway(name="g1", settings=SETTINGS):
     """Return a gateway with credits of both runners, and its lender's step."""
-    state = GatewayState(Place("i1", "d1", "reg"), name, settings)
+    state = GatewayState(Location("i1", "d1", "reg"), name, settings)
     lender, lend = LenderState("k1"), build_leased_lender(settings)
     lend(lender, AuthorityGained(1e9, 1), -1e3)
     for runner in RUNNERS:
         lend(lender, RunnerUp(runner, True), -1e3)
     actions = step(state, OwnersChanged({"k1": Owner("i1", "d1", "reg")}), 0.0)
     step(state, AuthorityChanged("k1", 1e9, True, WALL - 100), 0.0)
-    while asks := [a.ask for a in actions if isinstance(a, AskCredits)]:
+    while asks := [a.ask for a in actions if isinstance(a, RequestCredits)]:
         (answer,) = lend(lender, asks[0], 0.0)
-        actions = step(state, CreditsAnswered(answer), 0.0)
+        actions = step(state, CreditAnswerReceived(answer), 0.0)
     return state
 
 
--- a/plantainyard/routing/tests/test_leases.py
+++ b/plantainyard/routing/tests/test_leases.py
@@ -6,7 +6,7 @@
     CreditState,
     LenderState,
     RoutingSettings,
-    RunnerGone,
+    RunnerTerminated,
     RunnerUp,
     Tick,
     build_leased_lender,
@@ -16,7 +16,7 @@
 from plantainyard.routing.credits import (
     apply_answer,
     build_ask,
-    end_lost,
+    release_lost,
     release_slot,
     take_slot,
 )
@@ -91,7 +91,7 @@
     """The platform's list loses sight of a runner for a moment; it is overfilled."""
     lender, credits = open_lender(), CreditState("g1")
     ask(lender, credits, 100.0, 100.0)
-    for event in (RunnerGone("r1"), Tick(), RunnerUp(RUNNER)):
+    for event in (RunnerTerminated("r1"), Tick(), RunnerUp(RUNNER)):
         LEND(lender, event, 100.5)
     assert count_lent(lender, "r1") == 5
 
@@ -103,7 +103,7 @@
     for key in ("a", "b"):
         take_slot(credits, "r1", 100.1)
         release_slot(credits, "r1", key, False, ROUTING, 100.2)
-    end_lost(credits, "r1", "a")
-    end_lost(credits, "r1", "a")
+    release_lost(credits, "r1", "a")
+    release_lost(credits, "r1", "a")
     message = build_ask(credits, "k1", {"billing": 5}, ROUTING, 100.3)
     assert message.holdings["r1"].in_flight == 1
--- a/plantainyard/routing/tests/test_lending.py
+++ b/plantainyard/routing/tests/test_lending.py
@@ -13,7 +13,7 @@
     CreditState,
     LenderState,
     RoutingSettings,
-    RunnerGone,
+    RunnerTerminated,
     RunnerUp,
     build_leased_lender,
     check_credit,
@@ -21,8 +21,8 @@
 from plantainyard.routing.credits import (
     apply_answer,
     build_ask,
-    build_return,
-    end_lost,
+    build_closing_ask,
+    release_lost,
     release_slot,
     take_slot,
 )
@@ -92,7 +92,7 @@
         now = self.now * holder.rate
         demand = {"billing": self.rng.randint(0, 6)}
         if self.rng.random() < 0.05:
-            ask = build_return(holder.credits, "k1", now)
+            ask = build_closing_ask(holder.credits, "k1", now)
         else:
             ask = build_ask(holder.credits, "k1", demand, ROUTING, now)
         target = (
@@ -159,7 +159,7 @@
                 self.sendings.remove(sending)
                 if sending.late and self.rng.random() < 0.5:
                     holder, key = sending.late
-                    end_lost(holder.credits, "r1", key)
+                    release_lost(holder.credits, "r1", key)
                 now = self.now * sending.holder.rate
                 release_slot(sending.holder.credits, "r1", "", True, ROUTING, now)
 
@@ -174,8 +174,8 @@
             key = str(self.count)
             release_slot(holder.credits, "r1", key, False, ROUTING, now)
             ghost = Holder("ghost", 1.0)
-            gone = sending._replace(holder=ghost, late=(holder, key))
-            self.sendings.append(gone)
+            terminated = sending._replace(holder=ghost, late=(holder, key))
+            self.sendings.append(terminated)
 
     def pass_time(self, longest=0.2):
         self.now += self.rng.uniform(0.0, longest)
@@ -213,7 +213,7 @@
         self.tell(RunnerUp(RUNNER, fresh))
 
     def forget_runner(self):
-        self.tell(RunnerGone("r1"))
+        self.tell(RunnerTerminated("r1"))
         self.tell(RunnerUp(RUNNER, False))
 
     def read_until(self):
--- a/plantainyard/routing/tests/test_policies.py
+++ b/plantainyard/routing/tests/test_policies.py
@@ -8,21 +8,21 @@
 from plantainyard.protocol import CreditAnswer
 from plantainyard.routing import (
     Answer,
-    AskCredits,
     AttemptEnded,
-    CreditsAnswered,
+    CreditAnswerReceived,
     Drain,
     Drained,
     FinalAnswer,
     Forward,
     ForwardEnded,
     GatewayState,
+    Location,
     Outcome,
     Peer,
     PeersChanged,
-    Place,
     Reason,
     Request,
+    RequestCredits,
     RoutingSettings,
     RunnersChanged,
     Send,
@@ -39,9 +39,9 @@
 from plantainyard.routing.queue import (
     QueueState,
     expire_requests,
-    measure_service,
     pop_request,
     push_request,
+    record_service_time,
 )
 from plantainyard.routing.tests.test_gateway import arrive, build_gateway, pick
 
@@ -100,10 +100,10 @@
     for number, (team, urgent, size, patience, span) in enumerate(pushes):
         now += span
         request = make_request(number, team, now + patience, urgent=urgent)
-        given_up = push_request(state, request._replace(size_bytes=size), SMALL, now)
-        given_up += expire_requests(state, now)
-        assert all(item.retry_after_s > 0 for item in given_up)
-        left.update(item.request.key for item in given_up)
+        rejected = push_request(state, request._replace(size_bytes=size), SMALL, now)
+        rejected += expire_requests(state, now)
+        assert all(item.retry_after_s > 0 for item in rejected)
+        left.update(item.request.key for item in rejected)
         assert state.count <= 20 and state.size_bytes <= 100
         if number % 3 == 0 and (popped := pop_request(state, SMALL, lambda _: True)):
             assert now <= popped.deadline
@@ -111,7 +111,7 @@
     while popped := pop_request(state, SMALL, lambda _: True):
         left[popped.key] += 1
     assert left == Counter(str(n) for n in range(len(pushes)))
-    assert not state.latest_starts and state.size_bytes == 0
+    assert not state.latest_send_times and state.size_bytes == 0
 
 
 def test_what_would_start_too_late_is_given_up_at_once():
@@ -124,14 +124,14 @@
     state = QueueState()
     state.slots = 1
     for _ in range(100):
-        measure_service(state, 0.1)
-        measure_service(state, 0.5)
+        record_service_time(state, 0.1)
+        record_service_time(state, 0.5)
     assert not push_request(state, make_request(1, deadline=2.0), SMALL, 0.0)
     assert not expire_requests(state, 0.5)
     (late,) = expire_requests(state, 1.1)
     assert late.reason == Reason.DEADLINE
     for _ in range(100):
-        measure_service(state, 50.0)
+        record_service_time(state, 50.0)
     assert not push_request(state, make_request(2, deadline=2.0), SMALL, 0.0)
     assert push_request(state, make_request(3, deadline=2.0), SMALL, 0.0)
 
@@ -222,7 +222,7 @@
     Waiting for slots that don't exist spends the caller's time; the link between
     regions is paid for by the byte and comes last, within its share.
     """
-    state = GatewayState(Place("i9", "d9", "reg"), "g9", RoutingSettings())
+    state = GatewayState(Location("i9", "d9", "reg"), "g9", RoutingSettings())
     state.link.tokens = 150.0
     far = Peer("far", "d3", "other", "", {"billing": 9})
     near = Peer("near", "d2", "reg", "", {"billing": 1})
@@ -247,7 +247,7 @@
     ended = AttemptEnded("a", SendResult.ANSWERED, 0.1)
     actions = step(state, ended, 0.3)
     assert pick(actions, Drained) and pick(actions, Answer)
-    asks = [action.ask for action in pick(actions, AskCredits)]
+    asks = [action.ask for action in pick(actions, RequestCredits)]
     holdings = [h for ask in asks for h in ask.holdings.values()]
     assert all(ask.closing for ask in asks) and holdings
     assert all((h.limit, h.in_flight) == (0, 0) for h in holdings)
@@ -258,7 +258,7 @@
 
     Or it is full and gets one request after the other, each to be refused there.
     """
-    state = GatewayState(Place("i9", "d9", "reg"), "g9", RoutingSettings())
+    state = GatewayState(Location("i9", "d9", "reg"), "g9", RoutingSettings())
     step(state, PeersChanged((Peer("near", "d2", "reg", "", {"billing": 1}),)), 0.0)
     outcomes = (Outcome.DONE, Outcome.DONE, Outcome.REFUSED)
     for number, outcome in enumerate(outcomes):
@@ -276,11 +276,11 @@
     asks = 0
     for tick in range(1, 80):
         now = 0.1 + tick * 0.05
-        for action in pick(step(state, Tick(), now), AskCredits):
+        for action in pick(step(state, Tick(), now), RequestCredits):
             asks += 1
             ask = action.ask
             grants = {key: held.limit for key, held in ask.holdings.items()}
             names = (ask.gateway, ask.rack, ask.sequence)
             answer = CreditAnswer(*names, True, 2.0, grants, term=ask.term)
-            step(state, CreditsAnswered(answer), now)
+            step(state, CreditAnswerReceived(answer), now)
     assert state.queue.count and 8 <= asks <= 14
--- a/plantainyard/routing/values.py
+++ b/plantainyard/routing/values.py
@@ -56,7 +56,7 @@
 
     credit_s: float = 2.0
     send_margin_s: float = 0.3
-    ask_every_s: float = 0.5
+    credit_request_interval_s: float = 0.5
     request_max_s: float = 30.0
     drift: float = 0.001
     spare_slots: int = 2
@@ -66,11 +66,11 @@
     retry_share: float = 0.1
     retry_burst: float = 10.0
     attempts_max: int = 3
-    aside_failures: int = 3
-    aside_s: float = 1.0
-    aside_max_s: float = 30.0
+    ejection_failures: int = 3
+    ejection_s: float = 1.0
+    ejection_max_s: float = 30.0
     slow_factor: float = 5.0
-    panic_share: float = 0.8
+    panic_threshold: float = 0.8
     id_memory_s: float = 3600.0
     id_count: int = 100_000
     id_answer_bytes: int = 16_000_000
@@ -114,4 +114,4 @@
     size_bytes: int = 0
     hops: int = 0
     digest: int = 0
-    judged: bool = False
+    admitted: bool = False
--- a/standins/tests/test_failures.py
+++ b/standins/tests/test_failures.py
@@ -104,7 +104,7 @@
 def is_cut_off(answer):
     """Return whether the request was sent and its answer never came."""
     is_lost = answer.error is not None and answer.error.kind == ErrorKind.LOST
-    return is_lost or answer.reason == Reason.LOST
+    return is_lost or answer.reason == Reason.ANSWER_LOST
 
 
 def list_endings(site, job):
