--- a/plantainyard/execution/planning.py
+++ b/plantainyard/execution/planning.py
@@ -14,8 +14,8 @@
 from plantainyard.placement.recording import create_recorded_state
 from plantainyard.state import (
     AssignItem,
-    Change,
     DomainState,
+    FoldResult,
     JobState,
     RecordType,
     get_assigned,
@@ -161,7 +161,7 @@
 
 
 def _learn_waiting(plan: PlanState, entry: JobState, rack: str, now: float) -> None:
-    fresh = entry.fresh.get(rack)
+    fresh = entry.unattempted.get(rack)
     for first, stop in list_ranges(fresh) if fresh else ():
         waiting = placement.TasksWaiting(entry.job, first, stop, 1, now)
         plan.step(plan.policy, waiting, now)
@@ -183,7 +183,7 @@
     domain: DomainState,
     rack: str,
     data: Mapping[str, Any],
-    change: Change,
+    change: FoldResult,
     now: float,
 ) -> None:
     """Feed the policy with one record that was just folded into `domain`.
@@ -198,7 +198,7 @@
         The rack of this plan.
     data : Mapping
         The record.
-    change : Change
+    change : FoldResult
         Its verdict.
     now : float
         Owner's clock in seconds.
@@ -229,7 +229,7 @@
     plan: PlanState,
     domain: DomainState,
     data: Mapping[str, Any],
-    change: Change,
+    change: FoldResult,
     now: float,
 ) -> None:
     void = {AttemptKey(item.task, item.attempt) for item in change.void}
@@ -250,7 +250,7 @@
     plan: PlanState,
     domain: DomainState,
     data: Mapping[str, Any],
-    change: Change,
+    change: FoldResult,
     now: float,
 ) -> None:
     void = {AttemptKey(item.task, item.attempt) for item in change.void}
--- a/plantainyard/node/configuration.py
+++ b/plantainyard/node/configuration.py
@@ -142,7 +142,7 @@
                 return read(self, now)
         return None
 
-    def _fold(self, record: log_state.LogRecord) -> log_state.Change:
+    def _fold(self, record: log_state.LogRecord) -> log_state.FoldResult:
         change = log_state.apply_config(self.config, record.offset, record.data)
         if change.applied:
             self.on_change(log_state.list_values(self.config))
@@ -163,6 +163,6 @@
             {key: entry.value for key, entry in values.items()},
             {key: entry.version for key, entry in values.items()},
             tuple(log_state.list_history(self.config)),
-            log_state.read_age(self.stream.reader, now),
+            log_state.get_staleness(self.stream.reader, now),
             log_state.is_current(self.stream.reader),
         )
--- a/plantainyard/node/domain.py
+++ b/plantainyard/node/domain.py
@@ -177,7 +177,7 @@
                 return read(self, now)
         return None
 
-    def _fold(self, record: log_state.LogRecord) -> log_state.Change:
+    def _fold(self, record: log_state.LogRecord) -> log_state.FoldResult:
         node, now = self.node, read_clock()
         change = log_state.apply_record(node.domain, record.offset, record.data)
         for term in list(node.terms.values()):
@@ -254,7 +254,7 @@
                 node.live,
                 frozenset(node.workers.get(rack, ())),
                 log_state.is_current(reader),
-                log_state.read_age(reader, now),
+                log_state.get_staleness(reader, now),
                 node.stopping,
                 node.leaving_peers,
             )
--- a/plantainyard/node/reports.py
+++ b/plantainyard/node/reports.py
@@ -64,7 +64,7 @@
     return {
         "stream": {
             "next_offset": stream.reader.next_offset,
-            "age_s": log_state.read_age(stream.reader, now),
+            "age_s": log_state.get_staleness(stream.reader, now),
             "backlog": log_state.count_backlog(stream.appender),
             "appends": stream.appends,
         },
--- a/plantainyard/node/streams.py
+++ b/plantainyard/node/streams.py
@@ -112,7 +112,7 @@
         rng: random.Random,
         reader_settings: log_state.ReaderSettings,
         snapshot_settings: log_state.SnapshotSettings,
-        fold: Callable[[log_state.LogRecord], log_state.Change],
+        fold: Callable[[log_state.LogRecord], log_state.FoldResult],
         restore: Callable[[log_state.LogRecord], None],
         encode: Callable[[], Mapping[str, Any]],
     ) -> None:
@@ -124,7 +124,7 @@
         self.appender = log_state.AppenderState(
             log_state.AppenderSettings(), writer, rng
         )
-        self.watch = log_state.SnapshotWatch(snapshot_settings, rng)
+        self.watch = log_state.SnapshotSchedule(snapshot_settings, rng)
         self.snapshot_type = reader_settings.snapshot_type
         self.waiters: dict[str, Callable[[log_state.AppendReport], None]] = {}
         self.appends = 0
@@ -171,7 +171,7 @@
     if role.reads != stream.role.reads:
         pause_s = 0.0 if role.reads else _SLOW_S
         stream.reader.settings = stream.reader.settings._replace(pause_s=pause_s)
-        stream.reader.ask_at = float("-inf")
+        stream.reader.fetch_at = float("-inf")
     stream.role = role
 
 
@@ -182,7 +182,7 @@
     slow question.
     """
     if not log_state.is_current(stream.reader):
-        stream.reader.ask_at = float("-inf")
+        stream.reader.fetch_at = float("-inf")
 
 
 def _hand_on(stream: StreamState, io: StreamIO) -> None:
@@ -218,7 +218,7 @@
         return
     if not log_state.is_snapshot_due(stream.watch, covers + 1, now):
         return
-    log_state.note_snapshot_tried(stream.watch, now)
+    log_state.record_snapshot_attempt(stream.watch, now)
     record = log_state.make_snapshot(covers, stream.encode(), stream.snapshot_type)
     _advance_appender(stream, io, log_state.Submit(record, "snapshot"), now)
 
@@ -235,14 +235,14 @@
                 _fold_record(stream, io, record, now)
             case log_state.Restore(record):
                 _restore(stream, io, record, now)
-            case log_state.Restarted(wanted, first):
+            case log_state.ReadRestarted(wanted, first):
                 _logger.warning(
                     "records %d to %d are no longer kept; reading starts over",
                     wanted,
                     first - 1,
                     extra={"step": "log.read", "peer": stream.name},
                 )
-            case log_state.Regressed(wanted, end):
+            case log_state.LogRegressed(wanted, end):
                 _logger.error(
                     "the log ends at %d, below %d, which was read from it",
                     end,
@@ -261,11 +261,11 @@
     stream.folded.append(record)
     if change.type == stream.snapshot_type:
         covers = int(record.data.get("covers", -1))
-        log_state.note_snapshot(stream.watch, covers, record.time_s, now)
+        log_state.observe_snapshot(stream.watch, covers, record.time_s, now)
     else:
-        log_state.note_record(stream.watch, record.time_s, now)
+        log_state.observe_record(stream.watch, record.time_s, now)
     _advance_appender(
-        stream, io, log_state.Seen(record.offset, record.data, change), now
+        stream, io, log_state.RecordRead(record.offset, record.data, change), now
     )
 
 
@@ -273,11 +273,11 @@
     stream: StreamState, io: StreamIO, record: log_state.LogRecord, now: float
 ) -> None:
     stream.restore(record)
-    log_state.note_snapshot(
+    log_state.observe_snapshot(
         stream.watch, int(record.data["covers"]), record.time_s, now
     )
     _advance_appender(
-        stream, io, log_state.Skipped(int(record.data["covers"]) + 1), now
+        stream, io, log_state.RecordsSkipped(int(record.data["covers"]) + 1), now
     )
 
 
@@ -335,9 +335,9 @@
     answer = append(io.log, name, record)
     event: log_state.AppendEvent
     if not isinstance(answer, Err):
-        event = log_state.Answered(answer.ok_value)
+        event = log_state.AppendSucceeded(answer.ok_value)
     elif answer.err_value.kind in (ErrorKind.UNREACHABLE, ErrorKind.REFUSED):
-        event = log_state.Refused(answer.err_value.retry_after_s)
+        event = log_state.AppendRefused(answer.err_value.retry_after_s)
     else:
-        event = log_state.Lost()
+        event = log_state.AppendUnconfirmed()
     io.deliver(StreamEvent(name, event, asked_at))
--- a/plantainyard/node/terms.py
+++ b/plantainyard/node/terms.py
@@ -121,7 +121,7 @@
     term: Term,
     domain: log_state.DomainState,
     data: Mapping[str, Any],
-    change: log_state.Change,
+    change: log_state.FoldResult,
     now: float,
 ) -> None:
     """Tell the term of a record that was just folded."""
--- a/plantainyard/node/tests/world.py
+++ b/plantainyard/node/tests/world.py
@@ -178,22 +178,26 @@
 
     def append(self, process: Process, record: dict[str, Any]) -> None:
         if not self.log_up or process.cut_log:
-            process.tell(StreamEvent("domain.d", log_state.Refused(), self.now))
+            process.tell(StreamEvent("domain.d", log_state.AppendRefused(), self.now))
             return
         wire = json.loads(json.dumps(record))
         if self.hold_appends:
             self.held.append(lambda: self.write(wire))
-            process.tell(StreamEvent("domain.d", log_state.Lost(), self.now))
+            process.tell(
+                StreamEvent("domain.d", log_state.AppendUnconfirmed(), self.now)
+            )
             return
         if self.lose():
             # Half of the lost ones reach the log, some of them much later.
             late = self.rng.choice([None, self.held.append, lambda put: put()])
             if late is not None:
                 late(lambda: self.write(wire))
-            process.tell(StreamEvent("domain.d", log_state.Lost(), self.now))
+            process.tell(
+                StreamEvent("domain.d", log_state.AppendUnconfirmed(), self.now)
+            )
             return
         self.write(wire)
-        answer = log_state.Answered(len(self.log) - 1)
+        answer = log_state.AppendSucceeded(len(self.log) - 1)
         process.tell(StreamEvent("domain.d", answer, self.now))
 
     def write(self, wire: Any) -> None:
--- a/plantainyard/operators/explaining.py
+++ b/plantainyard/operators/explaining.py
@@ -67,7 +67,9 @@
 ) -> str:
     """Return the rack that answers for a task; empty for one that has ended."""
     assigned = (r for r, tasks in state.assigned.items() if task in tasks)
-    fresh = (r for r, ranges in entry.fresh.items() if has_number(ranges, task.number))
+    fresh = (
+        r for r, ranges in entry.unattempted.items() if has_number(ranges, task.number)
+    )
     retries = (r for r, numbers in entry.retries.items() if task.number in numbers)
     return next((r for racks in (assigned, fresh, retries) for r in racks), "")
 
--- a/plantainyard/operators/listing.py
+++ b/plantainyard/operators/listing.py
@@ -92,7 +92,7 @@
 
 
 def _read_age(actor: Any, now: float) -> float:
-    return log_state.read_age(actor.stream.reader, now)
+    return log_state.get_staleness(actor.stream.reader, now)
 
 
 def _summarize_all(actor: Any, _: float) -> list[schema.JobSummary]:
@@ -147,7 +147,9 @@
 def _judge_state(entry: log_state.JobState) -> schema.JobState:
     if entry.cancelled:
         return schema.JOB_STATE_CANCELLED
-    return schema.JOB_STATE_RUNNING if entry.assigned else schema.JOB_STATE_WAITING
+    return (
+        schema.JOB_STATE_RUNNING if entry.assigned_count else schema.JOB_STATE_WAITING
+    )
 
 
 def _find_reason(actor: Any, job_id: str) -> str:
@@ -252,7 +254,7 @@
 def _iter_racks(
     state: log_state.DomainState, entry: log_state.JobState
 ) -> Iterator[schema.RackShare]:
-    for rack in sorted({*entry.fresh, *entry.retries, *state.claims}):
+    for rack in sorted({*entry.unattempted, *entry.retries, *state.claims}):
         assigned = sum(
             1
             for task in log_state.get_assigned(state, rack)
@@ -298,7 +300,7 @@
 
 
 def _sum_team(entries: Iterable[log_state.JobState]) -> tuple[Size, int, int]:
-    sizes = [(entry.job.size, entry.assigned) for entry in entries]
+    sizes = [(entry.job.size, entry.assigned_count) for entry in entries]
     used = Size(
         sum(size.cores * count for size, count in sizes),
         sum(size.memory_gb * count for size, count in sizes),
--- a/plantainyard/operators/node.py
+++ b/plantainyard/operators/node.py
@@ -157,8 +157,8 @@
             settled.set_result(report)
 
     key = uuid.uuid4().hex
-    give_up_at = read_clock() + _SETTLE_S
-    submit = log_state.Submit(record, key, give_up_at)
+    expires_at = read_clock() + _SETTLE_S
+    submit = log_state.Submit(record, key, expires_at)
     ref.tell(SubmitRecord(submit, take))
     try:
         return settled.result(_GIVE_UP_S)
@@ -186,9 +186,9 @@
 
 
 def _explain(report: log_state.AppendReport) -> str:
-    if report.change is None:
+    if report.result is None:
         return "the log took no record"
-    return report.change.detail or report.change.reason or "abandoned"
+    return report.result.detail or report.result.reason or "abandoned"
 
 
 def call_operator(
--- a/plantainyard/operators/standing.py
+++ b/plantainyard/operators/standing.py
@@ -71,7 +71,8 @@
     waits = find_waits(node)
     described = describe_gateway(node.gateway)
     age_s = query(
-        node.domain, lambda actor, now: log_state.read_age(actor.stream.reader, now)
+        node.domain,
+        lambda actor, now: log_state.get_staleness(actor.stream.reader, now),
     )
     return Ok(
         schema.StatusResponse(
--- a/plantainyard/state/appender.py
+++ b/plantainyard/state/appender.py
@@ -15,21 +15,21 @@
 from typing import Any
 
 from plantainyard.state.appends import (
-    Answered,
     Append,
     AppendAction,
     AppenderSettings,
     AppendEvent,
+    AppendRefused,
     AppendReport,
     AppendStatus,
+    AppendSucceeded,
     AppendTick,
-    Lost,
-    Refused,
-    Seen,
-    Skipped,
+    AppendUnconfirmed,
+    RecordRead,
+    RecordsSkipped,
     Submit,
 )
-from plantainyard.state.changes import Change, Reason, VerdictKind
+from plantainyard.state.changes import FoldResult, RequestKind, VoidReason
 from plantainyard.state.records import RecordType, make_abandon, make_group
 
 __all__ = [
@@ -39,21 +39,21 @@
 ]
 
 _ABANDONABLE = (RecordType.ACCEPT, RecordType.CANCEL, RecordType.CONFIG)
-_ALONE = (RecordType.SNAPSHOT, RecordType.CONFIG_SNAPSHOT)
+_SENT_ALONE = (RecordType.SNAPSHOT, RecordType.CONFIG_SNAPSHOT)
 
 
 class _Item:
     """A submitted record; `sent` once it may stand in the log.
 
-    `origin` is set for an abandon: the append id of what it abandons.
+    `abandoned_id` is set for an abandon: the append id of what it abandons.
     """
 
     __slots__ = (
         "append_id",
-        "give_up_at",
-        "given_up",
+        "expires_at",
+        "expired",
         "key",
-        "origin",
+        "abandoned_id",
         "record",
         "sent",
     )
@@ -62,10 +62,10 @@
         self.append_id = append_id
         self.record = {**submit.record, "append_id": append_id, "as_of": as_of}
         self.key = submit.key
-        self.give_up_at = submit.give_up_at
+        self.expires_at = submit.expires_at
         self.sent = False
-        self.given_up = False
-        self.origin = ""
+        self.expired = False
+        self.abandoned_id = ""
 
 
 class AppenderState:
@@ -96,18 +96,20 @@
         self._count = 0
         self._urgent: deque[_Item] = deque()
         self._waiting: deque[_Item] = deque()
-        self._flying: list[_Item] | None = None
+        self._in_flight: list[_Item] | None = None
         # Sent, and by now in the log, or perhaps: the time to send again.
-        self._unseen: dict[str, tuple[_Item, float]] = {}
-        self._first_sent: set[str] = set()
+        self._unconfirmed: dict[str, tuple[_Item, float]] = {}
+        self._first_attempts: set[str] = set()
         self._next_at = -math.inf
         self._failures = 0
 
 
 def count_backlog(state: AppenderState) -> int:
     """Return the number of records that are submitted and not settled."""
-    flying = len(state._flying or ())
-    return len(state._urgent) + len(state._waiting) + flying + len(state._unseen)
+    in_flight = len(state._in_flight or ())
+    return (
+        len(state._urgent) + len(state._waiting) + in_flight + len(state._unconfirmed)
+    )
 
 
 def step_appender(
@@ -120,9 +122,9 @@
     state : AppenderState
         Changed in place.
     event : AppendEvent
-        What happened. Each `Append` is answered by one `Answered`, `Lost` or
-        `Refused`; every record that the reader folds is told by `Seen`, whoever
-        wrote it.
+        What happened. Each `Append` is answered by exactly one `AppendSucceeded`,
+        `AppendUnconfirmed` or `AppendRefused`. Every record that the reader folds is
+        reported by a `RecordRead`, whichever instance wrote it.
     now : float
         Seconds on the instance's clock.
 
@@ -134,34 +136,34 @@
     actions: list[AppendAction] = []
     match event:
         case Submit():
-            _submit(state, event, now, actions)
-        case Answered():
-            _land(state, math.inf)
+            _queue_record(state, event, now, actions)
+        case AppendSucceeded():
+            _mark_sent(state, math.inf)
             state._failures = 0
-        case Lost():
+        case AppendUnconfirmed():
             pause = _back_off(state, now, 0.0)
-            _land(state, now + max(state.settings.settle_s, pause))
-        case Refused():
+            _mark_sent(state, now + max(state.settings.settle_s, pause))
+        case AppendRefused():
             _back_off(state, now, event.retry_after_s)
-            _take_back(state)
-        case Seen():
-            _see(state, event, actions)
-        case Skipped():
-            _skip(state, event, now)
+            _requeue_refused(state)
+        case RecordRead():
+            _match_record(state, event, actions)
+        case RecordsSkipped():
+            _handle_skipped(state, event, now)
         case AppendTick():
-            _give_up(state, now, actions)
+            _expire_items(state, now, actions)
             _resend(state, now)
     _send(state, now, actions)
     return actions
 
 
-def _submit(
+def _queue_record(
     state: AppenderState, event: Submit, now: float, actions: list[AppendAction]
 ) -> None:
     settings = state.settings
     if not event.urgent and count_backlog(state) >= settings.max_backlog:
-        groups = settings.max_backlog / settings.max_group
-        pause = max(state._next_at - now, 0.0) + groups * settings.interval_s
+        full_groups = settings.max_backlog / settings.max_group
+        pause = max(state._next_at - now, 0.0) + full_groups * settings.interval_s
         actions.append(
             AppendReport(event.key, AppendStatus.NOT_RUN, retry_after_s=pause)
         )
@@ -172,14 +174,14 @@
 
 
 def _send(state: AppenderState, now: float, actions: list[AppendAction]) -> None:
-    if state._flying is not None or now < state._next_at:
+    if state._in_flight is not None or now < state._next_at:
         return
     items = list(_take_group(state))
     if not items:
         return
-    state._flying = items
+    state._in_flight = items
     state._next_at = now + state.settings.interval_s
-    state._first_sent = {item.append_id for item in items if not item.sent}
+    state._first_attempts = {item.append_id for item in items if not item.sent}
     for item in items:
         item.sent = True
     records = [item.record for item in items]
@@ -191,36 +193,36 @@
         queue = state._urgent or state._waiting
         if not queue:
             return
-        alone = queue[0].record["type"] in _ALONE
-        if alone and count:
+        sent_alone = queue[0].record["type"] in _SENT_ALONE
+        if sent_alone and count:
             return
         yield queue.popleft()
-        if alone:
+        if sent_alone:
             return
 
 
-def _land(state: AppenderState, send_again_at: float) -> None:
-    for item in state._flying or ():
+def _mark_sent(state: AppenderState, send_again_at: float) -> None:
+    for item in state._in_flight or ():
         again_at = math.inf if _is_abandoned(item) else send_again_at
-        state._unseen[item.append_id] = (item, again_at)
-    state._flying = None
+        state._unconfirmed[item.append_id] = (item, again_at)
+    state._in_flight = None
 
 
-def _take_back(state: AppenderState) -> None:
-    items, state._flying = state._flying or [], None
+def _requeue_refused(state: AppenderState) -> None:
+    items, state._in_flight = state._in_flight or [], None
     for item in items:
         # Sent for the first time and refused: it is provably not in the log. A
         # record that was lost once stays in doubt whatever its repeats meet.
-        if item.append_id in state._first_sent:
+        if item.append_id in state._first_attempts:
             item.sent = False
     for item in filter(_is_abandoned, items):
-        state._unseen[item.append_id] = (item, math.inf)
-    again = [item for item in items if not _is_abandoned(item)]
-    state._waiting.extendleft(reversed(again))
+        state._unconfirmed[item.append_id] = (item, math.inf)
+    retried = [item for item in items if not _is_abandoned(item)]
+    state._waiting.extendleft(reversed(retried))
 
 
 def _is_abandoned(item: _Item) -> bool:
-    return item.given_up and item.record["type"] in _ABANDONABLE
+    return item.expired and item.record["type"] in _ABANDONABLE
 
 
 def _back_off(state: AppenderState, now: float, retry_after_s: float) -> float:
@@ -235,42 +237,44 @@
 
 
 def _resend(state: AppenderState, now: float) -> None:
-    due = [key for key, (_, again_at) in state._unseen.items() if now >= again_at]
-    items = [state._unseen.pop(key)[0] for key in due]
+    due = [key for key, (_, again_at) in state._unconfirmed.items() if now >= again_at]
+    items = [state._unconfirmed.pop(key)[0] for key in due]
     state._waiting.extendleft(reversed(items))
 
 
-def _skip(state: AppenderState, event: Skipped, now: float) -> None:
+def _handle_skipped(state: AppenderState, event: RecordsSkipped, now: float) -> None:
     # What the snapshot covers was never seen here. A repeat tells: it takes effect,
     # or is a duplicate and names the offset that stands.
     state.as_of = max(state.as_of, event.next_offset)
-    state._unseen = {
+    state._unconfirmed = {
         key: (item, again_at if _is_abandoned(item) else now)
-        for key, (item, again_at) in state._unseen.items()
+        for key, (item, again_at) in state._unconfirmed.items()
     }
 
 
-def _see(state: AppenderState, event: Seen, actions: list[AppendAction]) -> None:
+def _match_record(
+    state: AppenderState, event: RecordRead, actions: list[AppendAction]
+) -> None:
     state.as_of = max(state.as_of, event.offset + 1)
-    grouped = event.change.type == RecordType.GROUP
-    records = event.data["records"] if grouped and event.change.parts else [event.data]
-    changes = event.change.parts if grouped else (event.change,)
-    for record, change in zip(records, changes, strict=False):
+    grouped = event.result.type == RecordType.GROUP
+    records = event.data["records"] if grouped and event.result.parts else [event.data]
+    changes = event.result.parts if grouped else (event.result,)
+    for record, result in zip(records, changes, strict=False):
         append_id = record.get("append_id") if isinstance(record, dict) else None
-        item = _take_item(state, append_id)
+        item = _remove_item(state, append_id)
         if item is None:
             continue
         # An abandon speaks for the record it abandons, unless that was seen first.
-        if not item.origin or _take_item(state, item.origin) is not None:
-            actions.append(_judge(item, change))
+        if not item.abandoned_id or _remove_item(state, item.abandoned_id) is not None:
+            actions.append(_make_report(item, result))
 
 
-def _take_item(state: AppenderState, append_id: Any) -> _Item | None:
+def _remove_item(state: AppenderState, append_id: Any) -> _Item | None:
     if not isinstance(append_id, str) or not append_id.startswith(state.writer):
         return None
-    if append_id in state._unseen:
-        return state._unseen.pop(append_id)[0]
-    queues = (state._flying or [], state._urgent, state._waiting)
+    if append_id in state._unconfirmed:
+        return state._unconfirmed.pop(append_id)[0]
+    queues = (state._in_flight or [], state._urgent, state._waiting)
     for queue in queues:
         found = next((item for item in queue if item.append_id == append_id), None)
         if found is not None:
@@ -279,33 +283,35 @@
     return None
 
 
-def _judge(item: _Item, change: Change) -> AppendReport:
+def _make_report(item: _Item, result: FoldResult) -> AppendReport:
     abandon = item.record["type"] == RecordType.ABANDON
-    if change.applied:
+    if result.applied:
         status = AppendStatus.NOT_RUN if abandon else AppendStatus.APPLIED
-        return AppendReport(item.key, status, change.offset, change)
-    earlier = change.earlier
-    if change.reason == Reason.FORGOTTEN:
-        return AppendReport(item.key, AppendStatus.UNKNOWN, change.winner, change)
-    if earlier is not None and earlier.kind == VerdictKind.ABANDON:
-        return AppendReport(item.key, AppendStatus.NOT_RUN, earlier.offset, change)
+        return AppendReport(item.key, status, result.offset, result)
+    earlier = result.earlier
+    if result.reason == VoidReason.FORGOTTEN:
+        return AppendReport(item.key, AppendStatus.UNKNOWN, result.winner, result)
+    if earlier is not None and earlier.kind == RequestKind.ABANDON:
+        return AppendReport(item.key, AppendStatus.NOT_RUN, earlier.offset, result)
     if earlier is not None and earlier.applied:
-        return AppendReport(item.key, AppendStatus.APPLIED, earlier.offset, change)
-    return AppendReport(item.key, AppendStatus.VOID, change.winner, change)
+        return AppendReport(item.key, AppendStatus.APPLIED, earlier.offset, result)
+    return AppendReport(item.key, AppendStatus.VOID, result.winner, result)
 
 
-def _give_up(state: AppenderState, now: float, actions: list[AppendAction]) -> None:
+def _expire_items(
+    state: AppenderState, now: float, actions: list[AppendAction]
+) -> None:
     waiting = chain(state._urgent, state._waiting)
-    unseen = (item for item, _ in state._unseen.values())
-    late = [
+    unseen = (item for item, _ in state._unconfirmed.values())
+    expired_items = [
         item
-        for item in chain(waiting, unseen, state._flying or ())
-        if now >= item.give_up_at and not item.given_up
+        for item in chain(waiting, unseen, state._in_flight or ())
+        if now >= item.expires_at and not item.expired
     ]
-    for item in late:
-        item.given_up = True
+    for item in expired_items:
+        item.expired = True
         if not item.sent:
-            _drop(state, item)
+            _remove_queued(state, item)
             actions.append(AppendReport(item.key, AppendStatus.NOT_RUN))
             continue
         actions.append(AppendReport(item.key, AppendStatus.UNKNOWN))
@@ -313,7 +319,7 @@
             _abandon(state, item)
 
 
-def _drop(state: AppenderState, item: _Item) -> None:
+def _remove_queued(state: AppenderState, item: _Item) -> None:
     queue = state._urgent if item in state._urgent else state._waiting
     queue.remove(item)
 
@@ -324,13 +330,13 @@
     The submitter may not be told "not run" while a copy is on its way. Whichever
     of the record and its abandon stands first decides for both.
     """
-    if item not in (state._flying or ()):
-        if item.append_id not in state._unseen:
-            _drop(state, item)
-        state._unseen[item.append_id] = (item, math.inf)
+    if item not in (state._in_flight or ()):
+        if item.append_id not in state._unconfirmed:
+            _remove_queued(state, item)
+        state._unconfirmed[item.append_id] = (item, math.inf)
     state._count += 1
     record = make_abandon(item.record["request_id"])
     append_id = f"{state.writer}.{state._count}"
     abandon = _Item(append_id, Submit(record, item.key), item.record["as_of"])
-    abandon.origin = item.append_id
+    abandon.abandoned_id = item.append_id
     state._urgent.append(abandon)
--- a/plantainyard/state/appends.py
+++ b/plantainyard/state/appends.py
@@ -4,10 +4,10 @@
 from collections.abc import Mapping
 from typing import Any, NamedTuple
 
-from plantainyard.state.changes import Change
+from plantainyard.state.changes import FoldResult
 
 __all__ = [
-    "Answered",
+    "AppendSucceeded",
     "Append",
     "AppendAction",
     "AppendEvent",
@@ -15,10 +15,10 @@
     "AppendStatus",
     "AppendTick",
     "AppenderSettings",
-    "Lost",
-    "Refused",
-    "Seen",
-    "Skipped",
+    "AppendUnconfirmed",
+    "AppendRefused",
+    "RecordRead",
+    "RecordsSkipped",
     "Submit",
 ]
 
@@ -63,35 +63,35 @@
 
     record: Mapping[str, Any]
     key: str = ""
-    give_up_at: float = math.inf
+    expires_at: float = math.inf
     urgent: bool = False
 
 
-class Answered(NamedTuple):
+class AppendSucceeded(NamedTuple):
     """The log answered the append in flight with its offset."""
 
     offset: int
 
 
-class Lost(NamedTuple):
+class AppendUnconfirmed(NamedTuple):
     """The append in flight may or may not have reached the log."""
 
 
-class Refused(NamedTuple):
+class AppendRefused(NamedTuple):
     """The append in flight did not take place: outage, rate limit, no connection."""
 
     retry_after_s: float = 0.0
 
 
-class Seen(NamedTuple):
-    """A record was read back and folded with the verdict `change`."""
+class RecordRead(NamedTuple):
+    """A record was read back and folded with the verdict `result`."""
 
     offset: int
     data: Any
-    change: Change
+    result: FoldResult
 
 
-class Skipped(NamedTuple):
+class RecordsSkipped(NamedTuple):
     """The reader started over from a snapshot; records below were not seen."""
 
     next_offset: int
@@ -101,11 +101,22 @@
     """Time has passed."""
 
 
-AppendEvent = Submit | Answered | Lost | Refused | Seen | Skipped | AppendTick
+AppendEvent = (
+    Submit
+    | AppendSucceeded
+    | AppendUnconfirmed
+    | AppendRefused
+    | RecordRead
+    | RecordsSkipped
+    | AppendTick
+)
 
 
 class Append(NamedTuple):
-    """Send `record` to the log; answer by `Answered`, `Lost` or `Refused`."""
+    """Send `record` to the log.
+
+    The answer is an `AppendSucceeded`, `AppendUnconfirmed` or `AppendRefused` event.
+    """
 
     record: Mapping[str, Any]
 
@@ -130,7 +141,7 @@
     key: str
     status: str
     offset: int = -1
-    change: Change | None = None
+    result: FoldResult | None = None
     retry_after_s: float = 0.0
 
 
--- a/plantainyard/state/changes.py
+++ b/plantainyard/state/changes.py
@@ -4,10 +4,10 @@
 
 from plantainyard.work import TaskKey
 
-__all__ = ["Change", "Reason", "Verdict", "VerdictKind", "VoidItem"]
+__all__ = ["FoldResult", "VoidReason", "RequestDecision", "RequestKind", "VoidItem"]
 
 
-class VerdictKind:
+class RequestKind:
     """What a request id was first used for."""
 
     ACCEPT = "accept"
@@ -16,13 +16,13 @@
     CONFIG = "config"
 
 
-class Verdict(NamedTuple):
+class RequestDecision(NamedTuple):
     """What the log decided about a request id.
 
     Attributes
     ----------
     kind : str
-        A name in `VerdictKind`. ``abandon`` means that the request did not and
+        A name in `RequestKind`. ``abandon`` means that the request did not and
         will not run.
     offset : int
         Offset of the deciding record.
@@ -38,7 +38,7 @@
     job: str = ""
 
 
-class Reason:
+class VoidReason:
     """Why a record, or one item of it, is void.
 
     Notes
@@ -78,14 +78,14 @@
 
 
 class VoidItem(NamedTuple):
-    """An item of a record that had no effect; `reason` is a name in `Reason`."""
+    """An item of a record that had no effect; `reason` is a name in `VoidReason`."""
 
     task: TaskKey
     attempt: int
     reason: str
 
 
-class Change(NamedTuple):
+class FoldResult(NamedTuple):
     """The verdict on one record.
 
     Attributes
@@ -97,7 +97,7 @@
     applied : bool
         True where the record, or at least one item of it, took effect.
     reason : str
-        Why it is void, a name in `Reason`; empty where it is not.
+        Why it is void, a name in `VoidReason`; empty where it is not.
     winner : int
         For a void record, the offset that prevailed, -1 for none.
     void : tuple of VoidItem
@@ -118,6 +118,6 @@
     reason: str = ""
     winner: int = -1
     void: tuple[VoidItem, ...] = ()
-    parts: tuple["Change", ...] = ()
-    earlier: Verdict | None = None
+    parts: tuple["FoldResult", ...] = ()
+    earlier: RequestDecision | None = None
     detail: str = ""
--- a/plantainyard/state/checks.py
+++ b/plantainyard/state/checks.py
@@ -80,17 +80,17 @@
     return isinstance(value, int) and not isinstance(value, bool) and value >= least
 
 
-def _need(data: Mapping[str, Any], **kinds: type) -> str:
+def _check_types(data: Mapping[str, Any], **kinds: type) -> str:
     wrong = (name for name, kind in kinds.items() if type(data.get(name)) is not kind)
     return "".join(f"bad {name}; " for name in wrong)
 
 
 def _check_abandon(data: Mapping[str, Any]) -> str:
-    return _need(data, request_id=str)
+    return _check_types(data, request_id=str)
 
 
 def _check_accept(data: Mapping[str, Any]) -> str:
-    fault = _need(data, request_id=str, job=dict, allotment=dict)
+    fault = _check_types(data, request_id=str, job=dict, allotment=dict)
     if fault:
         return fault
     job = decode_job(data["job"])
@@ -103,7 +103,7 @@
 
 
 def _check_cancel(data: Mapping[str, Any]) -> str:
-    fault = _need(data, request_id=str, jobs=list)
+    fault = _check_types(data, request_id=str, jobs=list)
     return fault or _check_strings(data["jobs"])
 
 
@@ -112,7 +112,7 @@
 
 
 def _check_claim(data: Mapping[str, Any]) -> str:
-    fault = _need(data, rack=str, holder=str, base=int)
+    fault = _check_types(data, rack=str, holder=str, base=int)
     workers = data.get("workers", [])
     established = isinstance(data.get("established", False), bool)
     if not fault and not (isinstance(workers, list) and established):
@@ -121,7 +121,7 @@
 
 
 def _check_assign(data: Mapping[str, Any]) -> str:
-    fault = _need(data, rack=str, term=int, items=list)
+    fault = _check_types(data, rack=str, term=int, items=list)
     return fault or next(filter(None, map(_check_assign_item, data["items"])), "")
 
 
@@ -134,7 +134,7 @@
 
 
 def _check_results(data: Mapping[str, Any]) -> str:
-    fault = _need(data, rack=str, items=list)
+    fault = _check_types(data, rack=str, items=list)
     if not _is_number(data.get("term", -1)):
         return "bad term"
     return fault or next(filter(None, map(_check_result_item, data["items"])), "")
@@ -148,7 +148,7 @@
 
 
 def _check_move(data: Mapping[str, Any]) -> str:
-    fault = _need(data, rack=str, term=int, tasks=list, to_rack=str)
+    fault = _check_types(data, rack=str, term=int, tasks=list, to_rack=str)
     if fault or not data["to_rack"]:
         return fault or "no receiving rack"
     for text in data["tasks"]:
@@ -157,18 +157,18 @@
 
 
 def _check_config(data: Mapping[str, Any]) -> str:
-    fault = _need(data, request_id=str, base=int, changes=dict)
+    fault = _check_types(data, request_id=str, base=int, changes=dict)
     return fault or ("" if data["changes"] else "no changes")
 
 
 def _check_snapshot(data: Mapping[str, Any]) -> str:
-    return _need(data, covers=int, state=dict)
+    return _check_types(data, covers=int, state=dict)
 
 
 def _check_group(data: Mapping[str, Any]) -> str:
     # The records of a group are checked one by one as they are folded, so that one
     # malformed record does not void its neighbours.
-    return _need(data, records=list)
+    return _check_types(data, records=list)
 
 
 _CHECKS: Mapping[str, Callable[[Mapping[str, Any]], str]] = {
--- a/plantainyard/state/configuration.py
+++ b/plantainyard/state/configuration.py
@@ -9,13 +9,18 @@
 from collections.abc import Mapping
 from typing import Any, NamedTuple
 
-from plantainyard.state.changes import Change, Reason, Verdict, VerdictKind
+from plantainyard.state.changes import (
+    FoldResult,
+    RequestDecision,
+    RequestKind,
+    VoidReason,
+)
 from plantainyard.state.checks import Validity, check_record
 from plantainyard.state.records import RecordType
 from plantainyard.state.requests import (
-    RequestMemory,
-    judge_request,
-    remember_request,
+    DecidedRequests,
+    check_request,
+    record_decision,
 )
 
 __all__ = [
@@ -89,8 +94,8 @@
         self.version = -1
         self.values: dict[str, ConfigValue] = {}
         self.deleted: dict[str, int] = {}
-        self.floor = -1
-        self.requests = RequestMemory()
+        self.newest_forgotten_deletion = -1
+        self.requests = DecidedRequests()
         self.history: deque[HistoryEntry] = deque(maxlen=MAX_HISTORY)
         self.skipped = 0
 
@@ -112,7 +117,7 @@
     entry = state.values.get(key)
     if entry is not None:
         return entry.version
-    return state.deleted.get(key, state.floor)
+    return state.deleted.get(key, state.newest_forgotten_deletion)
 
 
 def list_values(state: ConfigState, prefix: str = "") -> dict[str, Any]:
@@ -129,7 +134,7 @@
     return list(state.history)
 
 
-def apply_config(state: ConfigState, offset: int, data: Any) -> Change:
+def apply_config(state: ConfigState, offset: int, data: Any) -> FoldResult:
     """Fold the record at `offset` of the ``config`` stream into `state`.
 
     Parameters
@@ -154,70 +159,78 @@
     """
     kind = data.get("type", "") if isinstance(data, dict) else ""
     if offset < state.next_offset:
-        return Change(str(kind), offset, False, Reason.STALE)
+        return FoldResult(str(kind), offset, False, VoidReason.STALE)
     if offset > state.next_offset:
         raise ValueError(f"offsets {state.next_offset} to {offset - 1} are missing")
     state.next_offset = offset + 1
     return _apply_one(state, offset, data, str(kind))
 
 
-def _apply_one(state: ConfigState, offset: int, data: Any, kind: str) -> Change:
+def _apply_one(state: ConfigState, offset: int, data: Any, kind: str) -> FoldResult:
     check = check_record(data)
     if check.kind == Validity.MALFORMED:
-        return Change(kind, offset, False, Reason.MALFORMED, detail=check.detail)
+        return FoldResult(
+            kind, offset, False, VoidReason.MALFORMED, detail=check.detail
+        )
     if kind == RecordType.CONFIG:
         return _apply_changes(state, offset, data)
     if kind == RecordType.ABANDON:
         return _apply_abandon(state, offset, data)
     if kind == RecordType.CONFIG_SNAPSHOT:
-        return Change(kind, offset, True)
+        return FoldResult(kind, offset, True)
     if kind == RecordType.GROUP:
         return _apply_group(state, offset, data)
     state.skipped += 1
-    return Change(kind, offset, False, Reason.UNKNOWN)
+    return FoldResult(kind, offset, False, VoidReason.UNKNOWN)
 
 
-def _apply_group(state: ConfigState, offset: int, data: Mapping[str, Any]) -> Change:
+def _apply_group(
+    state: ConfigState, offset: int, data: Mapping[str, Any]
+) -> FoldResult:
     # All parts have the group's offset: the second of two changes of one key must
     # still conflict, so a part may not build on the group's own offset.
     parts = tuple(
         _apply_one(state, offset, part, part["type"])
         if isinstance(part, dict)
         and part.get("type") in (RecordType.CONFIG, RecordType.ABANDON)
-        else Change("", offset, False, Reason.MALFORMED)
+        else FoldResult("", offset, False, VoidReason.MALFORMED)
         for part in data["records"]
     )
     applied = any(part.applied for part in parts)
-    return Change(RecordType.GROUP, offset, applied, parts=parts)
-
-
-def _apply_abandon(state: ConfigState, offset: int, data: Mapping[str, Any]) -> Change:
-    judged = judge_request(state.requests, offset, data)
-    if judged is not None:
-        return judged
-    verdict = Verdict(VerdictKind.ABANDON, offset, True)
-    remember_request(state.requests, data["request_id"], verdict)
-    return Change(RecordType.ABANDON, offset, True)
-
-
-def _apply_changes(state: ConfigState, offset: int, data: Mapping[str, Any]) -> Change:
-    judged = judge_request(state.requests, offset, data)
-    if judged is not None:
-        return judged
+    return FoldResult(RecordType.GROUP, offset, applied, parts=parts)
+
+
+def _apply_abandon(
+    state: ConfigState, offset: int, data: Mapping[str, Any]
+) -> FoldResult:
+    void_result = check_request(state.requests, offset, data)
+    if void_result is not None:
+        return void_result
+    decision = RequestDecision(RequestKind.ABANDON, offset, True)
+    record_decision(state.requests, data["request_id"], decision)
+    return FoldResult(RecordType.ABANDON, offset, True)
+
+
+def _apply_changes(
+    state: ConfigState, offset: int, data: Mapping[str, Any]
+) -> FoldResult:
+    void_result = check_request(state.requests, offset, data)
+    if void_result is not None:
+        return void_result
     changes = data["changes"]
     winner = max(get_version(state, key) for key in changes)
     # Two operators change the same key without knowing of each other: the second
     # one in the log would silently undo the first, so it is told of the winner.
     applied = winner <= data["base"] < offset
-    verdict = Verdict(VerdictKind.CONFIG, offset, applied)
-    remember_request(state.requests, data["request_id"], verdict)
+    decision = RequestDecision(RequestKind.CONFIG, offset, applied)
+    record_decision(state.requests, data["request_id"], decision)
     if not applied:
-        return Change(RecordType.CONFIG, offset, False, Reason.BASE, winner)
+        return FoldResult(RecordType.CONFIG, offset, False, VoidReason.BASE, winner)
     for key, value in changes.items():
         _set_value(state, offset, key, value)
     state.version = offset
     state.history.append(HistoryEntry(offset, data["request_id"], changes))
-    return Change(RecordType.CONFIG, offset, True)
+    return FoldResult(RecordType.CONFIG, offset, True)
 
 
 def _set_value(state: ConfigState, offset: int, key: str, value: Any) -> None:
@@ -228,4 +241,7 @@
     state.values.pop(key, None)
     state.deleted[key] = offset
     if len(state.deleted) > MAX_DELETED:
-        state.floor = max(state.floor, state.deleted.pop(next(iter(state.deleted))))
+        state.newest_forgotten_deletion = max(
+            state.newest_forgotten_deletion,
+            state.deleted.pop(next(iter(state.deleted))),
+        )
--- a/plantainyard/state/domain.py
+++ b/plantainyard/state/domain.py
@@ -10,16 +10,16 @@
 from types import MappingProxyType
 from typing import NamedTuple
 
-from plantainyard.state.changes import Verdict
+from plantainyard.state.changes import RequestDecision
 from plantainyard.state.jobs import (
     Assignment,
     JobState,
     JobSummary,
     TaskCounts,
-    Waiting,
+    WaitingTask,
     iter_job_waiting,
 )
-from plantainyard.state.requests import RequestMemory
+from plantainyard.state.requests import DecidedRequests
 from plantainyard.work import TaskKey
 
 __all__ = [
@@ -28,7 +28,7 @@
     "DomainState",
     "count_tasks",
     "find_claim",
-    "find_verdict",
+    "find_decision",
     "get_assigned",
     "get_job",
     "iter_waiting",
@@ -98,7 +98,7 @@
         self.completed: dict[str, JobSummary] = {}
         self.assigned: dict[str, dict[TaskKey, Assignment]] = {}
         self.waiting: dict[str, set[str]] = {}
-        self.requests = RequestMemory()
+        self.requests = DecidedRequests()
         self.cancelled: set[str] = set()
         self.skipped = 0
 
@@ -108,9 +108,9 @@
     return state.claims.get(rack)
 
 
-def find_verdict(state: DomainState, request_id: str) -> Verdict | None:
+def find_decision(state: DomainState, request_id: str) -> RequestDecision | None:
     """Return what was decided about a request id, None where it isn't remembered."""
-    return state.requests.verdicts.get(request_id)
+    return state.requests.decisions.get(request_id)
 
 
 def get_assigned(state: DomainState, rack: str) -> Mapping[TaskKey, Assignment]:
@@ -128,7 +128,7 @@
     return list(state.jobs.values())
 
 
-def iter_waiting(state: DomainState, rack: str) -> Iterator[Waiting]:
+def iter_waiting(state: DomainState, rack: str) -> Iterator[WaitingTask]:
     """Yield the tasks that may be assigned in `rack`, lazily.
 
     Parameters
@@ -159,9 +159,11 @@
         return TaskCounts(0, 0, job.done, 0, job.cancelled)
     retries = [retry for tasks in job.retries.values() for retry in tasks.values()]
     failed = sum(retry.failed for retry in retries)
-    fresh = sum(ranges.count for ranges in job.fresh.values())
-    waiting = fresh + len(retries) - failed
-    return TaskCounts(waiting, job.assigned, job.done, failed, job.dropped)
+    unattempted = sum(ranges.count for ranges in job.unattempted.values())
+    waiting = unattempted + len(retries) - failed
+    return TaskCounts(
+        waiting, job.assigned_count, job.done_count, failed, job.cancelled_count
+    )
 
 
 def list_cancelled_running(state: DomainState, rack: str) -> list[TaskKey]:
--- a/plantainyard/state/folding.py
+++ b/plantainyard/state/folding.py
@@ -9,25 +9,30 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from plantainyard.state.changes import Change, Reason, Verdict, VerdictKind
+from plantainyard.state.changes import (
+    FoldResult,
+    RequestDecision,
+    RequestKind,
+    VoidReason,
+)
 from plantainyard.state.checks import Validity, check_record
 from plantainyard.state.domain import Claim, DomainState
 from plantainyard.state.jobs import JobState, allot_tasks, count_waiting
 from plantainyard.state.records import RecordType
-from plantainyard.state.requests import judge_request, remember_request
+from plantainyard.state.requests import check_request, record_decision
 from plantainyard.state.tasks import (
     apply_assign,
     apply_move,
     apply_results,
     complete_job,
-    forget_waiting,
+    remove_waiting_job,
 )
 from plantainyard.work import decode_job
 
 __all__ = ["apply_record"]
 
 
-def apply_record(state: DomainState, offset: int, data: Any) -> Change:
+def apply_record(state: DomainState, offset: int, data: Any) -> FoldResult:
     """Fold the record at `offset` into `state`.
 
     Parameters
@@ -56,25 +61,27 @@
     a ``cancel`` in the number of its jobs' tried tasks.
     """
     if offset < state.next_offset:
-        return Change(_get_type(data), offset, False, Reason.STALE)
+        return FoldResult(_get_type(data), offset, False, VoidReason.STALE)
     if offset > state.next_offset:
         raise ValueError(f"offsets {state.next_offset} to {offset - 1} are missing")
     state.next_offset = offset + 1
     return _apply_one(state, offset, data)
 
 
-def _apply_one(state: DomainState, offset: int, data: Any) -> Change:
+def _apply_one(state: DomainState, offset: int, data: Any) -> FoldResult:
     check = check_record(data)
     if check.kind == Validity.UNKNOWN:
         # An instance of a newer version runs beside this one: its records pass.
         state.skipped += 1
-        return Change(check.detail, offset, False, Reason.UNKNOWN)
+        return FoldResult(check.detail, offset, False, VoidReason.UNKNOWN)
     if check.kind == Validity.MALFORMED:
         kind = _get_type(data)
-        return Change(kind, offset, False, Reason.MALFORMED, detail=check.detail)
+        return FoldResult(
+            kind, offset, False, VoidReason.MALFORMED, detail=check.detail
+        )
     fold = _FOLDS.get(data["type"])
     if fold is None:
-        return Change(data["type"], offset, False, Reason.UNKNOWN)
+        return FoldResult(data["type"], offset, False, VoidReason.UNKNOWN)
     return fold(state, offset, data)
 
 
@@ -83,96 +90,112 @@
     return kind if isinstance(kind, str) else ""
 
 
-def _apply_group(state: DomainState, offset: int, data: Mapping[str, Any]) -> Change:
+def _apply_group(
+    state: DomainState, offset: int, data: Mapping[str, Any]
+) -> FoldResult:
     nested = (RecordType.GROUP, RecordType.SNAPSHOT)
     parts = tuple(
-        Change(_get_type(part), offset, False, Reason.MALFORMED)
+        FoldResult(_get_type(part), offset, False, VoidReason.MALFORMED)
         if _get_type(part) in nested
         else _apply_one(state, offset, part)
         for part in data["records"]
     )
     applied = any(part.applied for part in parts)
-    return Change(RecordType.GROUP, offset, applied, parts=parts)
+    return FoldResult(RecordType.GROUP, offset, applied, parts=parts)
 
 
-def _apply_snapshot(state: DomainState, offset: int, data: Mapping[str, Any]) -> Change:
-    return Change(RecordType.SNAPSHOT, offset, True)
+def _apply_snapshot(
+    state: DomainState, offset: int, data: Mapping[str, Any]
+) -> FoldResult:
+    return FoldResult(RecordType.SNAPSHOT, offset, True)
 
 
-def _apply_accept(state: DomainState, offset: int, data: Mapping[str, Any]) -> Change:
-    judged = judge_request(state.requests, offset, data)
-    if judged is not None:
-        return judged
+def _apply_accept(
+    state: DomainState, offset: int, data: Mapping[str, Any]
+) -> FoldResult:
+    void_result = check_request(state.requests, offset, data)
+    if void_result is not None:
+        return void_result
     job = decode_job(data["job"])
     known = state.jobs.get(job.id)
     done = state.completed.get(job.id)
     fresh_id = known is None and done is None
-    verdict = Verdict(VerdictKind.ACCEPT, offset, fresh_id, job.id)
-    remember_request(state.requests, data["request_id"], verdict)
+    decision = RequestDecision(RequestKind.ACCEPT, offset, fresh_id, job.id)
+    record_decision(state.requests, data["request_id"], decision)
     if known is not None or done is not None:
         winner = known.offset if known else done.accepted if done else -1
-        return Change(RecordType.ACCEPT, offset, False, Reason.DUPLICATE, winner)
+        return FoldResult(
+            RecordType.ACCEPT, offset, False, VoidReason.DUPLICATE, winner
+        )
     entry = JobState(job, offset)
-    entry.fresh = allot_tasks(data["allotment"])
+    entry.unattempted = allot_tasks(data["allotment"])
     state.jobs[job.id] = entry
-    for rack in entry.fresh:
+    for rack in entry.unattempted:
         state.waiting.setdefault(rack, set()).add(job.id)
-    return Change(RecordType.ACCEPT, offset, True)
-
-
-def _apply_abandon(state: DomainState, offset: int, data: Mapping[str, Any]) -> Change:
-    judged = judge_request(state.requests, offset, data)
-    if judged is not None:
-        return judged
-    verdict = Verdict(VerdictKind.ABANDON, offset, True)
-    remember_request(state.requests, data["request_id"], verdict)
-    return Change(RecordType.ABANDON, offset, True)
-
-
-def _apply_cancel(state: DomainState, offset: int, data: Mapping[str, Any]) -> Change:
-    judged = judge_request(state.requests, offset, data)
-    if judged is not None:
-        return judged
+    return FoldResult(RecordType.ACCEPT, offset, True)
+
+
+def _apply_abandon(
+    state: DomainState, offset: int, data: Mapping[str, Any]
+) -> FoldResult:
+    void_result = check_request(state.requests, offset, data)
+    if void_result is not None:
+        return void_result
+    decision = RequestDecision(RequestKind.ABANDON, offset, True)
+    record_decision(state.requests, data["request_id"], decision)
+    return FoldResult(RecordType.ABANDON, offset, True)
+
+
+def _apply_cancel(
+    state: DomainState, offset: int, data: Mapping[str, Any]
+) -> FoldResult:
+    void_result = check_request(state.requests, offset, data)
+    if void_result is not None:
+        return void_result
     live = [state.jobs[job] for job in data["jobs"] if job in state.jobs]
     targets = [job for job in live if not job.cancelled]
     for job in targets:
         _cancel_job(state, offset, job)
-    verdict = Verdict(VerdictKind.CANCEL, offset, bool(targets))
-    remember_request(state.requests, data["request_id"], verdict)
-    reason = "" if targets else Reason.NO_JOB
-    return Change(RecordType.CANCEL, offset, bool(targets), reason)
+    decision = RequestDecision(RequestKind.CANCEL, offset, bool(targets))
+    record_decision(state.requests, data["request_id"], decision)
+    reason = "" if targets else VoidReason.NO_JOB
+    return FoldResult(RecordType.CANCEL, offset, bool(targets), reason)
 
 
 def _cancel_job(state: DomainState, offset: int, job: JobState) -> None:
     job.cancelled = True
-    for rack in {*job.fresh, *job.retries}:
-        job.dropped += count_waiting(job, rack)
-        forget_waiting(state, rack, job.job.id)
-    job.fresh.clear()
+    for rack in {*job.unattempted, *job.retries}:
+        job.cancelled_count += count_waiting(job, rack)
+        remove_waiting_job(state, rack, job.job.id)
+    job.unattempted.clear()
     job.retries.clear()
     job.failures.clear()
     state.cancelled.add(job.job.id)
     complete_job(state, offset, job)
 
 
-def _apply_claim(state: DomainState, offset: int, data: Mapping[str, Any]) -> Change:
+def _apply_claim(
+    state: DomainState, offset: int, data: Mapping[str, Any]
+) -> FoldResult:
     present = state.claims.get(data["rack"])
     term = present.term if present else -1
     # Two rivals build on the same claim; the second one in the log must lose, and
     # so must a claim that was held back until after another owner's.
     if data["base"] != term:
-        return Change(RecordType.CLAIM, offset, False, Reason.BASE, term)
+        return FoldResult(RecordType.CLAIM, offset, False, VoidReason.BASE, term)
     workers = tuple(data.get("workers", ()))
     stopped = data.get("established", False)
     if present is not None and not present.holder:
         stopped = present.stopped
-    previous = _list_earlier(present, stopped)
+    previous = _list_previous_workers(present, stopped)
     claim = Claim(data["holder"], offset, workers, previous, stopped)
     state.claims[data["rack"]] = claim
-    return Change(RecordType.CLAIM, offset, True)
+    return FoldResult(RecordType.CLAIM, offset, True)
 
 
-def _list_earlier(present: Claim | None, stopped: bool) -> tuple[tuple[str, ...], ...]:
+def _list_previous_workers(
+    present: Claim | None, stopped: bool
+) -> tuple[tuple[str, ...], ...]:
     """Return the worker sets of all claims whose holders may still have authority.
 
     A holder that never gained authority never fenced the workers of the one before
@@ -185,7 +208,7 @@
     return tuple(dict.fromkeys(s for s in sets if s))
 
 
-_FOLDS: Mapping[str, Callable[[DomainState, int, Mapping[str, Any]], Change]] = {
+_FOLDS: Mapping[str, Callable[[DomainState, int, Mapping[str, Any]], FoldResult]] = {
     RecordType.ABANDON: _apply_abandon,
     RecordType.ACCEPT: _apply_accept,
     RecordType.ASSIGN: apply_assign,
--- a/plantainyard/state/jobs.py
+++ b/plantainyard/state/jobs.py
@@ -19,11 +19,11 @@
     "JobSummary",
     "Retry",
     "TaskCounts",
-    "Waiting",
+    "WaitingTask",
     "allot_tasks",
     "count_waiting",
     "iter_job_waiting",
-    "take_waiting",
+    "remove_waiting",
 ]
 
 
@@ -67,7 +67,7 @@
     error: str
 
 
-class Waiting(NamedTuple):
+class WaitingTask(NamedTuple):
     """A task that may be assigned.
 
     Attributes
@@ -152,12 +152,12 @@
     """
 
     __slots__ = (
-        "assigned",
+        "assigned_count",
         "cancelled",
-        "done",
-        "dropped",
+        "done_count",
+        "cancelled_count",
         "failures",
-        "fresh",
+        "unattempted",
         "job",
         "offset",
         "retries",
@@ -166,12 +166,12 @@
     def __init__(self, job: Job, offset: int) -> None:
         self.job = job
         self.offset = offset
-        self.fresh: dict[str, Ranges] = {}
+        self.unattempted: dict[str, Ranges] = {}
         self.retries: dict[str, dict[int, Retry]] = {}
         self.failures: dict[int, Failure] = {}
-        self.assigned = 0
-        self.done = 0
-        self.dropped = 0
+        self.assigned_count = 0
+        self.done_count = 0
+        self.cancelled_count = 0
         self.cancelled = False
 
 
@@ -199,11 +199,11 @@
 
 def count_waiting(state: JobState, rack: str) -> int:
     """Return the number of tasks of the job that wait in `rack`."""
-    fresh = state.fresh.get(rack)
-    return (fresh.count if fresh else 0) + len(state.retries.get(rack, ()))
+    unattempted = state.unattempted.get(rack)
+    return (unattempted.count if unattempted else 0) + len(state.retries.get(rack, ()))
 
 
-def take_waiting(state: JobState, rack: str, number: int) -> Retry | None:
+def remove_waiting(state: JobState, rack: str, number: int) -> Retry | None:
     """Take a waiting task out of `rack`.
 
     Returns
@@ -212,10 +212,10 @@
         The task's attempts so far and its checkpoint; None where the task does not
         wait in this rack.
     """
-    fresh = state.fresh.get(rack)
-    if fresh is not None and remove_number(fresh, number):
-        if not fresh.count:
-            del state.fresh[rack]
+    unattempted = state.unattempted.get(rack)
+    if unattempted is not None and remove_number(unattempted, number):
+        if not unattempted.count:
+            del state.unattempted[rack]
         return Retry(0)
     retries = state.retries.get(rack)
     if retries is None or number not in retries:
@@ -226,17 +226,17 @@
     return retry
 
 
-def iter_job_waiting(state: JobState, rack: str) -> Iterator[Waiting]:
+def iter_job_waiting(state: JobState, rack: str) -> Iterator[WaitingTask]:
     """Yield the tasks of the job that wait in `rack`, retries first, lazily."""
     for number, retry in state.retries.get(rack, {}).items():
         failure = state.failures.get(number, Failure(0, ""))
-        yield Waiting(
+        yield WaitingTask(
             TaskKey(state.job.id, number),
             retry.attempts + 1,
             retry.checkpoint,
             failure.error,
             failure.failures,
         )
-    fresh = state.fresh.get(rack)
-    for number in iter_numbers(fresh) if fresh else ():
-        yield Waiting(TaskKey(state.job.id, number), 1, "", "", 0)
+    unattempted = state.unattempted.get(rack)
+    for number in iter_numbers(unattempted) if unattempted else ():
+        yield WaitingTask(TaskKey(state.job.id, number), 1, "", "", 0)
--- a/plantainyard/state/reader.py
+++ b/plantainyard/state/reader.py
@@ -22,13 +22,13 @@
     "ReaderAction",
     "ReaderSettings",
     "ReaderState",
-    "Regressed",
+    "LogRegressed",
     "Relayed",
-    "Restarted",
+    "ReadRestarted",
     "Restore",
-    "Told",
+    "EndReported",
     "is_current",
-    "read_age",
+    "get_staleness",
     "step_reader",
 ]
 
@@ -69,7 +69,7 @@
     retry_after_s: float = 0.0
 
 
-class Told(NamedTuple):
+class EndReported(NamedTuple):
     """A peer told that it holds everything below `next`."""
 
     next: int
@@ -82,7 +82,7 @@
     records: Sequence[LogRecord]
 
 
-ReadEvent = ReadTick | Fetched | FetchFailed | Told | Relayed
+ReadEvent = ReadTick | Fetched | FetchFailed | EndReported | Relayed
 
 
 class Fetch(NamedTuple):
@@ -105,21 +105,21 @@
     record: LogRecord
 
 
-class Restarted(NamedTuple):
+class ReadRestarted(NamedTuple):
     """Records from `wanted` to below `first` are gone; reading starts over."""
 
     wanted: int
     first: int
 
 
-class Regressed(NamedTuple):
+class LogRegressed(NamedTuple):
     """The log says that it ends at `next`, below what was read from it before."""
 
     wanted: int
     next: int
 
 
-ReaderAction = Fetch | Apply | Restore | Restarted | Regressed
+ReaderAction = Fetch | Apply | Restore | ReadRestarted | LogRegressed
 
 
 class ReaderSettings(NamedTuple):
@@ -178,12 +178,12 @@
         self.settings = settings
         self.rng = rng
         self.next_offset = 0
-        self.seeking = False
-        self.end = 0
-        self.heard = False
+        self.seeking_snapshot = False
+        self.known_end = 0
+        self.end_known = False
         self.current_at = float("-inf")
-        self.fetching = False
-        self.ask_at = float("-inf")
+        self.fetch_in_flight = False
+        self.fetch_at = float("-inf")
         self.failures = 0
 
 
@@ -193,12 +193,16 @@
     Notes
     -----
     False for a fresh instance until the log or a peer told where the stream ends:
-    it can't know what it misses. See `read_age` for how old that knowledge is.
+    it can't know what it misses. See `get_staleness` for how old that knowledge is.
     """
-    return state.heard and not state.seeking and state.next_offset >= state.end
+    return (
+        state.end_known
+        and not state.seeking_snapshot
+        and state.next_offset >= state.known_end
+    )
 
 
-def read_age(state: ReaderState, now: float) -> float:
+def get_staleness(state: ReaderState, now: float) -> float:
     """Return the seconds since the state was last known to be current."""
     return now - state.current_at
 
@@ -224,95 +228,95 @@
     actions: list[ReaderAction] = []
     match event:
         case Fetched():
-            _take_answer(state, event, now, actions)
+            _handle_page(state, event, now, actions)
         case FetchFailed():
-            _take_failure(state, event, now)
-        case Told():
-            _take_end(state, event.next)
+            _handle_failure(state, event, now)
+        case EndReported():
+            _update_end(state, event.next)
         case Relayed():
-            _take_end(state, event.next)
-            _take_relayed(state, event, actions)
-    if is_current(state) and isinstance(event, Fetched | Told | Relayed):
+            _update_end(state, event.next)
+            _handle_relayed(state, event, actions)
+    if is_current(state) and isinstance(event, Fetched | EndReported | Relayed):
         state.current_at = max(state.current_at, now)
-    if not state.fetching and now >= state.ask_at:
-        state.fetching = True
+    if not state.fetch_in_flight and now >= state.fetch_at:
+        state.fetch_in_flight = True
         settings = state.settings
         actions.append(Fetch(state.next_offset, settings.limit, settings.wait_ms))
     return actions
 
 
-def _take_end(state: ReaderState, end: int) -> None:
-    state.heard = True
-    state.end = max(state.end, end)
+def _update_end(state: ReaderState, end: int) -> None:
+    state.end_known = True
+    state.known_end = max(state.known_end, end)
 
 
-def _take_failure(state: ReaderState, event: FetchFailed, now: float) -> None:
+def _handle_failure(state: ReaderState, event: FetchFailed, now: float) -> None:
     settings = state.settings
-    state.fetching = False
+    state.fetch_in_flight = False
     pause = min(settings.retry_max_s, settings.retry_s * 2**state.failures)
     state.failures = min(state.failures + 1, 30)
     # All instances lose the log at the same moment; without the jitter they would
     # all come back at the same moment too.
-    state.ask_at = now + max(event.retry_after_s, pause) * state.rng.uniform(1.0, 1.5)
+    state.fetch_at = now + max(event.retry_after_s, pause) * state.rng.uniform(1.0, 1.5)
 
 
-def _take_answer(
+def _handle_page(
     state: ReaderState, event: Fetched, now: float, actions: list[ReaderAction]
 ) -> None:
-    state.fetching = False
+    state.fetch_in_flight = False
     state.failures = 0
-    if not state.seeking and event.next < state.next_offset:
+    if not state.seeking_snapshot and event.next < state.next_offset:
         # The log was set back, by a restore from an old copy. What was accepted must
         # not revert, so nothing is taken back and the instance is not current.
-        actions.append(Regressed(state.next_offset, event.next))
-        state.heard = False
-        state.ask_at = now + state.settings.retry_s
+        actions.append(LogRegressed(state.next_offset, event.next))
+        state.end_known = False
+        state.fetch_at = now + state.settings.retry_s
         return
-    _take_end(state, event.next)
+    _update_end(state, event.next)
     if event.first > state.next_offset:
-        _start_over(state, event.first, actions)
+        _restart_at(state, event.first, actions)
     for record in event.records:
-        if not _take_record(state, event.first, record, actions):
+        if not _handle_record(state, event.first, record, actions):
             break
     done = state.next_offset >= event.next
-    state.ask_at = now + (state.settings.pause_s if done else 0.0)
+    state.fetch_at = now + (state.settings.pause_s if done else 0.0)
 
 
-def _start_over(state: ReaderState, first: int, actions: list[ReaderAction]) -> None:
+def _restart_at(state: ReaderState, first: int, actions: list[ReaderAction]) -> None:
     # Retention passed this reader by, because it or the log was away too long. The
     # log answers with later records; folding them would skip the lost ones without
     # a sign, so nothing is folded before a snapshot that covers them.
-    if state.next_offset > 0 and not state.seeking:
-        actions.append(Restarted(state.next_offset, first))
-    state.seeking = True
+    if state.next_offset > 0 and not state.seeking_snapshot:
+        actions.append(ReadRestarted(state.next_offset, first))
+    state.seeking_snapshot = True
     state.next_offset = first
 
 
-def _take_record(
+def _handle_record(
     state: ReaderState, first: int, record: LogRecord, actions: list[ReaderAction]
 ) -> bool:
     """Take one record of the log in; tell whether to go on with the next one."""
     if record.offset < state.next_offset:
         return True
     if record.offset > state.next_offset:
-        _start_over(state, record.offset, actions)
-    if not state.seeking:
+        _restart_at(state, record.offset, actions)
+    if not state.seeking_snapshot:
         actions.append(Apply(record))
         state.next_offset = record.offset + 1
         return True
-    covers = _read_covers(state, record)
+    covers = _get_covers(state, record)
     # The records between what a snapshot covers and the snapshot itself were read
     # already; they are asked for again, so they must still be kept.
     if covers is None or covers + 1 < first:
         state.next_offset = record.offset + 1
         return True
     actions.append(Restore(record))
-    state.seeking = False
+    state.seeking_snapshot = False
     state.next_offset = covers + 1
     return False
 
 
-def _read_covers(state: ReaderState, record: LogRecord) -> int | None:
+def _get_covers(state: ReaderState, record: LogRecord) -> int | None:
     data = record.data
     if not isinstance(data, dict) or data.get("type") != state.settings.snapshot_type:
         return None
@@ -322,7 +326,7 @@
     return covers if 0 <= covers < record.offset else None
 
 
-def _take_relayed(
+def _handle_relayed(
     state: ReaderState, event: Relayed, actions: list[ReaderAction]
 ) -> None:
     """Fold what a peer handed on, as far as it follows without a gap.
@@ -331,12 +335,12 @@
     gap in a peer's records says nothing about the log's, so nothing starts over.
     """
     for record in event.records:
-        covers = _read_covers(state, record)
-        behind = state.seeking or state.next_offset < record.offset
+        covers = _get_covers(state, record)
+        behind = state.seeking_snapshot or state.next_offset < record.offset
         if covers is not None and behind and covers >= state.next_offset:
             actions.append(Restore(record))
-            state.seeking = False
+            state.seeking_snapshot = False
             state.next_offset = covers + 1
-        elif record.offset == state.next_offset and not state.seeking:
+        elif record.offset == state.next_offset and not state.seeking_snapshot:
             actions.append(Apply(record))
             state.next_offset = record.offset + 1
--- a/plantainyard/state/snapshots.py
+++ b/plantainyard/state/snapshots.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping, Sequence
 from typing import Any, NamedTuple, TypeVar
 
-from plantainyard.state.changes import Verdict
+from plantainyard.state.changes import RequestDecision
 from plantainyard.state.configuration import ConfigState, ConfigValue, HistoryEntry
 from plantainyard.state.domain import Claim, DomainState
 from plantainyard.state.jobs import (
@@ -21,20 +21,20 @@
     Retry,
 )
 from plantainyard.state.ranges import Ranges, list_ranges
-from plantainyard.state.requests import RequestMemory
+from plantainyard.state.requests import DecidedRequests
 from plantainyard.work import decode_job, encode_job, format_task, parse_task
 
 __all__ = [
     "SnapshotSettings",
-    "SnapshotWatch",
+    "SnapshotSchedule",
     "decode_config",
     "decode_domain",
     "encode_config",
     "encode_domain",
     "is_snapshot_due",
-    "note_record",
-    "note_snapshot",
-    "note_snapshot_tried",
+    "observe_record",
+    "observe_snapshot",
+    "record_snapshot_attempt",
 ]
 
 _Tuple = TypeVar("_Tuple", bound=tuple)
@@ -81,9 +81,9 @@
         for rack, items in data["assigned"].items()
     }
     for task in (task for tasks in state.assigned.values() for task in tasks):
-        state.jobs[task.job].assigned += 1
+        state.jobs[task.job].assigned_count += 1
     for entry in entries:
-        for rack in (*entry.fresh, *entry.retries):
+        for rack in (*entry.unattempted, *entry.retries):
             state.waiting.setdefault(rack, set()).add(entry.job.id)
     summaries = (_make(JobSummary, fields) for fields in data["completed"])
     state.completed = {summary.id: summary for summary in summaries}
@@ -106,21 +106,23 @@
     return {
         "job": encode_job(entry.job),
         "offset": entry.offset,
-        "fresh": {rack: list_ranges(tasks) for rack, tasks in entry.fresh.items()},
+        "fresh": {
+            rack: list_ranges(tasks) for rack, tasks in entry.unattempted.items()
+        },
         "retries": {
             rack: [[number, *retry] for number, retry in tasks.items()]
             for rack, tasks in entry.retries.items()
         },
         "failures": [[number, *entry.failures[number]] for number in entry.failures],
-        "done": entry.done,
-        "dropped": entry.dropped,
+        "done": entry.done_count,
+        "dropped": entry.cancelled_count,
         "cancelled": entry.cancelled,
     }
 
 
 def _decode_job_state(data: Mapping[str, Any]) -> JobState:
     entry = JobState(decode_job(data["job"]), data["offset"])
-    entry.fresh = {
+    entry.unattempted = {
         rack: Ranges((start, stop) for start, stop in pairs)
         for rack, pairs in data["fresh"].items()
     }
@@ -129,22 +131,26 @@
         for rack, items in data["retries"].items()
     }
     entry.failures = {item[0]: _make(Failure, item[1:]) for item in data["failures"]}
-    entry.done = data["done"]
-    entry.dropped = data["dropped"]
+    entry.done_count = data["done"]
+    entry.cancelled_count = data["dropped"]
     entry.cancelled = data["cancelled"]
     return entry
 
 
-def _encode_requests(memory: RequestMemory) -> dict[str, Any]:
-    verdicts = [[request, *verdict] for request, verdict in memory.verdicts.items()]
-    return {"verdicts": verdicts, "forgotten": memory.forgotten}
+def _encode_requests(decided: DecidedRequests) -> dict[str, Any]:
+    decisions = [
+        [request, *decision] for request, decision in decided.decisions.items()
+    ]
+    return {"verdicts": decisions, "forgotten": decided.newest_forgotten}
 
 
-def _decode_requests(data: Mapping[str, Any]) -> RequestMemory:
-    memory = RequestMemory()
-    memory.verdicts = {item[0]: _make(Verdict, item[1:]) for item in data["verdicts"]}
-    memory.forgotten = data["forgotten"]
-    return memory
+def _decode_requests(data: Mapping[str, Any]) -> DecidedRequests:
+    decided = DecidedRequests()
+    decided.decisions = {
+        item[0]: _make(RequestDecision, item[1:]) for item in data["verdicts"]
+    }
+    decided.newest_forgotten = data["forgotten"]
+    return decided
 
 
 def encode_config(state: ConfigState) -> dict[str, Any]:
@@ -154,7 +160,7 @@
         "version": state.version,
         "values": {key: list(entry) for key, entry in state.values.items()},
         "deleted": list(state.deleted.items()),
-        "floor": state.floor,
+        "floor": state.newest_forgotten_deletion,
         "requests": _encode_requests(state.requests),
         "history": [list(entry) for entry in state.history],
         "skipped": state.skipped,
@@ -176,7 +182,7 @@
         key: _make(ConfigValue, entry) for key, entry in data["values"].items()
     }
     state.deleted = dict(data["deleted"])
-    state.floor = data["floor"]
+    state.newest_forgotten_deletion = data["floor"]
     state.requests = _decode_requests(data["requests"])
     state.history.extend(_make(HistoryEntry, entry) for entry in data["history"])
     state.skipped = data["skipped"]
@@ -206,7 +212,7 @@
     retry_s: float = 30.0
 
 
-class SnapshotWatch:
+class SnapshotSchedule:
     """Watches the age of one stream's newest snapshot.
 
     Attributes
@@ -236,19 +242,21 @@
         self.base_time_s: float | None = None
         self.skew_s = float("-inf")
         self.factor = rng.uniform(settings.low, settings.high)
-        self.tried_at = float("-inf")
+        self.attempted_at = float("-inf")
 
 
-def note_record(watch: SnapshotWatch, time_s: float, now: float) -> None:
+def observe_record(watch: SnapshotSchedule, time_s: float, now: float) -> None:
     """Note that a record written at the log's `time_s` was read at `now`."""
     watch.skew_s = max(watch.skew_s, time_s - now)
     if watch.base_time_s is None:
         watch.base_time_s = time_s
 
 
-def note_snapshot(watch: SnapshotWatch, covers: int, time_s: float, now: float) -> None:
+def observe_snapshot(
+    watch: SnapshotSchedule, covers: int, time_s: float, now: float
+) -> None:
     """Note a snapshot, whoever wrote it; call it for restored ones too."""
-    note_record(watch, time_s, now)
+    observe_record(watch, time_s, now)
     if covers + 1 < watch.base_offset:
         return
     watch.base_offset = covers + 1
@@ -256,12 +264,12 @@
     watch.factor = watch.rng.uniform(watch.settings.low, watch.settings.high)
 
 
-def note_snapshot_tried(watch: SnapshotWatch, now: float) -> None:
+def record_snapshot_attempt(watch: SnapshotSchedule, now: float) -> None:
     """Note that this instance submitted a snapshot."""
-    watch.tried_at = now
+    watch.attempted_at = now
 
 
-def is_snapshot_due(watch: SnapshotWatch, next_offset: int, now: float) -> bool:
+def is_snapshot_due(watch: SnapshotSchedule, next_offset: int, now: float) -> bool:
     """Tell whether this instance should write a snapshot now.
 
     Parameters
@@ -280,7 +288,7 @@
     must not ask.
     """
     settings = watch.settings
-    if watch.base_time_s is None or now - watch.tried_at < settings.retry_s:
+    if watch.base_time_s is None or now - watch.attempted_at < settings.retry_s:
         return False
     age = now + watch.skew_s - watch.base_time_s
     if age >= watch.factor * settings.retention_s:
--- a/plantainyard/state/tasks.py
+++ b/plantainyard/state/tasks.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from plantainyard.state.changes import Change, Reason, VoidItem
+from plantainyard.state.changes import FoldResult, VoidItem, VoidReason
 from plantainyard.state.domain import MAX_COMPLETED, DomainState
 from plantainyard.state.jobs import (
     Assignment,
@@ -12,7 +12,7 @@
     JobSummary,
     Retry,
     count_waiting,
-    take_waiting,
+    remove_waiting,
 )
 from plantainyard.state.ranges import Ranges, add_number
 from plantainyard.state.records import (
@@ -28,11 +28,11 @@
     "apply_move",
     "apply_results",
     "complete_job",
-    "forget_waiting",
+    "remove_waiting_job",
 ]
 
 
-def forget_waiting(state: DomainState, rack: str, job: str) -> None:
+def remove_waiting_job(state: DomainState, rack: str, job: str) -> None:
     """Take `job` out of the rack's index of jobs with waiting tasks."""
     jobs = state.waiting.get(rack, set())
     jobs.discard(job)
@@ -43,7 +43,7 @@
 def complete_job(state: DomainState, offset: int, entry: JobState) -> None:
     """Keep only a summary of the job once all its tasks are done or cancelled."""
     job = entry.job
-    if entry.done + entry.dropped < job.task_count:
+    if entry.done_count + entry.cancelled_count < job.task_count:
         return
     del state.jobs[job.id]
     state.cancelled.discard(job.id)
@@ -52,8 +52,8 @@
         job.name,
         job.team,
         job.task_count,
-        entry.done,
-        entry.dropped,
+        entry.done_count,
+        entry.cancelled_count,
         entry.offset,
         offset,
         job.latency_critical,
@@ -62,9 +62,9 @@
         del state.completed[next(iter(state.completed))]
 
 
-def _judge_term(
+def _check_term(
     state: DomainState, offset: int, data: Mapping[str, Any]
-) -> Change | None:
+) -> FoldResult | None:
     """Return the verdict on a record of a past owner, None for the present one's.
 
     A paused owner's records may arrive after its rack was claimed by another, which
@@ -74,14 +74,16 @@
     if claim is not None and claim.holder and claim.term == data.get("term"):
         return None
     term = claim.term if claim else -1
-    return Change(data["type"], offset, False, Reason.TERM, term)
+    return FoldResult(data["type"], offset, False, VoidReason.TERM, term)
 
 
-def apply_assign(state: DomainState, offset: int, data: Mapping[str, Any]) -> Change:
+def apply_assign(
+    state: DomainState, offset: int, data: Mapping[str, Any]
+) -> FoldResult:
     """Fold an ``assign`` record; each item is judged alone."""
-    judged = _judge_term(state, offset, data)
-    if judged is not None:
-        return judged
+    void_result = _check_term(state, offset, data)
+    if void_result is not None:
+        return void_result
     return _apply_items(
         RecordType.ASSIGN,
         offset,
@@ -94,56 +96,58 @@
 
 def _apply_items(
     kind: str, offset: int, items: Iterable[tuple[TaskKey, int, str]]
-) -> Change:
-    verdicts = list(items)
-    void = tuple(VoidItem(*item) for item in verdicts if item[2])
-    applied = len(void) < len(verdicts)
+) -> FoldResult:
+    judged_items = list(items)
+    void = tuple(VoidItem(*item) for item in judged_items if item[2])
+    applied = len(void) < len(judged_items)
     reason = "" if applied or not void else void[0].reason
-    return Change(kind, offset, applied, reason, void=void)
+    return FoldResult(kind, offset, applied, reason, void=void)
 
 
 def _assign_task(state: DomainState, rack: str, item: AssignItem) -> str:
     task = item.task
     entry = state.jobs.get(task.job)
     if entry is None:
-        return Reason.NO_JOB
-    retry = take_waiting(entry, rack, task.number)
+        return VoidReason.NO_JOB
+    retry = remove_waiting(entry, rack, task.number)
     if retry is None:
-        return Reason.NOT_WAITING
+        return VoidReason.NOT_WAITING
     # A record of an earlier attempt that arrives late must not be taken for a new
     # decision: the owner that wrote it has long known that the attempt ended.
     if retry.attempts + 1 != item.attempt:
-        _put_waiting(state, entry, rack, task.number, retry)
-        return Reason.ATTEMPT
+        _add_waiting(state, entry, rack, task.number, retry)
+        return VoidReason.ATTEMPT
     assignment = Assignment(
         item.attempt, item.worker, retry.checkpoint, item.incarnation
     )
     state.assigned.setdefault(rack, {})[task] = assignment
-    entry.assigned += 1
+    entry.assigned_count += 1
     if not count_waiting(entry, rack):
-        forget_waiting(state, rack, task.job)
+        remove_waiting_job(state, rack, task.job)
     return ""
 
 
-def _put_waiting(
+def _add_waiting(
     state: DomainState, entry: JobState, rack: str, number: int, retry: Retry
 ) -> None:
     if retry.attempts:
         entry.retries.setdefault(rack, {})[number] = retry
     else:
-        add_number(entry.fresh.setdefault(rack, Ranges()), number)
+        add_number(entry.unattempted.setdefault(rack, Ranges()), number)
     state.waiting.setdefault(rack, set()).add(entry.job.id)
 
 
-def apply_results(state: DomainState, offset: int, data: Mapping[str, Any]) -> Change:
+def apply_results(
+    state: DomainState, offset: int, data: Mapping[str, Any]
+) -> FoldResult:
     """Fold a ``results`` record of the present term; each item is judged alone."""
     # A past owner concludes from what it knew that a lease lapsed or that an attempt
     # never started; its successor may have renewed or started it since, and the next
     # attempt would run beside it. What a worker told is not lost: it repeats it to the
     # successor.
-    judged = _judge_term(state, offset, data)
-    if judged is not None:
-        return judged
+    void_result = _check_term(state, offset, data)
+    if void_result is not None:
+        return void_result
     return _apply_items(
         RecordType.RESULTS,
         offset,
@@ -169,25 +173,25 @@
     # A worker repeats a finished attempt until it is acknowledged, so its result
     # may be written twice, the second time while the next attempt is running.
     if assignment is None or assignment.attempt != attempt:
-        return Reason.ATTEMPT
+        return VoidReason.ATTEMPT
     del assigned[task]
     if not assigned:
         del state.assigned[rack]
     entry = state.jobs[task.job]
-    entry.assigned -= 1
+    entry.assigned_count -= 1
     if outcome == Outcome.DONE:
-        entry.done += 1
+        entry.done_count += 1
         entry.failures.pop(task.number, None)
     elif entry.cancelled:
-        entry.dropped += 1
+        entry.cancelled_count += 1
     else:
-        retry = _judge_retry(entry, task.number, attempt, outcome, detail)
-        _put_waiting(state, entry, rack, task.number, retry)
+        retry = _make_retry(entry, task.number, attempt, outcome, detail)
+        _add_waiting(state, entry, rack, task.number, retry)
     complete_job(state, offset, entry)
     return ""
 
 
-def _judge_retry(
+def _make_retry(
     entry: JobState, number: int, attempt: int, outcome: str, detail: str
 ) -> Retry:
     if outcome == Outcome.EVICTED:
@@ -199,11 +203,11 @@
     return Retry(attempt)
 
 
-def apply_move(state: DomainState, offset: int, data: Mapping[str, Any]) -> Change:
+def apply_move(state: DomainState, offset: int, data: Mapping[str, Any]) -> FoldResult:
     """Fold a ``move`` record; each task is judged alone."""
-    judged = _judge_term(state, offset, data)
-    if judged is not None:
-        return judged
+    void_result = _check_term(state, offset, data)
+    if void_result is not None:
+        return void_result
     return _apply_items(
         RecordType.MOVE,
         offset,
@@ -218,11 +222,11 @@
     task, rack = parse_task(text), data["rack"]
     entry = state.jobs.get(task.job)
     if entry is None:
-        return Reason.NO_JOB
-    retry = take_waiting(entry, rack, task.number)
+        return VoidReason.NO_JOB
+    retry = remove_waiting(entry, rack, task.number)
     if retry is None:
-        return Reason.NOT_WAITING
+        return VoidReason.NOT_WAITING
     if not count_waiting(entry, rack):
-        forget_waiting(state, rack, task.job)
-    _put_waiting(state, entry, data["to_rack"], task.number, retry)
+        remove_waiting_job(state, rack, task.job)
+    _add_waiting(state, entry, data["to_rack"], task.number, retry)
     return ""
--- a/plantainyard/state/tests/test_appender.py
+++ b/plantainyard/state/tests/test_appender.py
@@ -8,22 +8,22 @@
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
 
 from plantainyard.state import (
-    Answered,
     Append,
     AppenderSettings,
     AppenderState,
+    AppendRefused,
     AppendReport,
     AppendStatus,
+    AppendSucceeded,
     AppendTick,
+    AppendUnconfirmed,
     DomainState,
-    Lost,
-    Refused,
-    Seen,
-    Skipped,
+    RecordRead,
+    RecordsSkipped,
     Submit,
     apply_record,
     count_backlog,
-    find_verdict,
+    find_decision,
     make_abandon,
     make_accept,
     make_claim,
@@ -96,11 +96,11 @@
             self.log.append(record)
         match fate:
             case "answer":
-                self.step(who, Answered(len(self.log) - 1))
+                self.step(who, AppendSucceeded(len(self.log) - 1))
             case "refused":
-                self.step(who, Refused(0.3))
+                self.step(who, AppendRefused(0.3))
             case _:
-                self.step(who, Lost())
+                self.step(who, AppendUnconfirmed())
 
     @precondition(lambda self: self.held)
     @rule()
@@ -112,14 +112,14 @@
         state = self.folded[who]
         for offset in range(state.next_offset, len(self.log)):
             change = apply_record(state, offset, self.log[offset])
-            self.step(who, Seen(offset, self.log[offset], change))
+            self.step(who, RecordRead(offset, self.log[offset], change))
 
     @rule(who=st.sampled_from([0, 1]))
     def skip(self, who: int) -> None:
         state = self.folded[who]
         for offset in range(state.next_offset, len(self.log)):
             apply_record(state, offset, self.log[offset])
-        self.step(who, Skipped(state.next_offset))
+        self.step(who, RecordsSkipped(state.next_offset))
 
     def teardown(self) -> None:
         for _ in range(60):
@@ -137,13 +137,13 @@
 
     def check_truth(self, who: int) -> None:
         for name, reports in self.reports[who].items():
-            verdict = find_verdict(self.folded[who], name)
-            stands = verdict is not None and bool(verdict.job) and verdict.applied
+            decision = find_decision(self.folded[who], name)
+            stands = decision is not None and bool(decision.job) and decision.applied
             last = reports[-1]
             assert last.status in (AppendStatus.APPLIED, AppendStatus.NOT_RUN)
             assert (last.status == AppendStatus.APPLIED) == stands
             if stands:
-                assert verdict is not None and last.offset == verdict.offset
+                assert decision is not None and last.offset == decision.offset
         told = sum(len(names) for names in self.reports)
         assert told == self.submitted
 
@@ -170,7 +170,7 @@
         now = n * 0.03
         event = Submit(make_claim(f"r{n}", "i", -1), f"k{n}")
         for _ in collect(step_appender(state, event, now), Append):
-            step_appender(state, Refused(), now)
+            step_appender(state, AppendRefused(), now)
     offset = 0
     starts = []
     while count_backlog(state):
@@ -178,8 +178,8 @@
         for action in collect(step_appender(state, AppendTick(), now), Append):
             starts.append(now)
             change = apply_record(state_of(offset), offset, action.record)
-            step_appender(state, Answered(offset), now)
-            step_appender(state, Seen(offset, action.record, change), now)
+            step_appender(state, AppendSucceeded(offset), now)
+            step_appender(state, RecordRead(offset, action.record, change), now)
             offset += 1
     appends = len(starts)
     assert appends == -(-2000 // AppenderSettings().max_group)
@@ -200,7 +200,7 @@
     (report,) = step_appender(state, Submit(make_request("b"), "b"), 0.0)
     assert isinstance(report, AppendReport)
     assert report.status == AppendStatus.NOT_RUN and report.retry_after_s > 0.0
-    step_appender(state, Answered(0), 0.0)
+    step_appender(state, AppendSucceeded(0), 0.0)
     urgent = Submit(make_claim("r1", "i", -1), "c", urgent=True)
     (append,) = collect(step_appender(state, urgent, 1.0), Append)
     assert append.record["records"][0]["type"] == "claim"
@@ -214,7 +214,7 @@
     step_appender(state, Submit(make_abandon("c"), "c"), 0.0)
     kinds = []
     for now in (1.0, 2.0, 3.0):
-        (append,) = collect(step_appender(state, Answered(0), now), Append)
+        (append,) = collect(step_appender(state, AppendSucceeded(0), now), Append)
         kinds.append(append.record["type"])
     assert kinds == ["abandon", "snapshot", "abandon"]
 
@@ -227,9 +227,9 @@
     """
     state = AppenderState(FAST, "w.", random.Random(5))
     step_appender(state, Submit(make_request("a"), "a", 9.0), 0.0)
-    step_appender(state, Lost(), 0.1)
+    step_appender(state, AppendUnconfirmed(), 0.1)
     assert collect(step_appender(state, AppendTick(), 4.0), Append)
-    step_appender(state, Refused(), 4.1)
+    step_appender(state, AppendRefused(), 4.1)
     actions = step_appender(state, AppendTick(), 9.0)
     assert [r.status for r in collect(actions, AppendReport)] == [AppendStatus.UNKNOWN]
     (append,) = collect(actions + step_appender(state, AppendTick(), 20.0), Append)
--- a/plantainyard/state/tests/test_configuration.py
+++ b/plantainyard/state/tests/test_configuration.py
@@ -9,7 +9,7 @@
 
 from plantainyard.state import (
     ConfigState,
-    Reason,
+    VoidReason,
     apply_config,
     configuration,
     decode_config,
@@ -46,7 +46,7 @@
         assert all(before[key] <= after[key] for key in "xyz")
         if record["type"] == "config" and record["base"] >= offset:
             assert not change.applied
-        if change.reason == Reason.BASE:
+        if change.reason == VoidReason.BASE:
             assert change.winner == max(before[key] for key in record["changes"])
     return state
 
@@ -61,7 +61,7 @@
     """
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(configuration, "MAX_DELETED", 1)
-        patch.setattr(requests, "MAX_VERDICTS", 3)
+        patch.setattr(requests, "MAX_DECISIONS", 3)
         check_snapshot(json.loads(json.dumps(records)), cut)
 
 
@@ -87,7 +87,7 @@
     second = apply_config(state, 2, make_config("c", 0, {"x": 3, "y": 3}))
     other = apply_config(state, 3, make_config("d", 0, {"y": 4}))
     assert (first.applied, second.applied, other.applied) == (True, False, True)
-    assert (second.reason, second.winner) == (Reason.BASE, 1)
+    assert (second.reason, second.winner) == (VoidReason.BASE, 1)
     assert (get_value(state, "x"), get_value(state, "y")) == (2, 4)
     assert [entry.version for entry in list_history(state)] == [0, 1, 3]
 
--- a/plantainyard/state/tests/test_folding.py
+++ b/plantainyard/state/tests/test_folding.py
@@ -18,14 +18,14 @@
     AssignItem,
     DomainState,
     Outcome,
-    Reason,
     ResultItem,
+    VoidReason,
     apply_record,
     count_tasks,
     decode_domain,
     encode_domain,
     find_claim,
-    find_verdict,
+    find_decision,
     get_assigned,
     get_job,
     iter_waiting,
@@ -113,8 +113,8 @@
         change = self.append(make_abandon(request))
         assert change.applied == (request not in self.decided)
         self.decided.setdefault(request, "abandon")
-        verdict = find_verdict(self.state, request)
-        assert verdict is not None and verdict.kind == self.decided[request]
+        decision = find_decision(self.state, request)
+        assert decision is not None and decision.kind == self.decided[request]
 
     @rule(request=st.integers(0, 3), name=st.sampled_from("ab"))
     def cancel(self, request: int, name: str) -> None:
@@ -157,7 +157,7 @@
         change = self.append(record)
         assert change.applied == (base == terms[-1])
         if not change.applied:
-            assert change.reason == Reason.BASE and change.winner == terms[-1]
+            assert change.reason == VoidReason.BASE and change.winner == terms[-1]
             return
         terms.append(change.offset)
         self.holders[rack] = holder
@@ -319,7 +319,7 @@
     Then so many requests are decided that the id is forgotten, and only now does the
     network deliver the first copy.
     """
-    monkeypatch.setattr(requests, "MAX_VERDICTS", 2)
+    monkeypatch.setattr(requests, "MAX_DECISIONS", 2)
     state = DomainState()
     first = {**make_accept("a", make_job("ja", 1), {"r1": 1}), "as_of": 0}
     cancel = make_cancel("b", ["ja"])
@@ -327,9 +327,9 @@
     for offset, record in enumerate([first, cancel, *later]):
         apply_record(state, offset, record)
     state.completed.clear()
-    assert find_verdict(state, "a") is None
+    assert find_decision(state, "a") is None
     change = apply_record(state, 5, first)
-    assert (change.applied, change.reason) == (False, Reason.FORGOTTEN)
+    assert (change.applied, change.reason) == (False, VoidReason.FORGOTTEN)
     assert get_job(state, "ja") is None
 
 
@@ -350,6 +350,6 @@
         make_results("r1", 1, lapsed),
     ]
     *_, last = [apply_record(state, n, record) for n, record in enumerate(records)]
-    assert (last.applied, last.reason) == (False, Reason.TERM)
+    assert (last.applied, last.reason) == (False, VoidReason.TERM)
     assert task in get_assigned(state, "r1")
     assert apply_record(state, 5, make_results("r1", 3, lapsed)).applied
--- a/plantainyard/state/tests/test_reader.py
+++ b/plantainyard/state/tests/test_reader.py
@@ -8,25 +8,25 @@
 
 from plantainyard.state import (
     Apply,
+    EndReported,
     Fetch,
     Fetched,
     FetchFailed,
     LogRecord,
+    LogRegressed,
     ReaderSettings,
     ReaderState,
+    ReadRestarted,
     ReadTick,
-    Regressed,
     Relayed,
-    Restarted,
     Restore,
+    SnapshotSchedule,
     SnapshotSettings,
-    SnapshotWatch,
-    Told,
+    get_staleness,
     is_current,
     is_snapshot_due,
-    note_record,
-    note_snapshot,
-    read_age,
+    observe_record,
+    observe_snapshot,
     step_reader,
 )
 
@@ -69,7 +69,7 @@
                     self.folded += 1
                 case Restore(record):
                     self.folded = record.data["covers"] + 1
-                case Restarted(wanted, first):
+                case ReadRestarted(wanted, first):
                     assert wanted == self.folded < first
                     self.restarts += 1
                 case Fetch():
@@ -122,7 +122,7 @@
                     answer = log.read(asked.offset, asked.limit)
                     reading.step(answer, now * 100.0)
         if is_current(reading.reader) and step == "read":
-            assert reading.folded >= reading.reader.end
+            assert reading.folded >= reading.reader.known_end
     covers = len(log.records) - 1
     if covers >= 0:
         log.append({"type": "snapshot", "covers": covers, "state": {}})
@@ -144,14 +144,14 @@
     reader = make_reader()
     assert step_reader(reader, ReadTick(), 0.0) == [Fetch(0, 3, 1000)]
     step_reader(reader, FetchFailed(), 1.0)
-    assert not is_current(reader) and read_age(reader, 1.0) == float("inf")
-    step_reader(reader, Told(2), 2.0)
+    assert not is_current(reader) and get_staleness(reader, 1.0) == float("inf")
+    step_reader(reader, EndReported(2), 2.0)
     assert not is_current(reader)
     records = [LogRecord(n, 0.0, {"type": "x"}) for n in range(2)]
     step_reader(reader, Relayed(2, records), 3.0)
-    assert is_current(reader) and read_age(reader, 5.0) == 2.0
-    step_reader(reader, Told(3), 6.0)
-    assert not is_current(reader) and read_age(reader, 7.0) == 4.0
+    assert is_current(reader) and get_staleness(reader, 5.0) == 2.0
+    step_reader(reader, EndReported(3), 6.0)
+    assert not is_current(reader) and get_staleness(reader, 7.0) == 4.0
 
 
 def test_log_set_back_reverts_nothing() -> None:
@@ -161,7 +161,7 @@
     step_reader(reader, Fetched(0, 4, records), 1.0)
     assert is_current(reader)
     actions = step_reader(reader, Fetched(0, 2, []), 2.0)
-    assert actions[0] == Regressed(4, 2) and not is_current(reader)
+    assert actions[0] == LogRegressed(4, 2) and not is_current(reader)
 
 
 def test_failures_are_spread_and_bounded() -> None:
@@ -170,8 +170,8 @@
     step_reader(reader, ReadTick(), now)
     for _ in range(12):
         assert step_reader(reader, FetchFailed(), now) == []
-        pauses.append(reader.ask_at - now)
-        now = reader.ask_at
+        pauses.append(reader.fetch_at - now)
+        now = reader.fetch_at
         assert step_reader(reader, ReadTick(), now)
     assert pauses[0] < pauses[-1] <= 1.5 * ReaderSettings().retry_max_s
 
@@ -183,14 +183,14 @@
     records, and the only snapshot expired.
     """
     watches = [
-        SnapshotWatch(SnapshotSettings(1000.0), random.Random(seed))
+        SnapshotSchedule(SnapshotSettings(1000.0), random.Random(seed))
         for seed in range(8)
     ]
     assert not is_snapshot_due(watches[0], 0, 1e6)
     due = []
     for skew, watch in enumerate(watches):
-        note_record(watch, 0.0, -1e5 * skew)
-        note_snapshot(watch, 41, 10.0, 10.0 - 1e5 * skew)
+        observe_record(watch, 0.0, -1e5 * skew)
+        observe_snapshot(watch, 41, 10.0, 10.0 - 1e5 * skew)
         times = (n for n in range(1000) if is_snapshot_due(watch, 42, n - 1e5 * skew))
         due.append(next(times))
         assert is_snapshot_due(watch, 42 + 20_000, 10.0 - 1e5 * skew)
