--- a/plantainyard/dispatch/__init__.py
+++ b/plantainyard/dispatch/__init__.py
@@ -1,7 +1,8 @@
-"""Decisions about one unit's jobs and runners: a function of state, event and time.
+"""Scheduling of one unit's jobs on its runners, as a function of state, event and time.
 
-The state is a `Dispatcher`; `step` changes it and returns actions. Nothing here has a
-clock, a socket or a thread. `docs/design/platform.md` says why it is built so.
+`step` updates the state, a `Dispatcher`, and returns the actions to carry out. The
+package uses no clock, sockets or threads of its own; `docs/design/platform.md` gives
+the reasons for this design.
 """
 
 from plantainyard.dispatch.dispatcher import Dispatcher, restore_dispatcher, step
--- a/plantainyard/dispatch/dispatcher.py
+++ b/plantainyard/dispatch/dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher of one unit: its state, and what each event makes of it."""
+"""Dispatcher of one unit: applies events to its state and returns actions."""
 
 import logging
 
@@ -73,92 +73,93 @@
 
 
 FORGET_INTERVAL_S = 1.0
-"""Time between looks at what wasn't seen; several reports of each runner."""
+"""Time between expiries of unobserved estimates; several reports of each runner come
+within it."""
 
 INTERFERENCE_INTERVAL_S = 3.0
-"""Time between stored copies of what is learnt of interference: a second of learning
-is lost by a change of owner on average, for a kilobyte each time."""
+"""Time between stored copies of the interference model: a change of owner loses about a
+second of learning on average, at the cost of a kilobyte per copy."""
 
 
 TIMES_INTERVAL_S = 0.5
-"""Time between additions to what the tasks of all jobs did; the sums at a job's end are
-off by half of it."""
+"""Time between updates of the times of all jobs; the sums at a job's end are off by
+half of it."""
 
 MOVES_INTERVAL_S = 0.3
-"""Time between looks at work that would be better off elsewhere; none of it shows in
-less than 0.8 s."""
+"""Time between searches for tasks that should move; the reasons for a move take at
+least 0.8 s to show."""
 
-_WITHOUT_ROOM = (ReportFailed, OrderAnswered, OwnershipRenewed)
-"""Events after which nothing is free that wasn't before."""
+_NO_CAPACITY_FREED = (ReportFailed, OrderAnswered, OwnershipRenewed)
+"""Events that free no capacity."""
 
 LOAD_INTERVAL_S = 0.3
-"""Time between looks at how full the unit is; owners ask each other once a second."""
+"""Time between measurements of the unit's load; owners query each other every 1 s."""
 
 
 def restore_dispatcher(
     replica: Replica, limits: Limits, now: float, wall_ms: float, fenced_at: float
 ) -> Dispatcher:
-    """Return a dispatcher that goes on where the stored records end.
+    """Return a dispatcher that continues from the stored records.
 
     Parameters
     ----------
     replica : Replica
-        All records of the unit, read after every predecessor was fenced off.
+        All records of the unit, read after all predecessors were fenced.
     limits : Limits
-        Times and weights.
+        Time limits and thresholds.
     now : float
         The dispatcher's clock.
     wall_ms : float
         Unix milliseconds at `now`, for due times of schedules and ages of jobs.
     fenced_at : float
-        When the owner's first record was sent: a successor's comes later.
+        When the owner sent its first record; that of a successor is sent later.
     """
     state = Dispatcher(limits=limits, wall_offset_s=wall_ms / 1000 - now)
     state.took_over_at = now
     state.renewed_at = fenced_at
     restore_jobs(state, replica, now)
     if replica.interference:
-        state.interference = _restore_interference(replica.interference)
+        state.interference = _decode_interference_record(replica.interference)
     return state
 
 
-def _restore_interference(value: bytes) -> InterferenceModel:
+def _decode_interference_record(value: bytes) -> InterferenceModel:
     try:
         return decode_interference(value)
     except (ValueError, TypeError, AttributeError) as error:
-        # Nothing but time is lost: it is learnt again.
-        _logger.warning("unreadable record of harms: %r", error)
+        # The estimates are learnt again from reports.
+        _logger.warning("cannot decode the stored interference model: %r", error)
         return InterferenceModel()
 
 
 def step(state: Dispatcher, event: Event, now: float) -> list[Action]:
-    """Take `event` in and return what is to be done.
+    """Apply `event` to `state` and return the actions to carry out.
 
     Parameters
     ----------
     state : Dispatcher
-        Changed in place.
+        State, changed in place.
     event : Event
-        What happened.
+        Event to apply.
     now : float
-        Seconds on a clock that is never set back.
+        Seconds on a monotonic clock.
     """
-    _take(state, event, now)
+    _apply(state, event, now)
     if isinstance(event, Tick):
         record_free_cpu(state.runners.values())
-        _measure_load(state, now)
+        _update_load(state, now)
         plan_handovers(state, state.jobs.values(), now)
         plan_task_handovers(state, now)
         open_due_occurrences(state, now)
         orders.resend_orders(state, now)
         reports.expire_leases(state, now)
         _plan_moves(state, now)
-        _measure_times(state, now)
+        _update_times(state, now)
         _expire_interference(state, now)
         confirm_deliveries(state, now)
         expire_arrivals(state, now)
     state.plan_due |= _changes_plan(state, event)
-    state.changed_runners |= _find_changed(event)
+    state.changed_runners |= _find_changed_runners(event)
     state.search_all |= isinstance(event, Tick)
     if not state.commit_pending:
         if state.plan_due:
@@ -172,21 +173,21 @@
 
 
 def _changes_plan(state: Dispatcher, event: Event) -> bool:
-    """Return whether waiting work may find a place after `event`.
+    """Return whether waiting tasks may find a place after `event`.
 
     Notes
     -----
-    Most events are reports and answers after which nothing is free that wasn't before,
-    and a look through all jobs after each is most of an owner's work. What a
-    report tells of harm waits for the next tick, a tenth of a second at most.
+    Most events are reports and answers that free no capacity, and searching all jobs
+    after each would be most of an owner's work. What a report shows of interference
+    takes effect at the next tick, within 0.1 s.
     """
     if isinstance(event, ReportReceived):
         return bool(state.dirty_steps or state.new_final_states)
-    return not isinstance(event, _WITHOUT_ROOM)
+    return not isinstance(event, _NO_CAPACITY_FREED)
 
 
-def _find_changed(event: Event) -> set[str]:
-    """Return the life of the runner that may have more room after `event`."""
+def _find_changed_runners(event: Event) -> set[str]:
+    """Return the runner incarnation that may have more capacity after `event`."""
     match event:
         case ReportReceived() | OrderAnswered():
             return {event.incarnation}
@@ -195,7 +196,7 @@
     return set()
 
 
-def _measure_load(state: Dispatcher, now: float) -> None:
+def _update_load(state: Dispatcher, now: float) -> None:
     if now - state.load_measured_at >= LOAD_INTERVAL_S:
         state.load = measure_load(state)._replace(
             slots=count_slots(state, now), ending=measure_finite_demand(state, now)
@@ -210,7 +211,7 @@
         state.moves_planned_at = now
 
 
-def _measure_times(state: Dispatcher, now: float) -> None:
+def _update_times(state: Dispatcher, now: float) -> None:
     elapsed_s = now - (state.times_updated_at or now)
     if not state.times_updated_at or elapsed_s >= TIMES_INTERVAL_S:
         add_elapsed_time(state.jobs.values(), elapsed_s)
@@ -226,7 +227,7 @@
         state.interference_expired_at = now
 
 
-def _take(state: Dispatcher, event: Event, now: float) -> None:
+def _apply(state: Dispatcher, event: Event, now: float) -> None:
     match event:
         case ReportReceived():
             reports.apply_report(state, event, now)
@@ -235,7 +236,7 @@
         case OrderAnswered():
             runs.apply_order_result(state, event, now)
         case Committed():
-            _take_commit(state, now)
+            _apply_commit(state, now)
         case OwnershipRenewed(sent_at):
             state.renewed_at = max(state.renewed_at, sent_at)
         case JobSubmitted(submission):
@@ -251,15 +252,17 @@
             end_cancelled_jobs(state)
         case LoadsReceived(loads):
             state.other_loads = dict(loads)
-        case InterferenceReceived(interference):
-            for told in interference:
-                merge_interference(state.interference, _restore_interference(told))
+        case InterferenceReceived(records):
+            for record in records:
+                merge_interference(
+                    state.interference, _decode_interference_record(record)
+                )
         case EntryChanged(runner, entry):
             reports.apply_entry(state, runner, entry, now)
 
 
 def _commit(state: Dispatcher, now: float) -> None:
-    """Put all that changed since the last commit into the next one."""
+    """Commit all changes since the last commit, if there are any to store."""
     summaries = [
         _summarize(state.jobs[job_id], now) for job_id in state.new_final_states
     ]
@@ -268,8 +271,8 @@
         for item in state.dirty_steps.values()
         if not item.job.final_state
     ]
-    for job_id, ended in state.new_final_states.items():
-        records.append(Record(make_end_key(job_id), ended.encode()))
+    for job_id, final_state in state.new_final_states.items():
+        records.append(Record(make_end_key(job_id), final_state.encode()))
         records += [
             Record(make_progress_key(job_id, *place), b"")
             for place in state.jobs[job_id].steps
@@ -279,28 +282,28 @@
         for job_id, submission in state.outgoing.items()
         if not submission.piece
     ]
-    seen = {
+    last_ends = {
         incarnation: r.last_end
         for incarnation, r in state.runners.items()
         if r.last_end > r.last_stored_end
     }
     if not records:
-        for incarnation, number in seen.items():
+        for incarnation, number in last_ends.items():
             state.runners[incarnation].last_stored_end = number
         return
-    records += _encode_begun(state)
+    records += _encode_started(state)
     records += pop_delivery_records(state)
     if (
         state.interference.estimates
         and now - state.interference_stored_at > INTERFERENCE_INTERVAL_S
     ):
-        # With the records of others: a commit of its own would be one more call.
+        # Only together with other records: a separate commit would be another call.
         records.append(
             Record(INTERFERENCE_KEY, encode_interference(state.interference))
         )
         state.interference_stored_at = now
     state.commit_pending = True
-    state.committing_last_ends = seen
+    state.committing_last_ends = last_ends
     state.committing_ends = list(state.new_final_states)
     state.committing_outgoing = state.outgoing
     state.outgoing = {}
@@ -312,8 +315,8 @@
     state.actions.append(Commit(records, summaries))
 
 
-def _encode_begun(state: Dispatcher) -> list[Record]:
-    """Return the records of steps that nothing else has changed since jobs began."""
+def _encode_started(state: Dispatcher) -> list[Record]:
+    """Return the records of steps that only the start of their jobs has changed."""
     return [
         Record(_progress_key(item), _encode_step(item))
         for identity, item in state.started_steps.items()
@@ -333,12 +336,12 @@
     )
 
 
-def _take_commit(state: Dispatcher, now: float) -> None:
+def _apply_commit(state: Dispatcher, now: float) -> None:
     state.commit_pending = False
     for incarnation, number in state.committing_last_ends.items():
         if incarnation in state.runners:
             runner = state.runners[incarnation]
-            # Less was seen than is stored where a new life has answered meanwhile.
+            # The last end was reset if a new incarnation has answered in the meantime.
             runner.last_stored_end = max(
                 runner.last_stored_end, min(number, runner.last_end)
             )
--- a/plantainyard/dispatch/events.py
+++ b/plantainyard/dispatch/events.py
@@ -1,4 +1,4 @@
-"""What the dispatcher is told and what it asks for."""
+"""Events that the dispatcher handles and actions that it returns."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -37,7 +37,7 @@
 
 
 class OrderKind:
-    """Names of the orders about a run."""
+    """Kinds of orders about a run."""
 
     START = "start"
     STOP = "stop"
@@ -45,30 +45,30 @@
 
 
 class JobSubmitted(NamedTuple):
-    """A job is in the store."""
+    """A job was stored."""
 
     submission: Submission
 
 
 class CancelRequested(NamedTuple):
-    """A request to cancel a job is in the store."""
+    """A request to cancel a job was stored."""
 
     job_id: str
 
 
 class EntryChanged(NamedTuple):
-    """A runner's entry was written, or removed (None)."""
+    """A runner's entry in the store was written, or removed (None)."""
 
     runner: str
     entry: RunnerEntry | None
 
 
 class Committed(NamedTuple):
-    """The records of the last `Commit` are in the store."""
+    """The records of the last `Commit` were stored."""
 
 
 class OrderAnswered(NamedTuple):
-    """An order was answered, or certainly or possibly lost."""
+    """An order was answered, or its answer or the order itself was lost."""
 
     kind: str
     task: TaskKey
@@ -79,7 +79,7 @@
 
 
 class ReportReceived(NamedTuple):
-    """A runner has reported."""
+    """A runner answered a request for a report."""
 
     incarnation: str
     report: RunnerReport
@@ -87,12 +87,12 @@
 
 
 class ReportFailed(NamedTuple):
-    """A runner's report didn't come.
+    """A runner didn't answer a request for a report, or refused it.
 
     Attributes
     ----------
     other_incarnation : bool
-        The address answered for another life of the runner.
+        Whether another incarnation of the runner answered at its address.
     """
 
     incarnation: str
@@ -102,43 +102,43 @@
 
 
 class OwnershipRenewed(NamedTuple):
-    """The group has confirmed the ownership.
+    """The group confirmed that this instance owns the unit.
 
     Attributes
     ----------
     sent_at : float
-        When it was asked.
+        When the renewal was sent.
     """
 
     sent_at: float
 
 
 class Forwarded(NamedTuple):
-    """The records of a `Forward` are stored in their unit.
+    """The records of a `Forward` were stored in their unit.
 
     Attributes
     ----------
     keys : sequence of str
-        Their keys.
+        Keys of the records.
     """
 
     keys: Sequence[str]
 
 
 class LoadsReceived(NamedTuple):
-    """The owners of other units have told how full those are."""
+    """The owners of other units reported the loads of their units."""
 
     loads: dict[int, Load]
 
 
 class InterferenceReceived(NamedTuple):
-    """The owners of other units have told what they have learnt of interference."""
+    """The owners of other units sent their encoded interference models."""
 
     records: list[bytes]
 
 
 class Tick(NamedTuple):
-    """Time has passed."""
+    """Time has passed; sent at regular intervals."""
 
 
 Event = (
@@ -158,19 +158,20 @@
 
 
 class JobSummary(NamedTuple):
-    """What became of a job.
+    """Outcome and time of a job that has ended.
 
     Attributes
     ----------
     job_id, state : str
         The job and its final state.
-    duration_s, lateness_s : float
-        From its acceptance to its end, and by how much that is over its objective as
-        far as estimates tell; negative where it is in time.
+    duration_s : float
+        Time from its acceptance to its end.
+    lateness_s : float
+        Time by which it ended after its estimated deadline; negative if it was in time.
     task_time_s : dict
-        Seconds of its tasks by `timing.TimePart`, since this owner took over.
+        Task-seconds by `timing.TimePart`, since this owner took over.
     lost_runs : dict
-        Runs since then that ended otherwise than done, by how they ended.
+        Number of runs since then that didn't complete, by outcome.
     """
 
     job_id: str
@@ -182,14 +183,14 @@
 
 
 class Commit(NamedTuple):
-    """Store records, then say `Committed`; one at a time, in order.
+    """Store records, then send `Committed`; commits are stored one at a time, in order.
 
     Attributes
     ----------
     records : sequence of Record
-        What to store.
+        Records to store.
     summaries : sequence of JobSummary
-        Of the jobs whose ends are among them, for logs and meters.
+        Summaries of the jobs whose ends are among the records, for logs and metrics.
     """
 
     records: Sequence[Record]
@@ -197,14 +198,14 @@
 
 
 class JobStarted(NamedTuple):
-    """A task of a job is known to have started, for the first time.
+    """Record that the first task of a job has started.
 
     Attributes
     ----------
     job_id : str
-        The job, or the task that was handed over alone.
+        The job, or the task that was handed over on its own.
     waited_s : float
-        Since this owner took the job in.
+        Time since this owner received the job.
     """
 
     job_id: str
@@ -212,29 +213,29 @@
 
 
 class HandoversConfirmed(NamedTuple):
-    """Jobs that were handed over are known in their new units."""
+    """Record that jobs that were handed over are known to their new units."""
 
     job_ids: Sequence[str]
 
 
 class Forward(NamedTuple):
-    """Store records among what another unit takes in, in order, until it is done."""
+    """Store records in the intake of another unit, in order, until it succeeds."""
 
     unit: int
     records: Sequence[Record]
 
 
 class SendOrder(NamedTuple):
-    """Send an order about a run and say `OrderAnswered`.
+    """Send an order about a run, then send `OrderAnswered`.
 
     Attributes
     ----------
     kind : str
         One of `OrderKind`.
     entry : RunnerEntry
-        The runner's life that it is meant for.
+        Incarnation of the runner that the order is addressed to.
     task, run : TaskKey, int
-        The run.
+        The task and the number of its run.
     spec, lease_until_ms, checkpoint, percent
         See `plantainyard.platform.Order`.
     """
@@ -250,7 +251,7 @@
 
 
 class RequestReport(NamedTuple):
-    """Ask a runner for its report; say `ReportReceived` or `ReportFailed`."""
+    """Request a runner's report, then send `ReportReceived` or `ReportFailed`."""
 
     entry: RunnerEntry
     last_seen: int
--- a/plantainyard/dispatch/forwarding.py
+++ b/plantainyard/dispatch/forwarding.py
@@ -1,4 +1,4 @@
-"""What is sent to other units: jobs, single tasks, and requests to cancel them."""
+"""Forwarding of jobs, single tasks and requests to cancel them to other units."""
 
 from collections.abc import Iterable, Iterator
 
@@ -34,51 +34,52 @@
 ]
 
 MAX_FORWARD_BYTES = 500_000
-"""Values sent to another unit in one call; the store takes four times as much, and a
-single one of them may be half of it."""
+"""Maximum size of the values sent to another unit in one call: a quarter of what the
+store accepts. A single value may be half of this size."""
 
 DELIVERY_READ_S = 5.0
-"""Time after which a unit's owner knows what was stored for it, or tells no counts: it
-counts up to 3.5 s after its last word from the store, and is asked within a second."""
+"""Time after which the owner of a unit has read a record stored for it, or reports no
+counts: it reports counts until 3.5 s after its last answer from the store, and is
+queried within 1 s."""
 
 ARRIVAL_RETENTION_S = 8.0
-"""Time for which an owner tells that a job has arrived: over what its old unit goes on
-telling it for."""
+"""Time for which an owner reports a job as arrived: longer than the job's old unit
+continues to report it."""
 
 
 def add_hop(submission: Submission) -> Submission:
-    """Return a submission as the unit that it is handed to stores it."""
+    """Return a submission in the form in which the next unit stores it."""
     return submission._replace(hops=submission.hops + 1)
 
 
 def build_task_submission(task: Task) -> Submission:
-    """Return the submission of a single task as its new unit stores it."""
+    """Return the submission of a single task in the form that its new unit stores."""
     place = task.key.occurrence, task.key.step, task.key.number
-    piece = task.step.job.submission._replace(piece=place, first_run=task.run)
-    return add_hop(piece)
+    submission = task.step.job.submission._replace(piece=place, first_run=task.run)
+    return add_hop(submission)
 
 
 def record_handover(state: Dispatcher, submission: Submission, unit: int) -> None:
-    """Take note that another unit has a job from now on."""
+    """Record that another unit is responsible for a job from now on."""
     state.handed_over[submission.record_id] = unit
     state.unconfirmed.add(submission.record_id)
 
 
 def forward_outgoing(state: Dispatcher) -> None:
-    """Send the jobs whose handing over is stored to their new units."""
-    handed, state.committing_outgoing = state.committing_outgoing, {}
-    cancelled = state.cancelled_outgoing & handed.keys()
+    """Send the jobs whose handover is stored to their new units."""
+    outgoing, state.committing_outgoing = state.committing_outgoing, {}
+    cancelled = state.cancelled_outgoing & outgoing.keys()
     state.cancelled_outgoing -= cancelled
     records: dict[int, list[Record]] = {}
-    for job_id, submission in handed.items():
-        found = make_records(submission, job_id in cancelled)
-        records.setdefault(state.handed_over[job_id], []).extend(found)
-    for unit, rows in records.items():
-        state.actions += [Forward(unit, part) for part in _split(rows)]
+    for job_id, submission in outgoing.items():
+        built = make_records(submission, job_id in cancelled)
+        records.setdefault(state.handed_over[job_id], []).extend(built)
+    for unit, unit_records in records.items():
+        state.actions += [Forward(unit, part) for part in _split(unit_records)]
 
 
 def _split(records: list[Record]) -> Iterator[list[Record]]:
-    """Yield records in order in parts that one call to the store takes."""
+    """Yield the records in order, in parts that fit into one call to the store."""
     part: list[Record] = []
     size = 0
     for record in records:
@@ -91,22 +92,22 @@
 
 
 def confirm_forwarded(state: Dispatcher, keys: Iterable[str], now: float) -> None:
-    """Take note that records are stored in other units."""
-    found = [parse_key(key) for key in keys]
-    state.pending_cancels -= {k.job_id for k in found if k.kind == RecordKind.CANCEL}
-    stored = {k.job_id for k in found if k.kind == RecordKind.SUBMISSION}
+    """Record that records were stored in other units."""
+    parsed = [parse_key(key) for key in keys]
+    state.pending_cancels -= {k.job_id for k in parsed if k.kind == RecordKind.CANCEL}
+    stored = {k.job_id for k in parsed if k.kind == RecordKind.SUBMISSION}
     state.delivered_at |= dict.fromkeys(stored & state.unconfirmed, now)
     state.unconfirmed -= stored
 
 
 def confirm_deliveries(state: Dispatcher, now: float) -> None:
-    """Take note of the jobs whose new units have had the time to read of them.
+    """Record the jobs whose new units have had time to read them.
 
     Notes
     -----
-    Guards against a successor that sends every job again that was ever handed over,
-    one after the other, before those that nobody has yet. The records wait for a commit
-    that there is anyway.
+    Guards against a successor that resends every job that was ever handed over, one
+    after the other, before the jobs that no unit has received yet. The records are
+    added to the next commit and don't cause one.
     """
     due = [job for job, at in state.delivered_at.items() if now - at >= DELIVERY_READ_S]
     if due:
@@ -117,45 +118,45 @@
 
 
 def pop_delivery_records(state: Dispatcher) -> list[Record]:
-    """Return the records of jobs that their new units know of."""
-    settled, state.confirmed = state.confirmed, []
-    return [Record(make_delivery_key(job_id), DELIVERED_VALUE) for job_id in settled]
+    """Remove and return the records of jobs that their new units have read."""
+    confirmed, state.confirmed = state.confirmed, []
+    return [Record(make_delivery_key(job_id), DELIVERED_VALUE) for job_id in confirmed]
 
 
 def record_arrival(state: Dispatcher, submission: Submission, now: float) -> None:
-    """Take note that a whole job was handed to this unit."""
+    """Record that a whole job was handed over to this unit."""
     if submission.hops and not submission.piece:
         state.arrivals[submission.job_id] = Arrival(submission.queue, now)
 
 
 def list_arrivals(state: Dispatcher, queue: str) -> frozenset[str]:
-    """Return the jobs of a queue that were handed to this unit in the last seconds.
+    """Return the jobs of a queue that were recently handed over to this unit.
 
     Notes
     -----
-    Any thread may ask.
+    May be called from any thread.
     """
-    arrived = list(state.arrivals.items())
-    return frozenset(job_id for job_id, came in arrived if came.queue == queue)
+    arrivals = list(state.arrivals.items())
+    return frozenset(job_id for job_id, item in arrivals if item.queue == queue)
 
 
 def expire_arrivals(state: Dispatcher, now: float) -> None:
-    """Forget the jobs that were handed to this unit longer ago."""
+    """Remove the arrivals that are older than `ARRIVAL_RETENTION_S`."""
     kept = {
-        j: came
-        for j, came in state.arrivals.items()
-        if now - came.received_at < ARRIVAL_RETENTION_S
+        job_id: item
+        for job_id, item in state.arrivals.items()
+        if now - item.received_at < ARRIVAL_RETENTION_S
     }
     state.arrivals = kept
 
 
 def make_forward(submission: Submission, unit: int, cancelled: bool) -> Forward:
-    """Return what sends a submission to a unit; a repeat of it does no harm there."""
+    """Return the action that sends a submission to a unit; repeating it is harmless."""
     return Forward(unit, make_records(submission, cancelled))
 
 
 def make_records(submission: Submission, cancelled: bool) -> list[Record]:
-    """Return what a submission's new unit is to store."""
+    """Return the records that the new unit of a submission stores."""
     job_id = submission.record_id
     records = [Record(make_submission_key(job_id), encode_submission(submission))]
     if cancelled:
@@ -164,13 +165,14 @@
 
 
 def forward_cancel(state: Dispatcher, job_id: str) -> None:
-    """Pass the cancelling of a job on to the unit that has it.
+    """Forward the cancellation of a job to the unit that is responsible for it.
 
     Notes
     -----
-    Guards against a cancelled task that goes on elsewhere: a job whose end was stored
-    while the request was still on its way to another unit had nobody left to send it
-    again once the owner was lost. It is out until the other unit's record is stored.
+    Guards against a cancelled task that continues to run in another unit: if the end of
+    its job were stored before the cancellation has reached that unit, nobody would
+    resend the cancellation after the owner was lost. It is therefore pending, and keeps
+    the job open, until it is stored in the other unit.
     """
     state.pending_cancels.add(job_id)
     if job_id in state.outgoing or job_id in state.committing_outgoing:
--- a/plantainyard/dispatch/handover.py
+++ b/plantainyard/dispatch/handover.py
@@ -1,9 +1,9 @@
-"""Handing waiting jobs to other units.
+"""Handover of waiting jobs and tasks to other units.
 
-The load that it answers: jobs are spread over units by their ids, and after some
-minutes one unit holds long-running jobs for all its processors while its neighbour has
-a third of them free. A job of which nothing has run yet goes, as a whole, where there
-is more room. It goes once: a job that is passed on and on would run nowhere.
+Jobs are spread over units by their ids. After some minutes, the long-running jobs of
+one unit may occupy all its processors while another unit has a third of them free. A
+job of which no task has run yet is therefore handed over as a whole to a unit with more
+capacity, but only once: a job that is handed over repeatedly might never run.
 """
 
 import math
@@ -30,49 +30,49 @@
 ]
 
 MAX_HOPS = 1
-"""Units that a job is passed on to."""
+"""Number of times that a job may be handed over."""
 
 LONG_RUNNING_DIFFERENCE = 0.08
-"""Difference of reserved processors, as a part of a unit's, from which a long-running
-job goes elsewhere at once: it stays for long, so the difference would."""
+"""Difference between the loads of two units, as a share of a unit's processors, above
+which a long-running job is handed over at once: it would make the imbalance last."""
 
 SHORT_DIFFERENCE = 0.15
-"""The same for jobs that end, once they have waited."""
+"""The same for finite jobs, once they have waited for `SHORT_JOB_WAIT_S`."""
 
 BACKFILL_DIFFERENCE = 0.25
-"""Difference of processors asked for by backfilling work from which it goes elsewhere;
-it shares what is unused, so a small difference costs little."""
+"""The same for backfill jobs, by requested processors. Backfill tasks share unused
+processors, so a small difference costs little."""
 
 MISFIT_DIFFERENCE = 0.0
-"""The same for a job with a task that no runner here would have room for if all short
-jobs had ended: it goes at once to any unit that is emptier and has a gap for it. Begun
-here, it would wait for a long-running job to end."""
+"""The same for a job with a task that would fit on no runner of this unit even after
+all short jobs had ended. It is handed over at once to any unit that has a lower load
+and a sufficient gap: in this unit it would wait for a long-running job to end."""
 
 FIRST_RUN_DIFFERENCE = 0.0
-"""The same for a long-running task that never ran."""
+"""The same for a single long-running task that has never run."""
 
 ANY_DIFFERENCE = -math.inf
-"""The same for one that was interrupted: any unit with room will do."""
+"""The same for an interrupted long-running task: any unit with a gap is accepted."""
 
 MAX_TASK_HOPS = 6
-"""Units that a single task is passed on to; each has told of room, which may be taken
-when the task arrives."""
+"""Number of times that a single task may be handed over: the gap that a unit reported
+may be occupied when the task arrives."""
 
 INTERRUPTED_TASK_WAIT_S = 0.6
-"""Time that an interrupted task waits for its own unit: the platform counts it as
-forgotten after three seconds, and handing over takes 0.1 s."""
+"""Time for which an interrupted task waits for capacity in its own unit: the platform
+counts it as forgotten after 3 s, and a handover takes 0.1 s."""
 
 TAKEOVER_SETTLE_S = 1.0
-"""Time after a takeover in which nothing is handed over: runners are asked at once and
-again after 0.25 s where they don't answer."""
+"""Time after a takeover during which nothing is handed over: reports are requested at
+once, and again after 0.25 s from runners that don't answer."""
 
 SHORT_JOB_WAIT_S = 0.3
-"""Time that a job that ends waits for its own unit before it goes elsewhere; handing it
-over takes two appends and a read, a fifth of that."""
+"""Time for which a short job waits for capacity in its own unit before it is handed
+over; the two appends and the read of a handover take a fifth of this."""
 
 
 def measure_load(state: Dispatcher) -> Load:
-    """Return how full the dispatcher's unit is; one pass over runners and jobs."""
+    """Return the load of the dispatcher's unit, in one pass over runners and jobs."""
     usable = [r for r in state.runners.values() if accepts_tasks(r)]
     total = _sum_cpu(usable)
     if not total:
@@ -80,8 +80,8 @@
     waiting = [0, 0]
     for job in state.jobs.values():
         for step in job.steps.values():
-            left = sum(task.phase == Phase.WAITING for task in step.tasks)
-            waiting[step.spec.backfill] += left * step.spec.resources.cpu
+            count = sum(task.phase == Phase.WAITING for task in step.tasks)
+            waiting[step.spec.backfill] += count * step.spec.resources.cpu
     return Load(
         reserved=sum(r.reserved_cpu for r in usable) / total,
         backfill=sum(r.backfill_cpu for r in usable) / total,
@@ -94,8 +94,8 @@
 
 
 def measure_max_short_task_cpu(state: Dispatcher) -> int:
-    """Return the processor time that long-running tasks leave where they leave most."""
-    rooms = (
+    """Return the largest processor time of a runner that no long-running task holds."""
+    free = (
         r.entry.capacity.cpu
         - sum(
             task.step.spec.resources.cpu
@@ -105,22 +105,22 @@
         for r in state.runners.values()
         if r.entry is not None and accepts_tasks(r)
     )
-    return max(rooms, default=0)
+    return max(free, default=0)
 
 
 def plan_handovers(state: Dispatcher, jobs: Iterable[Job], now: float) -> None:
-    """Hand over those of `jobs` that another unit has more room for.
+    """Hand over those of `jobs` for which another unit has more capacity.
 
     Notes
     -----
-    The record of it is stored with the next commit, and only then is the job sent:
-    whoever owns the unit after a fault finds either a job of its own, or one to be sent
-    again, which does no harm.
+    The handover is stored with the next commit, and the job is sent only afterwards.
+    After a fault, the next owner of the unit finds either a job of its own or one to
+    send again, which is harmless.
     """
-    if not _knows_its_runners(state, now):
+    if not _can_compare_loads(state, now):
         return
     for job in list(jobs):
-        if not _can_leave(job):
+        if not _can_hand_over(job):
             continue
         unit = _choose_unit(state, job, now)
         if unit is not None:
@@ -128,16 +128,16 @@
 
 
 def plan_task_handovers(state: Dispatcher, now: float) -> None:
-    """Hand over single long-running tasks that find no room in their own unit.
+    """Hand over single long-running tasks for which their unit has no capacity.
 
     Notes
     -----
-    Guards against a service that stays interrupted: a runner is lost, its unit is full,
-    and the neighbour has room. The task goes alone, as its job has others at work here.
-    Its new unit goes on from its last run number, so a late start of an old run is
-    refused wherever a newer one was.
+    Guards against a service that stays interrupted because a runner was lost and its
+    unit is full, while another unit has capacity. Only the task is handed over, since
+    other tasks of its job run in this unit. The new unit continues its run numbers, so
+    that a delayed start of an old run is refused at every runner that had a newer one.
     """
-    if not _knows_its_runners(state, now):
+    if not _can_compare_loads(state, now):
         return
     for job in state.jobs.values():
         if job.cancelled or job.final_state or job.submission.hops >= MAX_TASK_HOPS:
@@ -147,37 +147,37 @@
                 _hand_over_tasks(state, step, now)
 
 
-def _knows_its_runners(state: Dispatcher, now: float) -> bool:
-    """Return whether loads can be compared; there is nothing to compare in one unit.
+def _can_compare_loads(state: Dispatcher, now: float) -> bool:
+    """Return whether loads can be compared: there are other units and runners reported.
 
     Notes
     -----
-    Guards against a new owner that gives all its jobs away: before its runners have
-    reported, its unit seems to be full.
+    Guards against a new owner that hands over all its jobs because its unit seems to be
+    full before its runners have reported.
     """
     return bool(state.other_loads) and now - state.took_over_at > TAKEOVER_SETTLE_S
 
 
 def _hand_over_tasks(state: Dispatcher, step: StepRun, now: float) -> None:
     for task in step.tasks:
-        waits = task.phase == Phase.WAITING and task.waiting_since
-        if not waits or now - task.waiting_since < INTERRUPTED_TASK_WAIT_S:
+        is_waiting = task.phase == Phase.WAITING and task.waiting_since
+        if not is_waiting or now - task.waiting_since < INTERRUPTED_TASK_WAIT_S:
             continue
-        need = get_reserved_cpu(step.spec)
-        least = ANY_DIFFERENCE if task.run else FIRST_RUN_DIFFERENCE
-        unit = _find_room(state, step.spec, need, least)
+        needed = get_reserved_cpu(step.spec)
+        difference = ANY_DIFFERENCE if task.run else FIRST_RUN_DIFFERENCE
+        unit = _find_unit(state, step.spec, needed, difference)
         if unit is None:
             return
         task.phase = Phase.HANDED_OVER
         task.unit = unit
         mark_dirty(state, step)
-        piece = build_task_submission(task)
-        record_handover(state, piece, unit)
-        state.outgoing[piece.record_id] = piece
-        _move_load(state, step.spec, 1, unit)
+        submission = build_task_submission(task)
+        record_handover(state, submission, unit)
+        state.outgoing[submission.record_id] = submission
+        _move_demand(state, step.spec, 1, unit)
 
 
-def _can_leave(job: Job) -> bool:
+def _can_hand_over(job: Job) -> bool:
     if job.cancelled or job.final_state or job.submission.hops >= MAX_HOPS:
         return False
     if job.submission.piece:
@@ -191,44 +191,46 @@
     step = submission.steps[0]
     needed = max(get_reserved_cpu(step) for step in submission.steps)
     if any(step.long_running for step in submission.steps):
-        return _find_room(state, step, needed, LONG_RUNNING_DIFFERENCE)
+        return _find_unit(state, step, needed, LONG_RUNNING_DIFFERENCE)
     if not any(step.requires for step in submission.steps):
-        roomier = find_less_utilized_unit(state, job)
-        if roomier is not None:
-            return roomier
+        less_utilized = find_less_utilized_unit(state, job)
+        if less_utilized is not None:
+            return less_utilized
     if needed > state.max_short_task_cpu:
-        return _find_room(state, step, needed, MISFIT_DIFFERENCE)
+        return _find_unit(state, step, needed, MISFIT_DIFFERENCE)
     if now - job.received_at < SHORT_JOB_WAIT_S:
         return None
-    least = BACKFILL_DIFFERENCE if step.backfill else SHORT_DIFFERENCE
-    return _find_room(state, step, needed, least)
+    difference = BACKFILL_DIFFERENCE if step.backfill else SHORT_DIFFERENCE
+    return _find_unit(state, step, needed, difference)
 
 
-def _find_room(state: Dispatcher, step: Step, needed: int, least: float) -> int | None:
-    """Return the emptiest unit that has a gap of `needed`, if it is emptier enough.
+def _find_unit(
+    state: Dispatcher, step: Step, needed: int, difference: float
+) -> int | None:
+    """Return the least loaded unit with a sufficient gap, or None.
 
     Parameters
     ----------
     state : Dispatcher
-        With the loads of all units.
+        State with the loads of all units.
     step : Step
-        What counts for the load: reserved processors, or those asked for by
-        backfilling work.
+        Step that determines which load is compared: that of backfill tasks or that of
+        reserved processors.
     needed : int
-        Thousandths of a core that must be free at one of its runners.
-    least : float
-        Least difference to the own unit.
+        Thousandths of a core that must be unreserved at one runner of the unit.
+    difference : float
+        Amount by which the load must at least be lower than that of the own unit.
     """
     units = [unit for unit, load in state.other_loads.items() if load.gap >= needed]
     if not units:
         return None
-    best = min(units, key=lambda u: _fullness(state.other_loads[u], step.backfill))
-    emptier_by = _fullness(state.load, step.backfill)
-    emptier_by -= _fullness(state.other_loads[best], step.backfill)
-    return best if emptier_by > least else None
+    best = min(units, key=lambda u: _sum_load(state.other_loads[u], step.backfill))
+    lower_by = _sum_load(state.load, step.backfill)
+    lower_by -= _sum_load(state.other_loads[best], step.backfill)
+    return best if lower_by > difference else None
 
 
-def _fullness(load: Load, backfill: bool) -> float:
+def _sum_load(load: Load, backfill: bool) -> float:
     if backfill:
         return load.backfill + load.waiting_backfill
     return load.reserved + load.waiting
@@ -240,25 +242,25 @@
     record_handover(state, submission, unit)
     state.outgoing[submission.job_id] = add_hop(submission)
     first = submission.steps[0]
-    _move_load(state, first, first.size, unit)
+    _move_demand(state, first, first.size, unit)
     add_finite_demand(state, job, unit)
 
 
-def _move_load(state: Dispatcher, step: Step, tasks: int, unit: int) -> None:
-    """Count waiting tasks in their new unit and not here, until both are measured.
+def _move_demand(state: Dispatcher, step: Step, tasks: int, unit: int) -> None:
+    """Move the demand of waiting tasks to another unit until loads are measured again.
 
     Notes
     -----
-    Guards against a unit that has lost all its runners and whose jobs go one at a time:
-    units are taken to be of the size of this one, and measured by nothing, any other
-    seemed to be full with one job more. A unit is at least as large as the gap that
-    it tells of.
+    Other units are assumed to have the size of this one, but at least that of the gap
+    that they report. Guards against a unit that has lost all its runners and hands over
+    only one job per report of another unit: relative to its own size of zero, the other
+    unit seemed to be full with a single job more.
     """
     size = _sum_cpu(r for r in state.runners.values() if accepts_tasks(r))
     moved = tasks * step.resources.cpu
-    there = state.other_loads[unit]
-    share = moved / max(1, size, there.gap)
-    state.other_loads[unit] = _add_waiting(there, share, step.backfill)
+    other = state.other_loads[unit]
+    share = moved / max(1, size, other.gap)
+    state.other_loads[unit] = _add_waiting(other, share, step.backfill)
     if size:
         state.load = _add_waiting(state.load, -moved / size, step.backfill)
 
--- a/plantainyard/dispatch/jobs.py
+++ b/plantainyard/dispatch/jobs.py
@@ -1,4 +1,4 @@
-"""Jobs of a dispatcher: adding, opening occurrences, cancelling, ending."""
+"""Life cycle of jobs: adding, opening occurrences, cancelling and ending them."""
 
 from plantainyard.batch.tasks import TaskKey
 from plantainyard.batch.values import JobState, Submission
@@ -24,23 +24,23 @@
 
 
 def add_job(state: Dispatcher, submission: Submission, now: float) -> None:
-    """Take in an accepted job; a repeat of its submission changes nothing."""
+    """Add an accepted job; repeated submissions are ignored."""
     job_id = submission.record_id
     if job_id in state.jobs or job_id in state.ended_at or job_id in state.handed_over:
         return
-    chains_ms = find_critical_paths_ms(submission.steps)
-    job = Job(submission, 0.0, chains_ms, now)
+    remaining_ms = find_critical_paths_ms(submission.steps)
+    job = Job(submission, 0.0, remaining_ms, now)
     set_deadlines(job, now)
     state.jobs[job_id] = job
     record_arrival(state, submission, now)
     if submission.piece:
-        _open_piece(job)
+        _add_single_task(job)
     elif not submission.times:
         open_occurrence(job, 0)
 
 
 def open_occurrence(job: Job, occurrence: int) -> None:
-    """Add the steps of an occurrence that is due."""
+    """Add the steps of an occurrence of a job."""
     for number, spec in enumerate(job.submission.steps):
         step = StepRun(job, occurrence, number, spec)
         step.tasks = [
@@ -50,8 +50,8 @@
         job.steps[occurrence, number] = step
 
 
-def _open_piece(job: Job) -> None:
-    """Add the one task that another unit has handed over."""
+def _add_single_task(job: Job) -> None:
+    """Add the single task that another unit has handed over."""
     submission = job.submission
     occurrence, number, index = submission.piece
     step = StepRun(job, occurrence, number, submission.steps[number])
@@ -61,15 +61,15 @@
 
 
 def open_due_occurrences(state: Dispatcher, now: float) -> None:
-    """Open the occurrences of scheduled jobs whose time has come."""
+    """Open the occurrences of scheduled jobs that are due."""
     wall_ms = (now + state.wall_offset_s) * 1000
     for job in list(state.jobs.values()):
         submission = job.submission
         if submission.times and not job.cancelled:
-            _open_due(job, wall_ms)
+            _open_due_for_job(job, wall_ms)
 
 
-def _open_due(job: Job, wall_ms: float) -> None:
+def _open_due_for_job(job: Job, wall_ms: float) -> None:
     submission = job.submission
     for occurrence in range(submission.times):
         due_ms = submission.start_at_ms + occurrence * submission.interval_ms
@@ -80,7 +80,7 @@
 
 
 def finish_task(state: Dispatcher, task: Task) -> None:
-    """Take note that a task is done, and end the job if it was the last."""
+    """Mark a task as done, and end the job if it was the last one."""
     task.phase = Phase.DONE
     task.checkpoint = ""
     task.step.done_count += 1
@@ -89,7 +89,7 @@
 
 
 def cancel_job(state: Dispatcher, job_id: str, now: float) -> None:
-    """Let nothing of a job start any more and stop what runs."""
+    """Cancel a job: start no more of its tasks, and stop its active runs."""
     job = state.jobs.get(job_id)
     if job is None or job.cancelled or job.final_state:
         return
@@ -99,7 +99,7 @@
 
 
 def fail_job(state: Dispatcher, job: Job, now: float) -> None:
-    """End a job one of whose tasks has failed too often."""
+    """End a job as failed because a task has used up its attempts."""
     if job.final_state or job.cancelled:
         return
     end_job(state, job, JobState.FAILED)
@@ -107,7 +107,7 @@
 
 
 def stop_tasks(state: Dispatcher, job: Job, now: float) -> None:
-    """Order all runs of a job to stop."""
+    """Stop all active runs of a job, also those in other units."""
     for step in job.steps.values():
         for task in step.tasks:
             if task.phase == Phase.STORING:
@@ -119,11 +119,11 @@
 
 
 def end_if_finished(state: Dispatcher, job: Job) -> None:
-    """End the job if nothing of it is left to do."""
+    """End the job if all its tasks are done, or cancelled and stopped."""
     if job.final_state:
         return
     if job.cancelled:
-        if not _is_out(state, job):
+        if not _has_active_runs(state, job):
             end_job(state, job, JobState.CANCELLED)
         return
     expected = max(1, job.submission.times) * len(job.submission.steps)
@@ -132,26 +132,29 @@
         end_job(state, job, JobState.COMPLETED)
 
 
-def _is_out(state: Dispatcher, job: Job) -> bool:
+def _has_active_runs(state: Dispatcher, job: Job) -> bool:
     tasks = (task for step in job.steps.values() for task in step.tasks)
     return any(
-        task.phase in Phase.ACTIVE or _awaits_cancel(state, task) for task in tasks
+        task.phase in Phase.ACTIVE or _is_cancel_pending(state, task) for task in tasks
     )
 
 
-def _awaits_cancel(state: Dispatcher, task: Task) -> bool:
-    handed = task.phase == Phase.HANDED_OVER
-    return handed and build_task_submission(task).record_id in state.pending_cancels
+def _is_cancel_pending(state: Dispatcher, task: Task) -> bool:
+    is_handed_over = task.phase == Phase.HANDED_OVER
+    return (
+        is_handed_over
+        and build_task_submission(task).record_id in state.pending_cancels
+    )
 
 
 def end_cancelled_jobs(state: Dispatcher) -> None:
-    """End the cancelled jobs of which nothing is left to do any more."""
+    """End the cancelled jobs whose runs have all stopped."""
     for job in [job for job in state.jobs.values() if job.cancelled]:
         end_if_finished(state, job)
 
 
-def end_job(state: Dispatcher, job: Job, ended: str) -> None:
-    """Give a job its final state, to be stored with the next commit."""
-    job.final_state = ended
-    state.new_final_states[job.submission.record_id] = ended
+def end_job(state: Dispatcher, job: Job, final_state: str) -> None:
+    """Set the final state of a job, to be stored with the next commit."""
+    job.final_state = final_state
+    state.new_final_states[job.submission.record_id] = final_state
     state.ended_at[job.submission.record_id] = 0.0
--- a/plantainyard/dispatch/model.py
+++ b/plantainyard/dispatch/model.py
@@ -1,4 +1,4 @@
-"""State of jobs, steps, tasks and runners as the dispatcher sees them."""
+"""State of jobs, steps, tasks and runners from the dispatcher's point of view."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -11,30 +11,32 @@
 
 
 GAP_TICKS = 20
-"""Ticks for which a gap must have been free before a long-running task takes it for
-good: two seconds, in which the next short job usually comes. The platform allows three
-before it counts a task as forgotten."""
+"""Number of ticks for which a gap must have been unreserved before a long-running task
+may occupy it permanently: 2 s, within which the next short job usually arrives. The
+platform counts a task as forgotten only after 3 s."""
 
 
 class Phase:
-    """Names of the phases of a task.
+    """Phases of a task.
 
     Notes
     -----
     ``WAITING``
-        No run is out.
+        The task has no active run.
     ``STORING``
-        A run is assigned to a runner; the record of it is on its way to the store.
+        A run is assigned to a runner; the record of that is being stored.
     ``ORDERED``
-        The start was sent, or may have been by a predecessor.
+        The start was sent, possibly by a predecessor, and isn't confirmed yet.
     ``RUNNING``
-        The runner has it.
+        The runner has confirmed the run.
     ``STOPPING``
-        It has to go; its end isn't known yet.
+        The run is being stopped; its end isn't known yet.
     ``DONE``
-        Finished.
+        The task has completed.
     ``HANDED_OVER``
-        Another unit has it.
+        Another unit is responsible for the task.
+    ``ACTIVE``
+        Set of the phases in which a run may be at a runner.
     """
 
     WAITING = "waiting"
@@ -50,50 +52,50 @@
 
 @dataclass(slots=True, eq=False)
 class Task:
-    """One task.
+    """A task and its newest run.
 
     Attributes
     ----------
     key : TaskKey
-        Its name.
+        Identifier of the task.
     step : StepRun
-        The step it belongs to.
+        Step that the task belongs to.
     phase : str
         One of `Phase`.
     run : int
         Highest run number assigned so far.
     incarnation : str
-        Life of the runner where that run is or may be; empty while none is out.
+        Runner incarnation that has or may have that run; empty without an active run.
     resolved_at : float or None
-        When it was known that the run is at the runner, or will be refused there; None
-        while a start is unanswered. A report that was asked for later and doesn't list
-        the run proves that it isn't there.
+        When it became certain that the run has reached the runner or will be refused
+        there; None while a start is unanswered. A report requested later that doesn't
+        list the run proves that the run isn't there.
     seen_in_report : bool
-        A report of the life that it was ordered at has listed the run.
+        Whether the incarnation that the run was ordered at has listed it in a report.
     next_order_at : float
-        When to repeat an order that wasn't answered.
+        When to repeat an unanswered order.
     order_pending : bool
-        An order about it is on its way.
+        Whether an order about the run hasn't been answered yet.
     starts_sent : int
-        How often the start of the newest run was sent.
+        Number of times that the start of the newest run was sent.
     failures : int
-        Runs that ended as failed.
+        Number of failed runs.
     checkpoint : str
-        Newest known.
+        Newest known checkpoint.
     waiting_since : float
-        Since when it could have been started.
+        Time since which the task has been ready to start.
     not_before : float
         Earliest time of the next start.
     avoided_runners : set of str
-        Runners that failed or refused it.
+        Runners at which the task failed or was refused.
     percent, progress_at : int, float
-        How far the run is, and when that last changed.
+        Progress of the run, and when it last changed.
     pace, previous_pace : int
-        Share of full speed that it was ordered to work at, and the one before that.
+        Percentage of full speed that was ordered last, and the one before it.
     slowed_at : float
-        When that was last lowered.
+        When the pace was last lowered.
     unit : int or None
-        The unit that has it, while it is handed to one.
+        Unit that the task is handed over to, if any.
     """
 
     key: TaskKey
@@ -126,19 +128,20 @@
     Attributes
     ----------
     job : Job
-        The job.
+        Job that the step belongs to.
     occurrence, number : int
-        Which one.
+        Occurrence of the job, and index of the step in it.
     spec : Step
-        What was submitted.
+        The step as submitted.
     tasks : list of Task
-        All of them, by index.
+        All tasks of the step, by index.
     done_count : int
-        Number of finished tasks.
+        Number of completed tasks.
     no_place_found : bool
-        No runner was a place for its next task when all were looked through last.
+        Whether the last search of all runners found no place for the next task.
     wait_reason, wait_reason_at : str, float
-        Why its tasks wait, one of `timing.TimePart` or empty, and when that was found.
+        Why its tasks wait, one of `timing.TimePart` or empty, and when that was
+        determined.
     """
 
     job: "Job"
@@ -154,32 +157,32 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """One job.
+    """A job that this unit is responsible for.
 
     Attributes
     ----------
     submission : Submission
-        What was accepted.
+        The submission as accepted.
     deadline : float
-        Time until which the latency objective is met, on the dispatcher's clock.
+        Latest end that meets the latency objective, on the dispatcher's clock.
     useful_until : float
-        Time from which its result is of no use to its caller.
+        Time after which the result is of no use to the caller.
     received_at : float
-        When the dispatcher took it in.
+        When the dispatcher received the job.
     remaining_ms : tuple of float
-        By step, the estimated time from its start to the job's end.
+        By step, the estimated time from its start to the end of the job.
     steps : dict
         Steps by (occurrence, number); an occurrence is added when it is due.
     started : bool
-        A task of it is known to have started.
+        Whether a task of the job is known to have started.
     cancelled : bool
-        Nothing of it may start any more.
+        Whether the job was cancelled; none of its tasks may start any more.
     final_state : str
-        Final state, or empty.
+        Final state; empty until the job has ended.
     task_time_s : dict
-        Seconds of its tasks since this owner took over, by `timing.TimePart`.
+        Task-seconds since this owner took over, by `timing.TimePart`.
     lost_runs : dict
-        Runs since then that ended otherwise than done, by how they ended.
+        Number of runs since then that didn't complete, by outcome.
     """
 
     submission: Submission
@@ -197,65 +200,66 @@
 
 @dataclass(slots=True, eq=False)
 class Runner:
-    """One life of a runner.
+    """One incarnation of a runner, from the start of its process to its end.
 
     Attributes
     ----------
     incarnation : str
-        Its name.
+        Name of the incarnation.
     entry : RunnerEntry or None
-        None for a life that only a predecessor's records name.
+        None for an incarnation that is known only from a predecessor's records.
     registered : bool
-        Its entry is in the store.
+        Whether its entry is in the store.
     tasks : dict
-        Tasks whose run is or may be there, and those that are being stopped.
+        Tasks whose run is or may be at the runner, including those being stopped.
     reserved_cpu, reserved_memory, reserved_gpu : int
-        Room taken by them.
+        Resources reserved for these tasks.
     backfill_cpu : int
-        Processor time that its backfilling tasks ask for.
+        Processor time that its backfill tasks request.
     serving_cpu : int
-        Part of `reserved_cpu` that serving tasks ask for.
+        Part of `reserved_cpu` that serving tasks request.
     has_reported : bool
-        It has reported since this dispatcher took over.
+        Whether it has reported completely since this dispatcher took over.
     responsive : bool
-        It isn't silent: one of its last reports came.
+        Whether it answers report requests; a runner that doesn't is called silent.
     missed_reports : int
-        Reports in a row that didn't come.
+        Number of successive report requests that failed.
     clock_ms, clock_at : int, float
-        Its clock at its last answer, and when that came.
+        The runner's clock at its last answer, and when that answer came.
     lease_bound : float
-        Time after which nothing that was sent so far can still be running there.
+        Time after which nothing that was ordered so far can still be running there.
     last_end, last_stored_end : int
-        Number of the last end that was taken in, and of the last whose meaning is in
-        the store.
+        Number of the last reported end of a run that was applied, and of the last one
+        whose effect is stored.
     report_pending : bool
-        A report is being waited for.
+        Whether a report request is unanswered.
     next_report_at : float
-        When to ask for the next one.
+        When to send the next request.
     failure_score : float
-        Failures of tasks since its last success.
+        Weighted number of failed and refused tasks since the last success.
     leaves_at : float
-        When it may be gone, once it is draining.
+        Earliest time at which a draining runner may leave; zero unless it drains.
     quarantined_until : float
-        No tasks with limited attempts until then.
+        Until then the runner gets no tasks with limited attempts; zero if it isn't
+        quarantined.
     paces : dict
-        Share of full speed by backfilling image; full where it isn't named.
+        Percentage of full speed by backfill image; images that are missing run at full
+        speed.
     sampled_at, over_target_since : float
-        When a report was last learnt from; since when a serving task is over its target
-        (zero: none is).
+        When the interference model last learnt from a report; since when a serving task
+        has exceeded its latency target (zero if none does).
     base_margins : dict
-        By serving job, the margin (target over tail) that it has by its own load, as
-        this runner's last report shows it.
+        By serving job, its margin (target over tail latency) under its own load alone,
+        according to the runner's last report.
     recent_unreserved : deque of int
-        Processor time that wasn't reserved, at the last ticks.
+        Unreserved processor time at the last ticks.
     backfill_loads : dict
-        By backfilling image, the part of the processors that it would use at full
-        speed.
+        By backfill image, the share of the processors that it would use at full speed.
     serving_headroom : dict
-        By serving image, the pressure that backfilling work may add in all.
+        By serving image, the total pressure that backfill tasks may add.
     spare_load : dict
-        By backfilling image, the load that more work of it may add, as far as it was
-        asked for since `backfill_loads` and `serving_headroom` were measured.
+        By backfill image, the load that additional tasks of it may add; cached for the
+        images queried since `backfill_loads` and `serving_headroom` were updated.
     """
 
     incarnation: str
--- a/plantainyard/dispatch/restoring.py
+++ b/plantainyard/dispatch/restoring.py
@@ -1,4 +1,4 @@
-"""Jobs of a predecessor, from the stored records."""
+"""Restoring of the jobs and runs of a predecessor from the stored records."""
 
 from collections.abc import Set
 
@@ -26,14 +26,14 @@
 
 
 def restore_jobs(state: Dispatcher, replica: Replica, now: float) -> None:
-    """Fill `state` with the jobs of `replica`.
+    """Add the jobs of `replica` to `state`.
 
     Notes
     -----
-    A run that was out is counted at its runner until a report of that runner proves
-    otherwise or every lease that a predecessor can have granted has lapsed. The
-    predecessor's orders that are still on their way are refused by then: the report
-    was asked for with a higher fencing token.
+    An active run is assumed to be at its runner until a report of that runner proves
+    otherwise, or until every lease that a predecessor may have granted has expired.
+    Orders of the predecessor that arrive after the report are refused, because the
+    report was requested with a higher fencing token.
     """
     views = list(replica.jobs.items())
     delivered = {job_id for job_id, view in views if view.delivered}
@@ -41,18 +41,18 @@
         if view.final_state:
             state.ended_at[job_id] = now
         elif view.handed_to is not None:
-            _restore_moved(state, view, view.handed_to)
+            _restore_handed_over_job(state, view, view.handed_to)
         elif view.submission is not None:
             _restore_job(state, view, delivered, now)
 
 
-def _restore_moved(state: Dispatcher, view: JobView, unit: int) -> None:
-    """Send a job that was handed over once more, if its new unit may not have it.
+def _restore_handed_over_job(state: Dispatcher, view: JobView, unit: int) -> None:
+    """Send a job that was handed over again, unless its new unit surely has it.
 
     Notes
     -----
-    Guards against a job that nobody has: its owner died after it had stored that the
-    job is another unit's, and before it had sent it there.
+    Guards against a job that no unit runs because its owner was lost after storing the
+    handover and before sending the job to its new unit.
     """
     if view.submission is None:
         return
@@ -74,8 +74,8 @@
     add_job(state, submission, now)
     job = state.jobs[submission.record_id]
     job.started = view.started
-    accepted = submission.accepted_at_ms / 1000 - state.wall_offset_s
-    set_deadlines(job, min(now, accepted))
+    accepted_at = submission.accepted_at_ms / 1000 - state.wall_offset_s
+    set_deadlines(job, min(now, accepted_at))
     for (occurrence, number), progress in view.steps.items():
         if (occurrence, number) not in job.steps:
             open_occurrence(job, occurrence)
@@ -105,23 +105,23 @@
         task.failures = stored.failures
         task.checkpoint = stored.checkpoint
         if stored.unit is not None:
-            _restore_handed(state, task, stored.unit, delivered)
+            _restore_handed_over_task(state, task, stored.unit, delivered)
         elif stored.runner:
             _restore_run(state, task, stored.runner, now)
 
 
-def _restore_handed(
+def _restore_handed_over_task(
     state: Dispatcher, task: Task, unit: int, delivered: Set[str]
 ) -> None:
-    """Send a task that was handed over once more; see `_restore_moved`."""
+    """Send a task that was handed over again; see `_restore_handed_over_job`."""
     task.phase = Phase.HANDED_OVER
     task.unit = unit
-    piece = build_task_submission(task)
-    record_handover(state, piece, unit)
-    if piece.record_id in delivered:
-        state.unconfirmed.discard(piece.record_id)
+    submission = build_task_submission(task)
+    record_handover(state, submission, unit)
+    if submission.record_id in delivered:
+        state.unconfirmed.discard(submission.record_id)
     else:
-        state.actions.append(make_forward(piece, unit, False))
+        state.actions.append(make_forward(submission, unit, False))
 
 
 def _restore_run(state: Dispatcher, task: Task, incarnation: str, now: float) -> None:
@@ -132,8 +132,8 @@
     if runner is None:
         runner = Runner(incarnation, None)
         limits = state.limits
-        granted = limits.longest_lease_s * (1 + limits.clock_drift)
-        runner.lease_bound = now + granted + limits.lease_slack_s
+        max_lease_s = limits.longest_lease_s * (1 + limits.clock_drift)
+        runner.lease_bound = now + max_lease_s + limits.lease_slack_s
         state.runners[incarnation] = runner
         state.newest_incarnations[incarnation.partition("@")[0]] = incarnation
     reserve_resources(runner, task)
--- a/plantainyard/dispatch/runs.py
+++ b/plantainyard/dispatch/runs.py
@@ -1,4 +1,4 @@
-"""Runs of tasks: what the answers to orders mean, and what the end of a run does."""
+"""Effects of the results of orders and of the ends of runs on tasks."""
 
 from plantainyard.dispatch import jobs
 from plantainyard.dispatch.events import JobStarted, OrderAnswered, OrderKind
@@ -13,13 +13,13 @@
 
 __all__ = ["end_run", "requeue_task", "mark_started", "apply_order_result"]
 
-_NOT_DONE = frozenset(
+_NOT_STARTED = frozenset(
     {OrderOutcome.LEASE_EXPIRED, OrderOutcome.NO_CAPACITY, OrderOutcome.REFUSED}
 )
 
 
 def mark_started(state: Dispatcher, step: StepRun, now: float) -> None:
-    """Take note that a runner has, or had, a run of a step's job."""
+    """Mark the job of a step as started: a runner has, or had, one of its runs."""
     job = step.job
     if job.started:
         return
@@ -30,7 +30,7 @@
 
 
 def apply_order_result(state: Dispatcher, event: OrderAnswered, now: float) -> None:
-    """Take in what became of an order."""
+    """Apply the result of an order to its task."""
     runner = state.runners.get(event.incarnation)
     if runner is None:
         return
@@ -40,37 +40,38 @@
     if task is None or task.run != event.run or task.incarnation != event.incarnation:
         return
     if event.kind == OrderKind.PACE:
-        _take_pace_answer(task, event)
+        _apply_pace_result(task, event)
         return
     task.order_pending = False
     outcome = event.result.outcome
     if event.kind == OrderKind.STOP:
-        _take_stop_answer(task, outcome, now)
+        _apply_stop_result(task, outcome, now)
     elif task.phase in (Phase.ORDERED, Phase.STOPPING):
-        _take_start_answer(state, task, runner, outcome, now)
+        _apply_start_result(state, task, runner, outcome, now)
 
 
-def _take_pace_answer(task: Task, event: OrderAnswered) -> None:
-    # Whatever was not done is ordered again with the next report: the dispatcher's
-    # figure of what the runner has in force must not be ahead of the truth.
+def _apply_pace_result(task: Task, event: OrderAnswered) -> None:
+    # Ordered again with the next report: the recorded pace must not be one that the
+    # runner doesn't have in force.
     if event.result.outcome != OrderOutcome.DONE:
         task.pace = -1
 
 
-def _take_stop_answer(task: Task, outcome: str, now: float) -> None:
-    """Take in that a run either ends, which is listed, or is refused when it comes.
+def _apply_stop_result(task: Task, outcome: str, now: float) -> None:
+    """Record that a stopped run ends, which is reported, or is refused if it arrives.
 
     Notes
     -----
-    Guards against a task that is stopped for good: a stop is repeated until the run's
-    end is known, and reports wait longer than repeats. Were the last answer to count,
-    each report would have been asked for before it, and none would prove anything.
+    The first answer counts. Guards against a task that remains stopping forever: a stop
+    is repeated until the end of the run is known, and reports wait longer than the
+    interval of repetitions. If the last answer counted, every report would have been
+    requested before it, and none would prove anything.
     """
     if outcome == OrderOutcome.DONE and task.resolved_at is None:
         task.resolved_at = now
 
 
-def _take_start_answer(
+def _apply_start_result(
     state: Dispatcher, task: Task, runner: Runner, outcome: str, now: float
 ) -> None:
     if outcome == OrderOutcome.DONE:
@@ -84,26 +85,26 @@
                 send_pace(state, task, runner, get_pace(runner, spec.image), now)
         return
     if outcome == OrderOutcome.STALE_RUN:
-        # The run has ended there or was stopped: the next report tells.
+        # The run has ended or was stopped there; the next report shows it.
         task.resolved_at = now
         return
-    if outcome in _NOT_DONE and task.resolved_at is None:
+    if outcome in _NOT_STARTED and task.resolved_at is None:
         entry = runner.entry
         if outcome == OrderOutcome.REFUSED and entry is not None:
             task.avoided_runners.add(entry.runner)
             runner.failure_score += 0.5
         task.not_before = now + state.limits.refusal_pause_s
-        _settle_refusal(state, task, now)
+        _handle_refusal(state, task, now)
 
 
-def _settle_refusal(state: Dispatcher, task: Task, now: float) -> None:
-    """Free a task whose start was refused, unless an earlier copy may still come.
+def _handle_refusal(state: Dispatcher, task: Task, now: float) -> None:
+    """Requeue a task whose start was refused, unless an earlier copy may still arrive.
 
     Notes
     -----
-    Guards against two runs of one task: a start that was sent twice may be refused
-    once and carried out later by its first copy. A stop makes the runner refuse the
-    run for good; its answer settles the matter.
+    Guards against two runs of one task: of a start that was sent twice, the second copy
+    may be refused and the first one carried out later. A stop makes the runner refuse
+    the run permanently, which is certain once the stop is answered.
     """
     if task.starts_sent > 1 or task.phase == Phase.STOPPING:
         send_stop(state, task, now)
@@ -112,42 +113,52 @@
 
 
 def requeue_task(state: Dispatcher, task: Task) -> None:
-    """Let a task wait again, and end its job if that was all it waited for."""
+    """Let a task wait again, and end its job if it was cancelled and has no more runs."""
     release_task(state, task)
     jobs.end_if_finished(state, task.step.job)
 
 
 def end_run(
-    state: Dispatcher, task: Task, runner: Runner, how: str, checkpoint: str, now: float
+    state: Dispatcher,
+    task: Task,
+    runner: Runner,
+    outcome: str,
+    checkpoint: str,
+    now: float,
 ) -> None:
-    """Take in the end of a task's newest run."""
+    """Apply the end of a task's newest run."""
     mark_started(state, task.step, now)
     if checkpoint:
         task.checkpoint = checkpoint
     release_resources(runner, task)
     job = task.step.job
-    lasting = task.step.spec.long_running
-    if how == "done" and not lasting and not job.cancelled and not job.final_state:
+    is_long_running = task.step.spec.long_running
+    if (
+        outcome == "done"
+        and not is_long_running
+        and not job.cancelled
+        and not job.final_state
+    ):
         runner.failure_score = 0.0
         task.incarnation = ""
         jobs.finish_task(state, task)
         return
-    if how != "done":
-        count_lost_run(job, how)
-    if how == "failed":
-        _note_failure(state, task, runner, now)
+    if outcome != "done":
+        count_lost_run(job, outcome)
+    if outcome == "failed":
+        _record_failure(state, task, runner, now)
     requeue_task(state, task)
     mark_dirty(state, task.step)
-    if not lasting and task.failures >= job.submission.max_attempts:
+    if not is_long_running and task.failures >= job.submission.max_attempts:
         jobs.fail_job(state, job, now)
 
 
-def _note_failure(state: Dispatcher, task: Task, runner: Runner, now: float) -> None:
-    first = task.failures == 0
+def _record_failure(state: Dispatcher, task: Task, runner: Runner, now: float) -> None:
+    is_first = task.failures == 0
     task.failures += 1
     if runner.entry is not None:
         task.avoided_runners.add(runner.entry.runner)
-    # A task that failed elsewhere too says little about this runner.
-    runner.failure_score += 1.0 if first else 0.25
+    # A task that also failed elsewhere says little about this runner.
+    runner.failure_score += 1.0 if is_first else 0.25
     if runner.failure_score >= state.limits.quarantine_after:
         runner.quarantined_until = now + state.limits.quarantine_s
--- a/plantainyard/dispatch/state.py
+++ b/plantainyard/dispatch/state.py
@@ -1,4 +1,4 @@
-"""The whole state of a dispatcher."""
+"""Complete state of a dispatcher."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -22,14 +22,14 @@
 
 
 class Arrival(NamedTuple):
-    """A job that was handed to a unit.
+    """A job that was handed over to this unit.
 
     Attributes
     ----------
     queue : str
-        The job's.
+        Queue of the job.
     received_at : float
-        When it was taken in.
+        When the dispatcher received it.
     """
 
     queue: str
@@ -38,83 +38,84 @@
 
 @dataclass(slots=True, eq=False)
 class Dispatcher:
-    """Jobs and runners of one unit.
+    """State of one unit's jobs and runners.
 
     Attributes
     ----------
     limits : Limits
-        Times and weights.
+        Time limits and thresholds.
     wall_offset_s : float
-        Unix time less the dispatcher's clock, taken once: the time of day may jump.
+        Unix time minus the dispatcher's clock, read once because the time of day may
+        jump.
     jobs : dict
         Jobs that haven't ended, by id.
     ended_at : dict
-        When the jobs that ended here did, by id; a repeated submission of one is
-        passed over.
+        When jobs ended in this unit, by id; their repeated submissions are ignored.
     runners : dict
-        Lives of runners by name.
+        Runner incarnations by name.
     newest_incarnations : dict
-        Newest life by the runner's id.
+        Newest incarnation by the runner's id.
     dirty_steps : dict
-        Steps whose stored progress is out of date, by their identity.
+        Steps whose stored progress is out of date, by object id.
     started_steps : dict
-        Steps to be stored with the next commit that there is, because their jobs have
-        begun; by their identity.
+        Steps that are stored with the next commit, but cause none, because their jobs
+        have started; by object id.
     new_final_states : dict
-        Final states that aren't stored yet, by job.
+        Final states that no commit contains yet, by job.
     assigned : list of Task
         Tasks assigned since the last commit.
     commit_pending : bool
-        A commit is on its way; the next one waits for it.
+        Whether a commit is being stored; the next one waits for it.
     committing_last_ends, committing_ends, committing_starts
-        What it carries: acknowledged ends by life, ended jobs, tasks to start.
+        Contents of that commit: the last end by runner incarnation, the jobs that end,
+        and the tasks to start.
     plan_due : bool
-        Waiting work may find a place.
+        Whether waiting tasks may find a place.
     changed_runners : set of str
-        Lives of runners that may have more room than at the last search for places.
+        Runner incarnations that may have more capacity than at the last search for
+        places.
     search_all : bool
-        The next search looks at all runners, for whatever waits.
+        Whether the next search considers all runners for all waiting tasks.
     actions : list of Action
-        What the current step has asked for so far.
+        Actions requested so far by the current call of `step`.
     took_over_at : float
         When this owner took over.
     renewed_at : float
-        When the last renewal of the ownership that succeeded was sent.
+        When the last successful renewal of the ownership was sent.
     interference : InterferenceModel
-        What is learnt of interference.
+        Estimates of interference between tasks.
     interference_stored_at : float
-        When that was last put into a commit.
+        When the model was last included in a commit.
     interference_expired_at : float
-        When it was last looked for pairs that weren't seen.
+        When pairs that were no longer observed were last removed from the model.
     load, load_measured_at : Load, float
-        How full the unit is, and when that was measured.
+        Load of the unit, and when it was measured.
     max_short_task_cpu : int
-        Processor time that long-running tasks leave at the runner where they leave
-        most, when that was measured.
+        Largest processor time at one runner that long-running tasks don't occupy, at
+        that time.
     other_loads : dict
-        How full the other units are; empty where there is only one.
+        Loads of the other units; empty if there is only one unit.
     handed_over : dict
-        Units that jobs were handed to, by job.
+        Unit that each job was handed over to, by job.
     unconfirmed : set of str
-        Those of them whose records aren't known to be stored there.
+        Jobs among these whose records may not be stored in the new unit yet.
     delivered_at : dict
-        When those of them that their new units are to be given time to read were stored
-        there.
+        When the records of jobs were stored in their new units, for jobs that those
+        units may not have read yet.
     confirmed : list of str
-        Those that have had it, and whose record of that goes with the next commit.
+        Jobs that their new units have read; the next commit records that.
     arrivals : dict of str to Arrival
-        The jobs that were handed to this unit in the last seconds.
+        Jobs that were recently handed over to this unit.
     outgoing, committing_outgoing : dict
-        Submissions of jobs to be handed over once that is stored; those of them that
-        the commit on its way carries.
+        Submissions to be sent to other units once the handover is stored; those whose
+        handover the commit in progress contains.
     cancelled_outgoing : set of str
-        Those of them that were cancelled meanwhile.
+        Jobs among these that were cancelled in the meantime.
     pending_cancels : set of str
-        Jobs and tasks that other units have, and whose cancelling isn't stored there
-        yet.
+        Jobs and tasks in other units whose cancellation isn't stored there yet.
     times_updated_at, moves_planned_at : float
-        When the times of jobs were last added to; when it was last looked for work that
-        would be better off elsewhere.
+        When the times of jobs were last updated; when moves of tasks to better places
+        were last planned.
     """
 
     limits: Limits
@@ -158,21 +159,21 @@
 
 
 def mark_dirty(state: Dispatcher, step: StepRun) -> None:
-    """Have the step's progress stored with the next commit."""
+    """Mark a step whose progress is to be stored with the next commit."""
     state.dirty_steps[id(step)] = step
 
 
 class Counts(NamedTuple):
-    """Numbers of a dispatcher's things, for gauges.
+    """Numbers of jobs, tasks and runners, for metrics.
 
     Attributes
     ----------
     jobs : int
-        Open jobs.
+        Number of open jobs.
     tasks : dict
-        Tasks of open jobs by phase.
+        Number of tasks of open jobs, by phase.
     runners : dict
-        Runners by ``answering``, ``silent`` and ``quarantined``.
+        Number of runners that are ``answering``, ``silent`` or ``quarantined``.
     """
 
     jobs: int
@@ -184,14 +185,16 @@
 
 
 def count_state(state: Dispatcher) -> Counts:
-    """Return the numbers of a dispatcher's things; reads only, at one pass."""
+    """Return the numbers of jobs, tasks and runners; only reads, in one pass."""
     jobs = list(state.jobs.values())
     tasks = Counter(t.phase for j in jobs for s in j.steps.values() for t in s.tasks)
-    runners = Counter(_name_state(runner) for runner in list(state.runners.values()))
+    runners = Counter(
+        _get_runner_state(runner) for runner in list(state.runners.values())
+    )
     return Counts(len(jobs), dict(tasks), dict(runners))
 
 
-def _name_state(runner: Runner) -> str:
+def _get_runner_state(runner: Runner) -> str:
     if not runner.responsive:
         return "silent"
     return "quarantined" if runner.quarantined_until else "answering"
