--- a/plantainyard/dispatch/runs.py
+++ b/plantainyard/dispatch/runs.py
@@ -113,7 +113,7 @@
 
 
 def requeue_task(state: Dispatcher, task: Task) -> None:
-    """Let a task wait again, and end its job if it was cancelled and has no more runs."""
+    """Let a task wait again, and end its job if cancelled and without active runs."""
     release_task(state, task)
     jobs.end_if_finished(state, task.step.job)
 
