--- a/plantainyard/routing/arbiter.py
+++ b/plantainyard/routing/arbiter.py
@@ -1,14 +1,14 @@
-"""The arbiter of request ids: whether a non-idempotent request may run.
+"""Arbiter of request ids: decides whether a non-idempotent request may run.
 
 For each id one instance decides: the one with authority over the rack that the id
 hashes to, within the id's home domain.
 
 Notes
 -----
-The memory is bounded in number and in time. `Arbiter.history_since` is the time of
-issue from which the memory is whole: an id that was issued before it and isn't
-remembered may have run, so its answer is "unknown" and it never runs. Whatever is
-dropped from the memory moves that time forward, which makes dropping always safe.
+The history is bounded in number and in time. `Arbiter.history_since` is the issue time
+from which the history is complete: an id that was issued before it and isn't in the
+history may have run, so its answer is "unknown" and it never runs. Dropping an entry
+moves that time forward, so dropping is always safe.
 """
 
 import heapq
@@ -23,14 +23,14 @@
 
 __all__ = [
     "Arbiter",
-    "IdResult",
     "IdDecision",
-    "find_home_domain",
-    "find_arbiter_rack",
-    "record_id_answer",
+    "IdResult",
     "decide_id",
+    "find_arbiter_rack",
+    "find_home_domain",
     "parse_issue_time",
     "rank_names",
+    "record_id_answer",
     "restart_history",
 ]
 
@@ -41,24 +41,24 @@
 
 
 class IdDecision:
-    """Names of the arbiter's verdicts.
+    """Names of the arbiter's decisions.
 
     Notes
     -----
     ``RUN``
-        First sight of the id: it may run.
+        The id is new: it may run.
     ``JOIN``
-        The id is in progress: wait for the first arrival's answer.
+        The id is in progress: the request waits for the first arrival's answer.
     ``REPEAT``
-        The id has an answer: give it again.
+        The id has an answer, which is given again.
     ``UNKNOWN``
-        The id is older than the history.
+        The id is older than the history, so it may have run.
     ``REUSED``
         The id was used for another request.
     ``AHEAD``
-        The id's time of issue is ahead of this clock by more than the skew.
+        The id's issue time is ahead of this clock by more than the allowed skew.
     ``MALFORMED``
-        The id carries no time of issue.
+        The id contains no issue time.
     """
 
     RUN = "run"
@@ -71,7 +71,7 @@
 
 
 class IdResult(NamedTuple):
-    """A verdict, with the key of the first arrival or its answer."""
+    """A decision, with the key of the first arrival and its answer, where known."""
 
     decision: str
     key: str = ""
@@ -79,7 +79,7 @@
 
 
 class _Entry:
-    """An id's history."""
+    """History of one id: its first arrival, and its answer once there is one."""
 
     def __init__(self, key: str, digest: int, issued: float) -> None:
         self.key = key
@@ -89,12 +89,12 @@
 
 
 class Arbiter:
-    """Memory of the ids of one rack.
+    """History of the ids of one rack.
 
     Parameters
     ----------
     settings : RoutingSettings
-        For the skew of clocks.
+        For the allowed clock skew.
     wall_s : float
         Wall-clock time at which the authority over the rack was gained.
     """
@@ -108,29 +108,30 @@
 
 
 def find_home_domain(request_id: str, domains: Iterable[str]) -> str:
-    """Return the home domain of an id: its prefix, else by hash over all domains.
+    """Return the home domain of an id: its prefix, or else a hash over all domains.
 
     Returns
     -------
     str
-        The domain; empty where the prefix is none of `domains`.
+        The domain; empty where the prefix is not in `domains`.
 
     Examples
     --------
-    >>> find_home("tema-harbour.0190f", ["accra-central", "tema-harbour"])
+    >>> find_home_domain("tema-harbour.0190f", ["accra-central", "tema-harbour"])
     'tema-harbour'
     """
     names = list(domains)
     prefix = request_id.rpartition(".")[0]
-    # Two instances of which one doesn't know the domain yet would choose different
-    # arbiters if the hash decided then, and both would let the id run.
+    # An instance that doesn't know the domain yet must not fall back to the hash: it
+    # would choose another arbiter than the other instances, and both would let the id
+    # run.
     if prefix:
         return prefix if prefix in names else ""
     return rank_names(request_id, names)[0] if names else ""
 
 
 def find_arbiter_rack(request_id: str, racks: Iterable[str]) -> str:
-    """Return the rack whose owner judges an id, by rendezvous hash."""
+    """Return the rack whose owner is the arbiter of an id, by rendezvous hash."""
     return rank_names(request_id, racks)[0]
 
 
@@ -150,12 +151,12 @@
 
 
 def parse_issue_time(request_id: str) -> float | None:
-    """Return the wall-clock seconds at which an id was issued.
+    """Return the wall-clock time in seconds at which an id was issued.
 
     Returns
     -------
     float or None
-        The time in the UUIDv7 after the prefix; None where there is none.
+        The time in the UUIDv7 after the prefix; None if it isn't a UUIDv7.
 
     Examples
     --------
@@ -179,37 +180,37 @@
     settings: RoutingSettings,
     wall_s: float,
 ) -> IdResult:
-    """Decide whether an id may run, and remember it if so.
+    """Decide whether an id may run, and add it to the history if so.
 
     Parameters
     ----------
     arbiter : Arbiter
-        Changed. The caller holds authority over its rack.
+        Updated. The calling instance must hold authority over its rack.
     request_id, key, digest
-        The id, the arrival, and the hash of its content.
+        The id, the key of this arrival, and the hash of its content.
     settings : RoutingSettings
-        Bounds of the memory, and the skew of callers' clocks.
+        Bounds of the history, and the allowed skew of callers' clocks.
     wall_s : float
-        Present wall-clock time.
+        Current wall-clock time.
 
     Returns
     -------
     IdVerdict
-        The verdict; ``RUN`` is given once.
+        The decision; ``RUN`` is returned once for each id.
     """
     issued = parse_issue_time(request_id)
     if issued is None:
         return IdResult(IdDecision.MALFORMED)
-    # Let run, the id would look fresh to a later arbiter, whose history begins at
-    # this clock. An arbiter with a faster clock may have let it run already.
+    # If this id ran, it would look new to a later arbiter, whose history begins at its
+    # own clock. An arbiter with a faster clock may also have let it run already.
     if issued > wall_s + settings.id_skew_s:
         return IdResult(IdDecision.AHEAD)
-    _forget_old(arbiter, settings, wall_s)
+    _drop_old_entries(arbiter, settings, wall_s)
     entry = arbiter.entries.get(request_id)
     if entry is not None:
         return _decide_known(entry, digest)
-    # A former arbiter may have let the id run, or this one has dropped it: a second
-    # run would charge twice.
+    # A former arbiter may have let the id run, or this one has dropped it from its
+    # history: a second run would charge the customer twice.
     if issued <= arbiter.history_since:
         return IdResult(IdDecision.UNKNOWN)
     arbiter.entries[request_id] = _Entry(key, digest, issued)
@@ -221,13 +222,13 @@
 def record_id_answer(
     arbiter: Arbiter, request_id: str, answer: FinalAnswer, settings: RoutingSettings
 ) -> None:
-    """Keep the answer of an id for its repeats.
+    """Store the answer of an id for its repeats.
 
     Notes
     -----
-    A refused id did not run and is forgotten, so that the same id can be sent again.
-    Answers beyond the bound in bytes lose their body, the oldest first: a repeat then
-    gets the outcome alone.
+    A refused id did not run and is removed, so that the same id can be sent again.
+    When the stored answers exceed their limit in bytes, the oldest lose their bodies
+    first: a repeat then gets the outcome alone.
     """
     entry = arbiter.entries.get(request_id)
     if entry is None:
@@ -243,13 +244,13 @@
 
 
 def restart_history(arbiter: Arbiter, settings: RoutingSettings, wall_s: float) -> None:
-    """Begin the history anew: another instance may have judged ids meanwhile.
+    """Restart the history, because another instance may have admitted ids meanwhile.
 
     Notes
     -----
-    The former arbiter took ids stamped up to one skew ahead of its clock, which may
-    itself be one skew ahead of this one. Without the margin such an id would look
-    fresh here, and run a second time.
+    The former arbiter accepted ids with an issue time up to one skew ahead of its
+    clock, which may itself be one skew ahead of this one. Without the margin of twice
+    the skew, such an id would look new here and run a second time.
     """
     since = wall_s + 2 * settings.id_skew_s
     arbiter.history_since = max(arbiter.history_since, since)
@@ -263,10 +264,13 @@
     return IdResult(IdDecision.REPEAT, entry.key, entry.answer)
 
 
-def _forget_old(arbiter: Arbiter, settings: RoutingSettings, wall_s: float) -> None:
-    oldest = wall_s - settings.id_memory_s
+def _drop_old_entries(
+    arbiter: Arbiter, settings: RoutingSettings, wall_s: float
+) -> None:
+    earliest = wall_s - settings.id_memory_s
     while arbiter.ids_by_issue and (
-        arbiter.ids_by_issue[0][0] < oldest or len(arbiter.entries) >= settings.id_count
+        arbiter.ids_by_issue[0][0] < earliest
+        or len(arbiter.entries) >= settings.id_count
     ):
         issued, request_id = heapq.heappop(arbiter.ids_by_issue)
         entry = arbiter.entries.get(request_id)
@@ -278,7 +282,7 @@
 
 
 def _compact(arbiter: Arbiter) -> None:
-    """Drop the marks of ids that were refused and forgotten, now and then."""
+    """Remove refused ids from `ids_by_issue` once they outnumber the entries."""
     if len(arbiter.ids_by_issue) > 2 * len(arbiter.entries) + _COMPACT_MARGIN:
         pairs = [(entry.issued, key) for key, entry in arbiter.entries.items()]
         arbiter.ids_by_issue = pairs
--- a/plantainyard/routing/arbitration.py
+++ b/plantainyard/routing/arbitration.py
@@ -1,4 +1,9 @@
-"""A gateway's part in judging request ids: its own arbiters, and whom to ask."""
+"""Admission of request ids at a gateway: its own arbiters and the owners of others.
+
+A non-idempotent request is admitted by the arbiter of its id. The arbiter is at the
+instance with authority over the rack that the id hashes to; it may be this instance or
+another one.
+"""
 
 from collections.abc import Mapping
 from itertools import chain
@@ -22,10 +27,20 @@
 
 
 class Admission(NamedTuple):
-    """What happens to a non-idempotent request.
+    """Result of the admission of a non-idempotent request.
+
+    Without an answer, an earlier arrival or an owner, the request may run here.
 
-    It has an answer, has joined an earlier arrival of its id, has to be sent to
-    `owner`, or, with none of these, may run here.
+    Attributes
+    ----------
+    reason : str
+        Explanation for the decision record.
+    answer : FinalAnswer or None
+        The answer to the request, where it is known already.
+    joined : bool
+        Whether the request waits for the answer of an earlier arrival of its id.
+    owner : str
+        Instance that has to decide; empty where this one has decided.
     """
 
     reason: str
@@ -51,7 +66,7 @@
         self.joined_keys: dict[str, list[str]] = {}
 
     def extend(self, event: AuthorityChanged, settings: RoutingSettings) -> None:
-        """Take over the beginning or the renewal of an authority."""
+        """Record that an authority over a rack was gained or renewed."""
         arbiter = self.arbiters.get(event.rack)
         if arbiter is None:
             self.arbiters[event.rack] = Arbiter(settings, event.wall_s)
@@ -60,11 +75,11 @@
         self.authority_until[event.rack] = event.until
 
     def list_joined(self) -> list[str]:
-        """Return the keys of the arrivals that wait for an earlier one."""
+        """Return the keys of requests that wait for an earlier arrival of their id."""
         return list(chain.from_iterable(self.joined_keys.values()))
 
-    def leave(self, key: str) -> None:
-        """Take an arrival out of those that wait."""
+    def remove_joined(self, key: str) -> None:
+        """Remove a request from those that wait for an earlier arrival."""
         for keys in self.joined_keys.values():
             if key in keys:
                 keys.remove(key)
@@ -78,40 +93,40 @@
     wall_s: float,
     now: float,
 ) -> Admission:
-    """Judge the id of a non-idempotent request, or say who does.
+    """Return whether a non-idempotent request may run, or which instance decides.
 
     Parameters
     ----------
     arbitration : Arbitration
-        Changed where the id is judged here.
+        Updated where the id is decided on here.
     owners : mapping of str to Owner
-        All racks of all domains.
+        Owner of each rack, all domains included.
     request : Request
-        The arrival.
+        The request that has arrived.
     settings : RoutingSettings
-        Bounds of the memory.
+        Bounds of the id history.
     wall_s, now : float
-        Present time on the wall clock and on the lease clock.
+        Current time on the wall clock and on the lease clock.
     """
     domains = sorted({owner.domain for owner in owners.values()})
     home = find_home_domain(request.id, domains)
     if not home:
-        return _build_unknown(settings, "the home domain isn't known")
+        return _build_unknown(settings, "home domain of the id is unknown")
     rack = find_arbiter_rack(
         request.id, [r for r, o in owners.items() if o.domain == home]
     )
-    # Without authority another instance may be judging the same ids by now; both
-    # would let the id run.
+    # Without authority, another instance may already be the arbiter of the same ids,
+    # and both would let the id run.
     if now < arbitration.authority_until.get(rack, float("-inf")):
         arbiter = arbitration.arbiters[rack]
-        verdict = decide_id(
+        result = decide_id(
             arbiter, request.id, request.key, request.digest, settings, wall_s
         )
-        return _apply_verdict(arbitration, rack, request, verdict, settings)
+        return _apply_result(arbitration, rack, request, result, settings)
     owner = owners[rack].instance
     if not owner or owner == arbitration.instance:
-        return _build_unknown(settings, f"{rack} has no arbiter now")
-    return Admission(f"arbiter of {rack}", owner=owner)
+        return _build_unknown(settings, f"no arbiter for rack {rack}")
+    return Admission(f"decided by the arbiter of rack {rack}", owner=owner)
 
 
 def complete_id(
@@ -120,7 +135,7 @@
     answer: FinalAnswer,
     settings: RoutingSettings,
 ) -> list[str]:
-    """Keep the answer of a request that ran here; return the keys that joined it."""
+    """Store the answer of a request that ran here; return the keys that joined it."""
     rack = arbitration.running_racks.pop(request.key, None)
     if rack is None:
         return []
@@ -133,30 +148,30 @@
     return Admission(reason, answer)
 
 
-def _apply_verdict(
+def _apply_result(
     arbitration: Arbitration,
     rack: str,
     request: Request,
-    verdict: IdResult,
+    result: IdResult,
     settings: RoutingSettings,
 ) -> Admission:
-    match verdict.decision:
+    match result.decision:
         case IdDecision.RUN:
             arbitration.running_racks[request.key] = rack
-            return Admission("first sight, may run")
-        case IdDecision.JOIN if verdict.key in arbitration.running_racks:
-            arbitration.joined_keys.setdefault(verdict.key, []).append(request.key)
-            return Admission(f"joins {verdict.key}", joined=True)
+            return Admission("first arrival, may run")
+        case IdDecision.JOIN if result.key in arbitration.running_racks:
+            arbitration.joined_keys.setdefault(result.key, []).append(request.key)
+            return Admission(f"joins request {result.key}", joined=True)
         case IdDecision.REPEAT:
-            return Admission(f"repeat of {verdict.key}", verdict.answer)
+            return Admission(f"repeat of request {result.key}", result.answer)
         case IdDecision.REUSED:
             answer = FinalAnswer(Outcome.REFUSED, Reason.ID_REUSED)
-            return Admission("id used for another request", answer)
+            return Admission("id was used for another request", answer)
         case IdDecision.AHEAD:
             answer = FinalAnswer(Outcome.UNKNOWN, Reason.ID_AHEAD, settings.id_skew_s)
             return Admission("id was issued ahead of the clock", answer)
         case IdDecision.MALFORMED:
             answer = FinalAnswer(Outcome.REFUSED, Reason.MALFORMED)
-            return Admission("id has no time of issue", answer)
+            return Admission("id has no issue time", answer)
     answer = FinalAnswer(Outcome.UNKNOWN, Reason.ID_EXPIRED)
-    return Admission("older than the history", answer)
+    return Admission("id is older than the id history", answer)
--- a/plantainyard/routing/credits.py
+++ b/plantainyard/routing/credits.py
@@ -1,10 +1,10 @@
-"""A gateway's credits: what it holds of each runner and until when.
+"""Credits of a gateway: slots of runners that it may use until a lease ends.
 
 Notes
 -----
-A lease is counted from before the ask was sent, less the drift of the clock, so it
-ends here before it ends at the owner. A request whose answer was lost keeps its slot
-until the longest request has ended, since it may still be running.
+A lease is counted from before the credit request was sent and shortened by the clock
+drift, so it ends here before it ends at the owner. A request whose answer was lost
+keeps its slot until the longest request has ended, since it may still be running.
 """
 
 from plantainyard.protocol.messages import (
@@ -31,13 +31,17 @@
 
 
 class _RunnerCredits:
-    """Credits and requests in progress of one runner."""
+    """Credits and requests in progress for one runner.
+
+    `lost` holds the key of each request whose answer was lost, and the time until which
+    the request keeps its slot.
+    """
 
     def __init__(self, info: RunnerInfo) -> None:
         self.info = info
         self.limit = 0
         self.valid_until = float("-inf")
-        self.sending_count = 0
+        self.active_count = 0
         self.lost: list[tuple[str, float]] = []
 
 
@@ -47,8 +51,8 @@
     Parameters
     ----------
     gateway : str
-        Name of this process; a later process must not use it again, because the
-        requests of this one may still be running.
+        Name of this process; no later process may use it again, because requests of
+        this one may still be running.
     """
 
     def __init__(self, gateway: str) -> None:
@@ -66,25 +70,26 @@
     settings: RoutingSettings,
     now: float,
 ) -> CreditAsk:
-    """Return the next ask to the owner of `rack`, and give back idle credits.
+    """Return the next credit request to the owner of `rack`, and return idle credits.
 
     Parameters
     ----------
     state : CreditState
-        Changed: limits fall to what is in use, where the demand is below them.
+        Updated: credits beyond the demand and the spare ones are returned, unless they
+        are in use.
     rack : str
-        The rack whose owner is asked.
+        The rack that the credits are for.
     demand : dict of str to int
         Slots wanted for each service.
     settings : RoutingSettings
-        For the spare that is kept.
+        For the spare credits that are kept.
     now : float
-        Time before sending.
+        Time just before sending.
 
     Returns
     -------
     CreditAsk
-        The report of what is held from now on.
+        Report of the credits held from now on, with the demand.
     """
     selected = _select_rack(state, rack)
     for _, held in selected:
@@ -96,7 +101,7 @@
 
 
 def build_closing_ask(state: CreditState, rack: str, now: float) -> CreditAsk:
-    """Return the last ask to the owner of `rack`: it gives all credits back."""
+    """Return the last credit request to the owner of `rack`, returning all credits."""
     for _, held in _select_rack(state, rack):
         held.limit = 0
     return _report(state, rack, {}, now)._replace(closing=True)
@@ -105,16 +110,16 @@
 def apply_answer(
     state: CreditState, answer: CreditAnswer, settings: RoutingSettings
 ) -> bool:
-    """Take over the owner's answer; return whether it counted.
+    """Apply the owner's answer; return whether it granted credits.
 
     Notes
     -----
-    Only the answer to the newest ask counts. A late answer to an earlier one would
-    raise limits above what the newest ask reported, which the owner may have lent to
-    others since.
+    Only the answer to the newest request is applied. A late answer to an earlier one
+    would raise limits above those that the newest request reported, and the owner may
+    have lent the difference to other gateways since.
     """
-    newest = state.sequences.get(answer.rack) == answer.sequence
-    if not newest or answer.gateway != state.gateway:
+    is_newest = state.sequences.get(answer.rack) == answer.sequence
+    if not is_newest or answer.gateway != state.gateway:
         return False
     state.terms[answer.rack] = answer.term
     if not answer.granted:
@@ -123,36 +128,37 @@
     valid_until = state.requested_at[answer.rack] + lease_s
     for info in answer.runners:
         state.runners.setdefault(info.id, _RunnerCredits(info)).info = info
-    names = answer.grants.keys() | set(answer.leaving)
+    known = answer.grants.keys() | set(answer.leaving)
     for key, held in _select_rack(state, answer.rack):
         held.limit = answer.grants.get(key, 0)
         held.valid_until = valid_until
-        if key not in names and not count_in_flight(held):
+        if key not in known and not count_in_flight(held):
             del state.runners[key]
     return True
 
 
 def take_slot(state: CreditState, runner_id: str, now: float) -> float | None:
-    """Take a slot of a runner; return until when the request may be sent.
+    """Take a slot of a runner and return the time until which a request may be sent.
 
     Returns
     -------
     float or None
-        Time after which the request must not be sent any more; None where no valid
-        credit is free.
+        Time after which the request must not be sent; None where no valid credit is
+        free.
     """
     held = state.runners.get(runner_id)
     if held is None or count_free(held, now) <= 0:
         return None
-    held.sending_count += 1
+    held.active_count += 1
     return held.valid_until
 
 
 def check_credit(not_after: float, now: float) -> bool:
-    """Tell whether a request may still be sent.
+    """Return whether a request may still be sent.
 
-    To be called after every wait, just before the send: a thread that slept past its
-    lease would otherwise send under a credit that others hold by then.
+    Call this after every wait, just before sending: otherwise a thread that was
+    suspended past the end of its lease would send under a credit that another gateway
+    holds by then.
     """
     return now < not_after
 
@@ -165,35 +171,35 @@
     settings: RoutingSettings,
     now: float,
 ) -> None:
-    """Give a slot back after a sending.
+    """Release a slot after an attempt.
 
     Parameters
     ----------
     state : CreditState
-        Changed.
+        Updated.
     runner_id : str
-        The runner that the slot is of.
+        The runner that the slot belongs to.
     key : str
-        The request, for `end_lost`.
+        Key of the request, for `release_lost`.
     ended : bool
         Whether the request has ended for certain. If not, its slot stays in use until
         the longest request that could have been sent just now has ended.
     settings : RoutingSettings
-        For the longest request.
+        For the longest duration of a request.
     now : float
-        Present time.
+        Current time.
     """
     held = state.runners.get(runner_id)
     if held is None:
         return
-    held.sending_count -= 1
+    held.active_count -= 1
     if not ended:
         until = now + settings.request_max_s * (1 + 2 * settings.drift)
         held.lost.append((key, until))
 
 
 def release_lost(state: CreditState, runner_id: str, key: str) -> None:
-    """Give back the slot of a lost request that has ended for certain after all."""
+    """Release the slot of a lost request that has now ended for certain."""
     held = state.runners.get(runner_id)
     lost = [k for k, _ in held.lost] if held else []
     if held and key in lost:
@@ -201,7 +207,7 @@
 
 
 def drop_runner(state: CreditState, runner_id: str) -> None:
-    """Forget a runner that has ended, once its last request has been answered."""
+    """Drop a terminated runner's credits, and the runner once nothing is in flight."""
     held = state.runners.get(runner_id)
     if held is None:
         return
@@ -211,12 +217,12 @@
 
 
 def count_in_flight(held: _RunnerCredits) -> int:
-    """Return the requests of this gateway that can be in progress at a runner."""
-    return held.sending_count + len(held.lost)
+    """Return how many requests of this gateway can be in progress at a runner."""
+    return held.active_count + len(held.lost)
 
 
 def count_free(held: _RunnerCredits, now: float) -> int:
-    """Return the credits that are valid and not in use."""
+    """Return the number of valid credits that are not in use."""
     _expire(held, now)
     return max(0, held.limit - count_in_flight(held))
 
@@ -241,7 +247,7 @@
 
 
 def _return_idle(group: list[_RunnerCredits], keep: int) -> None:
-    """Lower limits until `keep` credits are left, from those with the most idle."""
+    """Lower limits, of runners with most idle credits first, until `keep` are left."""
     excess = sum(held.limit for held in group) - keep
     while excess > 0:
         held = max(group, key=lambda h: h.limit - count_in_flight(h))
--- a/plantainyard/routing/events.py
+++ b/plantainyard/routing/events.py
@@ -1,4 +1,4 @@
-"""Events and actions of the gateway's deciding part."""
+"""Events that the gateway's state machine takes, and actions that it returns."""
 
 from typing import NamedTuple
 
@@ -9,7 +9,6 @@
 __all__ = [
     "Action",
     "Answer",
-    "RequestCredits",
     "AttemptEnded",
     "AuthorityChanged",
     "CreditAnswerReceived",
@@ -24,6 +23,7 @@
     "Peer",
     "PeersChanged",
     "RequestArrived",
+    "RequestCredits",
     "RunnersChanged",
     "Send",
     "Tick",
@@ -31,7 +31,7 @@
 
 
 class Owner(NamedTuple):
-    """The owner of a rack; `instance` is empty where there is none."""
+    """Owner of a rack; `instance` is empty where there is none."""
 
     instance: str
     domain: str
@@ -39,7 +39,7 @@
 
 
 class Peer(NamedTuple):
-    """Another instance, with the free credits that it told for each service."""
+    """Another instance, with the free credits that it reports for each service."""
 
     instance: str
     domain: str
@@ -49,14 +49,14 @@
 
 
 class RequestArrived(NamedTuple):
-    """A caller's or a peer's request came in; `wall_s` is the wall-clock time."""
+    """A request of a caller or a peer arrived; `wall_s` is the wall-clock time."""
 
     request: Request
     wall_s: float
 
 
 class AttemptEnded(NamedTuple):
-    """A `Send` has ended.
+    """An attempt, started by a `Send`, has ended.
 
     Attributes
     ----------
@@ -65,13 +65,13 @@
     result : str
         One of the names in `retries.SendResult`.
     latency_s : float
-        Duration of the sending.
+        Duration of the attempt.
     response : Response or None
-        The runner's answer, where there is one.
+        The runner's response, where there is one.
     leaving : bool
-        Whether the runner said that it is leaving.
+        Whether the runner reported that it is leaving.
     retry_after_s : float
-        The runner's wish; zero where it named none.
+        Retry delay that the runner asked for; zero where it named none.
     """
 
     key: str
@@ -83,9 +83,9 @@
 
 
 class LateAttemptEnded(NamedTuple):
-    """A sending that was given up as lost has ended at its runner after all.
+    """An attempt that was recorded as lost has ended at its runner after all.
 
-    `latency_s` is its whole duration.
+    `latency_s` is the total duration of the attempt.
     """
 
     key: str
@@ -94,7 +94,7 @@
 
 
 class ForwardEnded(NamedTuple):
-    """A `Forward` has ended: with the peer's answer, or with a `SendResult`."""
+    """A `Forward` has ended, with the peer's answer or else just a `SendResult`."""
 
     key: str
     result: str
@@ -102,15 +102,16 @@
 
 
 class CreditAnswerReceived(NamedTuple):
-    """A rack's owner answered an ask."""
+    """The owner of a rack has answered a credit request."""
 
     answer: CreditAnswer
 
 
 class RunnersChanged(NamedTuple):
-    """News about runners from the platform's list or their workers.
+    """The platform's list or a worker has reported changes of runners.
 
-    Runners that ended are in `gone`, those that take nothing new in `leaving`.
+    Runners that take no new requests are in `leaving`, those that have ended in
+    `terminated`.
     """
 
     leaving: tuple[str, ...] = ()
@@ -118,21 +119,21 @@
 
 
 class OwnersChanged(NamedTuple):
-    """The owner of each rack, all domains included."""
+    """The owners of racks have changed; `owners` has each rack of all domains."""
 
     owners: dict[str, Owner]
 
 
 class PeersChanged(NamedTuple):
-    """All instances that are heard from, this one left out."""
+    """The live peers have changed; `peers` has all of them, without this instance."""
 
     peers: tuple[Peer, ...]
 
 
 class AuthorityChanged(NamedTuple):
-    """The instance may judge the ids of `rack` until `until`.
+    """The instance is the arbiter of the ids of `rack` until `until`.
 
-    `gained` is True at the beginning of an authority and False for its renewal.
+    `gained` is True when the authority was gained and False when it was renewed.
     """
 
     rack: str
@@ -146,7 +147,7 @@
 
 
 class Drain(NamedTuple):
-    """The instance is to stop once `grace_s` has passed and nothing is in progress."""
+    """The instance must stop once `grace_s` has passed and no request is pending."""
 
     grace_s: float = 0.0
 
@@ -169,8 +170,8 @@
 class Send(NamedTuple):
     """Send a request to a runner, once, within `timeout_s`.
 
-    After every wait and just before the send `credits.check_credit` must hold for
-    `not_after`; else the attempt ends as ``NOT_SENT``.
+    Just before sending, after every wait, `credits.check_credit` has to be true for
+    `not_after`; otherwise the attempt ends as ``NOT_SENT``.
     """
 
     key: str
@@ -190,7 +191,7 @@
 
 
 class Answer(NamedTuple):
-    """Give the caller of `key` its one answer, at once."""
+    """Give the caller of request `key` its only answer, at once."""
 
     key: str
     answer: FinalAnswer
@@ -204,7 +205,7 @@
 
 
 class Drained(NamedTuple):
-    """Nothing is in progress any more: the instance may stop."""
+    """No request is pending any more: the instance may stop."""
 
 
 Action = Send | Forward | Answer | RequestCredits | Drained
--- a/plantainyard/routing/gateway.py
+++ b/plantainyard/routing/gateway.py
@@ -1,14 +1,14 @@
-"""The gateway's deciding part: what happens to each caller's request.
+"""Decisions of a gateway on each caller's request, as a state machine without I/O.
 
-`step` composes the credits, the queue, the health of runners, the retries and the
-arbiters of request ids. Every accepted request gets exactly one `Answer`, at the
-moment at which its outcome is decided.
+`step` combines the credits, the queue, the health of runners, the retries and the
+arbiters of request ids. Every accepted request gets exactly one `Answer`, as soon as
+its outcome is decided.
 
 Notes
 -----
-A non-idempotent request goes to the arbiter of its id before anything else. Once
-judged, or if idempotent, it waits in the queue for a credit; where its deadline can't
-be met here, it is forwarded to the nearest peer with room, else refused at once.
+A non-idempotent request first goes to the arbiter of its id. Once admitted, or if it is
+idempotent, it waits in the queue for a credit. If it can't meet its deadline here, it
+is forwarded to the nearest peer with free credits, or else refused at once.
 """
 
 from collections import Counter
@@ -40,26 +40,25 @@
 
 
 def step(state: GatewayState, event: Event, now: float) -> list[Action]:
-    """Take `event` into `state` and return what is to be done.
+    """Apply `event` to `state` and return the actions to perform.
 
     Parameters
     ----------
     state : GatewayState
-        Changed.
+        Updated.
     event : Event
-        What happened.
+        The event.
     now : float
-        Seconds of `clock.read_clock`.
+        Current time of `clock.read_clock` in seconds.
 
     Returns
     -------
     list of Action
-        In the order in which to do them.
+        Actions in the order in which to perform them.
 
     Notes
     -----
-    The cost of an event is proportional to the queue's length and the number of
-    runners.
+    One event takes time proportional to the queue's length and the number of runners.
     """
     actions = _apply_event(state, event, now)
     actions += expire_pending(state, now)
@@ -73,12 +72,12 @@
 
 
 def is_idle(state: GatewayState) -> bool:
-    """Tell whether no request is in progress."""
+    """Return whether no request is pending."""
     return not state.pending
 
 
 def count_free_credits(state: GatewayState, now: float) -> dict[str, int]:
-    """Return the credits for each service that nothing here is waiting for."""
+    """Return the free credits of each service beyond the requests that wait here."""
     free_credits: Counter[str] = Counter()
     for held in state.credits.runners.values():
         if held.info.domain == state.location.domain:
@@ -88,11 +87,11 @@
 
 
 def dump_gateway(state: GatewayState, now: float) -> dict[str, object]:
-    """Return the state and the last decisions as plain values, for people."""
+    """Return the state and the latest decisions as plain values, for operators."""
     runners = {
         key: {
             "limit": held.limit,
-            "sending": held.sending_count,
+            "sending": held.active_count,
             "lost": len(held.lost),
             "valid_for_s": held.valid_until - now,
             "health": describe_runner(state.health, key, now),
@@ -127,10 +126,10 @@
         case events.CreditAnswerReceived(answer):
             apply_credit_answer(state, answer)
             for runner_id in answer.leaving:
-                mark_leaving(state.health, runner_id, "its rack's owner")
+                mark_leaving(state.health, runner_id, "reported by the rack's owner")
         case events.RunnersChanged(leaving, terminated):
             for runner_id in leaving:
-                mark_leaving(state.health, runner_id, "list")
+                mark_leaving(state.health, runner_id, "platform list")
             for runner_id in terminated:
                 drop_runner(state.credits, runner_id)
             forget_runners(state.health, {*state.credits.runners, *leaving})
@@ -146,5 +145,5 @@
 
 
 def _is_drain_complete(state: GatewayState, now: float) -> bool:
-    over = state.drain_after is not None and now >= state.drain_after
-    return over and not state.pending and not state.drained
+    grace_over = state.drain_after is not None and now >= state.drain_after
+    return grace_over and not state.pending and not state.drained
--- a/plantainyard/routing/health.py
+++ b/plantainyard/routing/health.py
@@ -1,13 +1,13 @@
-"""Health of runners: set aside, probe, let back, leaving.
+"""Health of runners: ejection after failures, probes, recovery and leaving.
 
 Notes
 -----
-A runner is set aside after failures in a row or when it is many times slower than the
-median. After a time that doubles with each failed probe, one request is let through;
-its success lets the runner back. Where more than a share of the runners would be set
-aside, the cause is hardly the runners, and none is treated as set aside. Below that
-share the few that are left take the load, which their slots bound: they are never
-given more than they can hold.
+A runner is ejected after consecutive failures or when it is many times slower than the
+median. After a time that doubles with each failed probe, one request is sent to it as a
+probe; if it succeeds, the runner is used again. If more than `panic_threshold` of the
+runners are ejected, the cause is probably not the runners, and all of them are used.
+Below that threshold the remaining runners take the load. They can't be overloaded,
+because they are never sent more requests than they have slots.
 """
 
 from collections.abc import Iterable
@@ -33,7 +33,7 @@
 
 
 class _Health:
-    """What is known of one runner."""
+    """Health of one runner."""
 
     def __init__(self) -> None:
         self.consecutive_failures = 0
@@ -48,7 +48,7 @@
 
 
 class HealthState:
-    """Health of all runners that were sent to."""
+    """Health of all runners that have been sent a request."""
 
     def __init__(self) -> None:
         self.runners: dict[str, _Health] = {}
@@ -62,22 +62,22 @@
     settings: RoutingSettings,
     now: float,
 ) -> None:
-    """Take the end of a sending into account.
+    """Update a runner's health with the result of an attempt.
 
     Parameters
     ----------
     state : HealthState
-        Changed.
+        Updated.
     runner_id : str
         The runner.
     result : str
         One of the names in `retries.SendResult`.
     latency_s : float
-        Duration of the sending.
+        Duration of the attempt.
     settings : RoutingSettings
-        Bounds.
+        Thresholds and times.
     now : float
-        Present time.
+        Current time.
     """
     health = state.runners.setdefault(runner_id, _Health())
     if result == SendResult.NOT_SENT:
@@ -90,17 +90,17 @@
     health.consecutive_failures += 1
     if was_probe or health.consecutive_failures >= settings.ejection_failures:
         _eject(
-            health, f"{health.consecutive_failures} failures in a row", settings, now
+            health, f"{health.consecutive_failures} consecutive failures", settings, now
         )
 
 
 def mark_leaving(state: HealthState, runner_id: str, source: str) -> None:
-    """Note that a runner leaves; the first source that says so is kept.
+    """Mark a runner as leaving, and keep the first source that reported it.
 
     Notes
     -----
-    The sources are the platform's list, which lags, and the runner's own word. A
-    runner that just disappears is covered by its failures.
+    The sources are the platform's list, which lags behind, the rack's owner, and the
+    runner itself. A runner that disappears without notice is ejected after failures.
     """
     health = state.runners.setdefault(runner_id, _Health())
     health.leaving_source = health.leaving_source or source
@@ -122,49 +122,50 @@
     runner_ids : iterable of str
         All runners of the service, with or without a free slot.
     idempotent : bool
-        Whether the request can serve as a probe: a lost probe can then be repeated.
+        Whether the request may be used as a probe: if a probe is lost, the request is
+        sent again.
     settings : RoutingSettings
-        Bounds.
+        Thresholds and times.
     now : float
-        Present time.
+        Current time.
 
     Returns
     -------
     list of str
-        Usable runners, those due for a probe first.
+        Usable runners, those with a probe due first.
     """
     present = [key for key in runner_ids if not _is_leaving(state, key)]
     if is_in_panic_mode(state, present, settings):
         return present
     healthy = [key for key in present if not _is_ejected(state, key)]
-    probes = [key for key in present if _is_due(state, key, now)]
-    # With nothing healthy a non-idempotent request goes to a due runner too: it would
-    # otherwise wait for an idempotent one that may never come.
+    probes = [key for key in present if _is_probe_due(state, key, now)]
+    # Without healthy runners a non-idempotent request is also used as a probe: it would
+    # otherwise wait for an idempotent request that may never arrive.
     return [*probes, *healthy] if idempotent or not healthy else healthy
 
 
 def is_in_panic_mode(
     state: HealthState, runner_ids: Iterable[str], settings: RoutingSettings
 ) -> bool:
-    """Tell whether too many of the runners are set aside to believe it."""
-    flags = [_is_ejected(state, key) for key in runner_ids]
-    return sum(flags) > settings.panic_threshold * len(flags)
+    """Return whether so many runners are ejected that ejections are ignored."""
+    ejected = [_is_ejected(state, key) for key in runner_ids]
+    return sum(ejected) > settings.panic_threshold * len(ejected)
 
 
 def start_probe(state: HealthState, runner_id: str, now: float) -> None:
-    """Note that a request is being sent to a runner; a set-aside one gets one only."""
-    if _is_due(state, runner_id, now):
+    """Record that a request is sent to a runner, as its only probe if it is ejected."""
+    if _is_probe_due(state, runner_id, now):
         state.runners[runner_id].probe_in_flight = True
 
 
 def forget_runners(state: HealthState, present: Iterable[str]) -> None:
-    """Drop what is known of runners that are not in `present`."""
+    """Drop the health of runners that are not in `present`."""
     kept = set(present)
     state.runners = {k: v for k, v in state.runners.items() if k in kept}
 
 
 def describe_runner(state: HealthState, runner_id: str, now: float) -> str:
-    """Return a runner's health in words.
+    """Return a description of a runner's health, for operators.
 
     Examples
     --------
@@ -178,8 +179,8 @@
         return f"leaving ({health.leaving_source})"
     if not health.is_ejected:
         return "healthy"
-    left = max(0.0, health.ejected_until - now)
-    return f"set aside for {left:.1f} s more ({health.reason})"
+    remaining_s = max(0.0, health.ejected_until - now)
+    return f"ejected for another {remaining_s:.1f} s ({health.reason})"
 
 
 def _record_success(
@@ -190,8 +191,8 @@
     settings: RoutingSettings,
     now: float,
 ) -> None:
-    # Answers to what was sent before a runner was set aside come in later; they are
-    # no sign that it has recovered.
+    # Answers to requests that were sent before a runner was ejected may arrive later;
+    # they don't show that it has recovered.
     if health.is_ejected and not was_probe:
         return
     health.consecutive_failures = 0
@@ -199,7 +200,7 @@
     weight = _SMOOTHING if health.samples > 1 and not was_probe else 1.0
     health.latency_s += weight * (latency_s - health.latency_s)
     if _is_slow(state, health, settings):
-        _eject(health, f"slow, {health.latency_s:.3f} s", settings, now)
+        _eject(health, f"slow: latency {health.latency_s:.3f} s", settings, now)
         health.samples = 0
         return
     health.is_ejected = False
@@ -207,14 +208,14 @@
 
 
 def _is_slow(state: HealthState, health: _Health, settings: RoutingSettings) -> bool:
-    known = [h.latency_s for h in state.runners.values() if h.samples]
-    if health.samples < _MIN_SLOW_SAMPLES or len(known) < 3:
+    latencies = [h.latency_s for h in state.runners.values() if h.samples]
+    if health.samples < _MIN_SLOW_SAMPLES or len(latencies) < 3:
         return False
-    limit = max(_MIN_SLOW_LATENCY_S, settings.slow_factor * median(known))
+    limit = max(_MIN_SLOW_LATENCY_S, settings.slow_factor * median(latencies))
     return health.latency_s > limit
 
 
-def _eject(health: _Health, why: str, settings: RoutingSettings, now: float) -> None:
+def _eject(health: _Health, reason: str, settings: RoutingSettings, now: float) -> None:
     if health.is_ejected and now < health.ejected_until:
         return
     health.ejection_s = min(
@@ -222,7 +223,7 @@
     )
     health.ejected_until = now + health.ejection_s
     health.is_ejected = True
-    health.reason = why
+    health.reason = reason
 
 
 def _is_leaving(state: HealthState, runner_id: str) -> bool:
@@ -235,7 +236,7 @@
     return health is not None and health.is_ejected
 
 
-def _is_due(state: HealthState, runner_id: str, now: float) -> bool:
+def _is_probe_due(state: HealthState, runner_id: str, now: float) -> bool:
     health = state.runners.get(runner_id)
     if health is None or not health.is_ejected or health.probe_in_flight:
         return False
--- a/plantainyard/routing/lender.py
+++ b/plantainyard/routing/lender.py
@@ -1,12 +1,13 @@
-"""Lending of runners' slots, at the owner of their rack.
+"""Lending of runners' slots to gateways, by the owner of the runners' rack.
 
-The owner lends each runner's slots to gateways as credits under a lease. The sum of
-what the gateways may still use never exceeds a runner's slots: not when a gateway
-dies or pauses, not when an answer is lost, and not when the rack's owner changes.
+The owner lends each runner's slots to gateways as credits under a lease. The slots that
+all gateways together can be using never exceed the runner's slots, even if a gateway
+dies or pauses, an answer is lost, or the rack's owner changes.
 
 Notes
 -----
-The bounds are kept by `loans`. One step costs time proportional to the rack's slots.
+The upper bounds on the slots in use are kept by `loans`. One step takes time
+proportional to the rack's slots.
 """
 
 from collections.abc import Callable, Iterable
@@ -34,8 +35,8 @@
     "LenderEvent",
     "LenderState",
     "LenderStep",
-    "RunnerTerminated",
     "RunnerLeaving",
+    "RunnerTerminated",
     "RunnerUp",
     "build_fixed_lender",
     "build_leased_lender",
@@ -46,9 +47,9 @@
 
 
 class AuthorityGained(NamedTuple):
-    """The instance gains authority over the rack, until `until`.
+    """The instance has gained authority over the rack until `until`.
 
-    `epoch` is the one that the workers accepted.
+    `epoch` is the epoch that the rack's workers have accepted.
     """
 
     until: float
@@ -56,7 +57,7 @@
 
 
 class AuthorityExtended(NamedTuple):
-    """The authority that this instance holds now lasts until `until`."""
+    """The authority that this instance holds has been extended to `until`."""
 
     until: float
 
@@ -68,7 +69,7 @@
 class RunnerUp(NamedTuple):
     """A runner takes requests.
 
-    `fresh` says that it was started under the present authority, so that no former
+    `fresh` means that the runner was started under the current authority, so no former
     owner can have lent its slots.
     """
 
@@ -77,13 +78,13 @@
 
 
 class RunnerLeaving(NamedTuple):
-    """A runner finishes what it has and takes nothing new."""
+    """A runner finishes its requests in progress and takes no new ones."""
 
     runner_id: str
 
 
 class RunnerTerminated(NamedTuple):
-    """A runner has ended for certain."""
+    """A runner has terminated for certain."""
 
     runner_id: str
 
@@ -101,12 +102,12 @@
 
 
 class LenderState:
-    """State of a rack's lender.
+    """State of the lender of one rack.
 
     Parameters
     ----------
     rack : str
-        The rack whose runners' slots are lent.
+        Rack whose runners' slots are lent.
     """
 
     def __init__(self, rack: str) -> None:
@@ -126,7 +127,7 @@
 
 
 def build_leased_lender(settings: RoutingSettings) -> LenderStep:
-    """Return a step that lends by demand and divides idle slots evenly."""
+    """Return a step function that lends slots by demand and idle slots evenly."""
 
     def find_target(state: LenderState, ask: CreditAsk, service: str) -> int:
         total = _count_slots(state, service)
@@ -139,9 +140,9 @@
 def build_fixed_lender(
     settings: RoutingSettings, gateways: Iterable[str]
 ) -> LenderStep:
-    """Return a step that gives each of `gateways` the same part, whatever it needs.
+    """Return a step function that lends each of `gateways` an equal share of the slots.
 
-    The simplest way, kept for comparison.
+    The demand is ignored. This simplest policy is kept for comparison.
     """
     names = sorted(gateways)
 
@@ -155,7 +156,7 @@
 
 
 def build_single_lender(settings: RoutingSettings, dispatcher: str) -> LenderStep:
-    """Return a step that gives all slots to `dispatcher`, through which all send."""
+    """Return a step function that lends all slots to one gateway, `dispatcher`."""
 
     def find_target(state: LenderState, ask: CreditAsk, service: str) -> int:
         return _count_slots(state, service) if ask.gateway == dispatcher else 0
@@ -164,12 +165,12 @@
 
 
 def count_lent(state: LenderState, runner_id: str) -> int:
-    """Return the slots of a runner that gateways can be using."""
+    """Return the number of a runner's slots that gateways can be using."""
     return sum(loan.slots for loan in state.runners[runner_id].loans.values())
 
 
 def dump_lender(state: LenderState) -> dict[str, object]:
-    """Return the state as plain values, for people."""
+    """Return the state as plain values, for operators."""
     runners = {
         key: {
             "leaving": runner.leaving,
@@ -216,7 +217,10 @@
     settings: RoutingSettings,
     now: float,
 ) -> None:
-    """Forget what an earlier term knew: another owner may have lent since."""
+    """Start a new term.
+
+    The state of an earlier term is dropped: another owner may have lent slots since.
+    """
     state.term_count += 1
     state.term = f"{epoch}.{state.term_count}"
     state.authority_since = now
@@ -238,30 +242,36 @@
         state.runners[info.id].info = info
         state.runners[info.id].terminated = False
         return
-    # A former owner may have lent slots to a gateway that has not spoken yet: lending
-    # them again overfills the runner. Its last lease was asked for before this
-    # authority began, so after one lease and one longest request nothing is left of it.
-    hold = extend_for_drift(settings, settings.credit_s + settings.request_max_s)
-    until = float("-inf") if fresh else state.authority_since + hold
+    # A former owner may have lent slots to a gateway that has not reported yet: lending
+    # them again would overfill the runner. The former owner's last lease was requested
+    # before this authority began, so no request can be running under it after one lease
+    # and then the longest request.
+    hold_s = extend_for_drift(settings, settings.credit_s + settings.request_max_s)
+    until = float("-inf") if fresh else state.authority_since + hold_s
     state.runners[info.id] = LentRunner(info, until)
 
 
 def _expire_all(state: LenderState, settings: RoutingSettings, now: float) -> None:
     for runner in state.runners.values():
         expire_loans(runner, settings, now)
-    # A runner called gone by mistake comes back with its loans, which still count.
+    # A runner that was reported as terminated by mistake returns with its loans, which
+    # still count, so it is kept until they have expired.
     for key in [k for k, r in state.runners.items() if r.terminated and not r.loans]:
         del state.runners[key]
-    quiet = extend_for_drift(settings, settings.credit_s)
+    demand_expiry_s = extend_for_drift(settings, settings.credit_s)
     for gateway in [
-        g for g, heard in state.last_ask_times.items() if now > heard + quiet
+        g for g, asked in state.last_ask_times.items() if now > asked + demand_expiry_s
     ]:
         state.demands.pop(gateway, None)
-    # A sequence is forgotten only when nothing of its gateway can be running: an ask
-    # that overtook another could otherwise free slots that are in use.
-    terminated = quiet + extend_for_drift(settings, settings.request_max_s)
+    # A sequence number is dropped only when no request of its gateway can be running:
+    # otherwise a delayed older ask could free slots that are in use.
+    sequence_expiry_s = demand_expiry_s + extend_for_drift(
+        settings, settings.request_max_s
+    )
     for gateway in [
-        g for g, heard in state.last_ask_times.items() if now > heard + terminated
+        g
+        for g, asked in state.last_ask_times.items()
+        if now > asked + sequence_expiry_s
     ]:
         del state.last_ask_times[gateway]
         state.sequences.pop(gateway, None)
@@ -276,12 +286,12 @@
 ) -> CreditAnswer:
     if now >= state.authority_until:
         return _refuse_ask(ask, "no authority over the rack")
-    # An ask from before this authority began can lie in a socket and show more than
-    # the gateway still holds; the difference would be lent twice. Only an ask that
-    # names the term was sent after the term began.
+    # An ask that was sent before this authority began can be delayed in a socket and
+    # report more than the gateway still holds; the difference would be lent twice. Only
+    # an ask that names the current term was sent after the term began.
     if ask.term != state.term:
         return _refuse_ask(ask, "ask again under this term", state.term)
-    # Asks can overtake each other: an older one would show a limit that the gateway
+    # Asks can arrive out of order: an older one would report a limit that the gateway
     # has raised since, and free slots that are in use.
     if ask.sequence <= state.sequences.get(ask.gateway, -1):
         return _refuse_ask(ask, "a newer ask was seen", state.term)
--- a/plantainyard/routing/lifecycle.py
+++ b/plantainyard/routing/lifecycle.py
@@ -1,4 +1,8 @@
-"""The way of one request: arrival, judgement of its id, sendings, forwards, end."""
+"""Lifecycle of one request: arrival, admission of its id, attempts, forwards, answer.
+
+Each function takes one event into the `GatewayState` and returns the actions that
+follow from it.
+"""
 
 from itertools import chain
 
@@ -39,7 +43,7 @@
 def accept_request(
     state: GatewayState, request: Request, wall_s: float, now: float
 ) -> list[Action]:
-    """Take a request in: have its id judged where that is needed, then queue it."""
+    """Accept a request: have its id admitted where that is needed, then queue it."""
     if state.drained:
         answer = FinalAnswer(Outcome.REFUSED, Reason.DRAINING, _MIN_RETRY_AFTER_S)
         return [Answer(request.key, answer)]
@@ -65,8 +69,8 @@
     peer = state.peers.get(owner)
     full = state.forwarding >= state.settings.forward_max
     if peer is None or full or request.hops >= MAX_HOPS:
-        # "Refused" would say that the id never ran, which only its arbiter knows: an
-        # earlier sending through another gateway may have run.
+        # "Refused" would state that the id never ran, which only its arbiter knows: an
+        # earlier attempt through another gateway may have run.
         reason = Reason.QUEUE_FULL if full else Reason.NO_ARBITER
         answer = FinalAnswer(Outcome.UNKNOWN, reason, state.settings.credit_s)
         return finish_request(state, request.key, answer)
@@ -83,18 +87,20 @@
     if peer.region != state.location.region:
         state.link.tokens -= request.size_bytes
     record_decision(state, request, f"forward to {peer.instance}", now)
-    left_s = request.deadline - now
-    # The peer gives up at the deadline that it is told. If that were the end of the
-    # waiting here too, its "not run" would come too late and be told as "unknown".
-    spare_s = max(_MIN_FORWARD_MARGIN_S, _FORWARD_MARGIN_SHARE * left_s)
-    deadline = request.deadline - spare_s
+    remaining_s = request.deadline - now
+    # The peer refuses the request at the deadline that it is given. If this gateway
+    # stopped waiting at the same moment, the peer's "refused" would arrive too late and
+    # the caller would get "unknown" instead.
+    margin_s = max(_MIN_FORWARD_MARGIN_S, _FORWARD_MARGIN_SHARE * remaining_s)
+    deadline = request.deadline - margin_s
     sent = request._replace(hops=request.hops + 1, deadline=deadline)
-    return [events.Forward(request.key, sent, peer, left_s)]
+    return [events.Forward(request.key, sent, peer, remaining_s)]
 
 
 def _enqueue(state: GatewayState, request: Request, now: float) -> list[Action]:
     if not _has_credits(state, request.service, now):
-        # Waiting here would spend the caller's time on slots that don't exist.
+        # Queueing here would use up the caller's time waiting for slots that don't
+        # exist.
         actions = _try_forward(state, request, now)
         if actions:
             return actions
@@ -111,11 +117,11 @@
 def _forward_or_reject(
     state: GatewayState, item: Rejection, now: float
 ) -> list[Action]:
-    """Send what can't run here to the nearest peer with room, or refuse it."""
+    """Forward a request that the queue has rejected, or refuse it."""
     actions = _try_forward(state, item.request, now)
     if actions:
         return actions
-    record_decision(state, item.request, f"given up: {item.reason}", now)
+    record_decision(state, item.request, f"rejected by the queue: {item.reason}", now)
     answer = FinalAnswer(Outcome.REFUSED, item.reason, item.retry_after_s)
     return finish_request(state, item.request.key, answer)
 
@@ -129,16 +135,16 @@
 
 
 def _may_have_runner(state: GatewayState, service: str) -> bool:
-    """Tell whether a runner of the service may exist, as far as is known here."""
+    """Return whether the service may have a runner, as far as this gateway knows."""
     if any(held.info.service == service for held in state.credits.runners.values()):
         return True
-    near = {o.region for o in state.owners.values() if o.instance}
-    # Before the first word of an owner nothing is known of its runners.
-    return state.location.region in near and not state.credits.terms
+    owned_regions = {o.region for o in state.owners.values() if o.instance}
+    # Until an owner has answered for the first time, its runners are not known.
+    return state.location.region in owned_regions and not state.credits.terms
 
 
 def _try_forward(state: GatewayState, request: Request, now: float) -> list[Action]:
-    """Forward to the nearest peer with room; return nothing where there is none."""
+    """Forward to the nearest peer with free credits; return no actions without one."""
     pending = state.pending[request.key]
     peer = choose_peer(
         state.location, state.peers.values(), request, state.link, pending.tried_peers
@@ -149,8 +155,8 @@
         or state.forwarding >= state.settings.forward_max
     ):
         return []
-    # Until the peer's next word the room is counted down here: else every request
-    # of that time would go to the one peer that looked emptiest.
+    # The peer's free credits are decremented here until its next heartbeat: otherwise
+    # every request until then would go to the one peer that reported the most.
     free_credits = {
         **peer.free_credits,
         request.service: peer.free_credits[request.service] - 1,
@@ -163,7 +169,7 @@
 def end_attempt(
     state: GatewayState, event: events.AttemptEnded, now: float
 ) -> list[Action]:
-    """Take the end of a sending: answer the caller, or send again."""
+    """Record the end of an attempt, then answer the caller or retry."""
     pending = state.pending.get(event.key)
     if pending is None or not pending.runner_id:
         return []
@@ -174,7 +180,7 @@
         state.health, runner_id, event.result, event.latency_s, state.settings, now
     )
     if event.leaving:
-        mark_leaving(state.health, runner_id, "its own word")
+        mark_leaving(state.health, runner_id, "reported by the runner")
     if event.result == SendResult.ANSWERED:
         record_service_time(state.queue, event.latency_s)
         answer = FinalAnswer(Outcome.DONE, response=event.response)
@@ -191,7 +197,7 @@
     state: GatewayState, pending: PendingRequest, event: events.AttemptEnded, now: float
 ) -> list[Action]:
     request = pending.request
-    verdict = decide_retry(
+    decision = decide_retry(
         state.budget,
         request,
         event.result,
@@ -200,19 +206,21 @@
         state.settings,
         now,
     )
-    record_decision(state, request, f"{event.result}: again={verdict.retry}", now)
-    if verdict.retry:
+    record_decision(state, request, f"{event.result}: retry={decision.retry}", now)
+    if decision.retry:
         return _enqueue(state, request, now)
     wait = max(_MIN_RETRY_AFTER_S, event.retry_after_s, state.queue.service_time_s)
-    retry_after_s = 0.0 if verdict.outcome == Outcome.FAILED else wait
-    answer = FinalAnswer(verdict.outcome, verdict.reason, retry_after_s, event.response)
+    retry_after_s = 0.0 if decision.outcome == Outcome.FAILED else wait
+    answer = FinalAnswer(
+        decision.outcome, decision.reason, retry_after_s, event.response
+    )
     return finish_request(state, request.key, answer)
 
 
 def end_forward(
     state: GatewayState, event: events.ForwardEnded, now: float
 ) -> list[Action]:
-    """Take the end of a forward: hand the peer's answer on, or go another way."""
+    """Record the end of a forward, then relay the peer's answer or retry."""
     pending = state.pending.get(event.key)
     if pending is None or not pending.peer:
         return []
@@ -223,8 +231,8 @@
         return finish_request(state, event.key, event.answer)
     state.peers.pop(peer, None)
     request = pending.request
-    unjudged = not request.idempotent and not _is_admitted(state, request)
-    if unjudged:
+    not_admitted = not request.idempotent and not _is_admitted(state, request)
+    if not_admitted:
         reason = (
             Reason.ANSWER_LOST if event.result == SendResult.LOST else Reason.NO_ARBITER
         )
@@ -241,13 +249,16 @@
 def _update_free_credits(
     state: GatewayState, peer: str, service: str, outcome: str
 ) -> None:
-    """Count a peer's room up or out by the way in which a forward ended.
+    """Update the count of a peer's free credits with the outcome of a forward.
+
+    A refusal sets the count to zero. Any other outcome raises it by one, because the
+    request's slot has become free.
 
     Notes
     -----
-    A peer's heartbeat tells its free slots at a moment; counted down only, they allow
-    no more forwards between two heartbeats than there were free slots at the first,
-    although slots come free all the time.
+    A heartbeat reports the free credits at one moment. If the count were only
+    decremented, no more requests could be forwarded between two heartbeats than there
+    were free credits at the first, although slots become free all the time.
     """
     known = state.peers.get(peer)
     if known is None:
@@ -261,11 +272,12 @@
 
 
 def _is_admitted(state: GatewayState, request: Request) -> bool:
+    """Return whether the arbiter of the request's id has let it run."""
     return request.admitted or request.key in state.arbitration.running_racks
 
 
 def expire_pending(state: GatewayState, now: float) -> list[Action]:
-    """Give up what can't be in time any more."""
+    """Forward or answer the requests that can no longer meet their deadline here."""
     rejected = expire_requests(state.queue, now)
     actions = [_forward_or_reject(state, item, now) for item in rejected]
     late = [
@@ -275,6 +287,6 @@
     ]
     answer = FinalAnswer(Outcome.UNKNOWN, Reason.ANSWER_LOST, _MIN_RETRY_AFTER_S)
     for key in late:
-        state.arbitration.leave(key)
+        state.arbitration.remove_joined(key)
         actions.append(finish_request(state, key, answer))
     return list(chain.from_iterable(actions))
--- a/plantainyard/routing/outcomes.py
+++ b/plantainyard/routing/outcomes.py
@@ -1,4 +1,4 @@
-"""The closed set of outcomes of a request, and how each is told to the caller."""
+"""Outcomes of a request, a closed set, and the HTTP response that reports each."""
 
 import json
 import math
@@ -27,14 +27,14 @@
     Notes
     -----
     ``DONE``
-        The request ran; the answer is the runner's.
+        The request ran; the response is the runner's.
     ``REFUSED``
         The request did not run, and will not. `FinalAnswer.retry_after_s` says when
-        to come back.
+        the caller may retry.
     ``FAILED``
-        The request ran, or was run in part, and the runner says that it failed.
+        The request ran, at least in part, and the runner reported a failure.
     ``UNKNOWN``
-        Whether the request ran is not known. The same request id may be sent again.
+        The request may or may not have run. The same request id may be sent again.
     """
 
     DONE = "done"
@@ -44,7 +44,7 @@
 
 
 class Reason:
-    """Names of the reasons that decide about more than the text for people."""
+    """Names of the reasons that affect more than the text shown to callers."""
 
     QUEUE_FULL = "queue full"
     DEADLINE = "deadline can't be met"
@@ -68,12 +68,12 @@
     Outcome.FAILED: 502,
     Outcome.UNKNOWN: 504,
 }
-_TOO_MANY = frozenset({Reason.QUEUE_FULL, Reason.SHED, Reason.QUOTA})
+_TOO_MANY_REQUESTS = frozenset({Reason.QUEUE_FULL, Reason.SHED, Reason.QUOTA})
 _BAD_REQUEST = frozenset({Reason.MALFORMED, Reason.ID_REUSED})
 
 
 class Response(NamedTuple):
-    """A runner's answer, whole."""
+    """A runner's complete response."""
 
     status: int
     body: bytes
@@ -81,20 +81,20 @@
 
 
 class FinalAnswer(NamedTuple):
-    """The one answer to a request.
+    """The final answer to a request; each request gets exactly one.
 
     Attributes
     ----------
     outcome : str
         One of the names in `Outcome`.
     reason : str
-        Why, for people and for the mapping to a status.
+        Reason for the outcome, for callers and for the choice of the HTTP status.
     retry_after_s : float
-        Seconds after which to come back; zero where there is nothing to wait for.
+        Seconds after which the caller may retry; zero where waiting does not help.
     response : Response or None
-        The runner's answer, where there is one.
+        The runner's response, where there is one.
     detail : str
-        What is wrong with a malformed request.
+        What is wrong with a malformed request, or why the response is missing.
     """
 
     outcome: str
@@ -112,7 +112,7 @@
     >>> get_status(FinalAnswer("refused", Reason.QUEUE_FULL, 2.0))
     429
     """
-    if answer.outcome == Outcome.REFUSED and answer.reason in _TOO_MANY:
+    if answer.outcome == Outcome.REFUSED and answer.reason in _TOO_MANY_REQUESTS:
         return 429
     if answer.outcome == Outcome.REFUSED and answer.reason in _BAD_REQUEST:
         return 400
@@ -120,12 +120,12 @@
 
 
 def build_headers(answer: FinalAnswer) -> list[tuple[str, str]]:
-    """Return the headers that tell `answer`: outcome, reason, time to come back.
+    """Return the headers of `answer`: outcome, reason, upstream status, retry time.
 
     Notes
     -----
     ``Retry-After`` takes whole seconds; it is rounded up, so that a caller that
-    obeys never comes too early.
+    obeys it never retries too early.
     """
     headers = [(OUTCOME_HEADER, answer.outcome)]
     if answer.reason:
@@ -138,7 +138,7 @@
 
 
 def build_body(answer: FinalAnswer, request_id: str) -> Response:
-    """Return the body that tells `answer`: the runner's own, else a JSON object."""
+    """Return the response to `answer`: the runner's own if done, else a JSON object."""
     if answer.outcome == Outcome.DONE and answer.response is not None:
         return answer.response
     data: dict[str, object] = {
--- a/plantainyard/routing/queue.py
+++ b/plantainyard/routing/queue.py
@@ -1,11 +1,12 @@
-"""The gateway's queue: bounded, urgent before ordinary, teams fair by weight.
+"""Bounded queue of a gateway: urgent before ordinary work, weighted fair among teams.
 
 Notes
 -----
-Teams are served by stride scheduling: each team has a pass value, the least is served
-next, and being served adds the inverse of the team's weight. Urgent work goes first,
-but of the dequeued requests a fixed share is ordinary while both wait, so neither
-starves. Pushing and popping cost time proportional to the number of teams.
+Teams are served by stride scheduling: each team has a pass value, the team with the
+lowest one is served next, and each request served adds the inverse of the team's weight
+to it. Urgent requests go first, but while both classes wait, a fixed share of the
+dequeued requests is ordinary, so neither class starves. Pushing and popping take time
+proportional to the number of teams.
 
 References
 ----------
@@ -21,14 +22,14 @@
 from plantainyard.routing.values import Request, RoutingSettings
 
 __all__ = [
-    "Rejection",
     "QueueState",
+    "Rejection",
     "drop_request",
     "estimate_wait",
     "expire_requests",
-    "record_service_time",
     "pop_request",
     "push_request",
+    "record_service_time",
     "select_waiting",
 ]
 
@@ -39,7 +40,7 @@
 
 
 class Rejection(NamedTuple):
-    """A request that leaves the queue without having been sent."""
+    """A request that was removed from the queue or not queued, and was not sent."""
 
     request: Request
     reason: str
@@ -47,7 +48,7 @@
 
 
 class _ClassQueue:
-    """The waiting requests of one class: a first-in-first-out line for each team."""
+    """The waiting requests of one priority class: a FIFO queue for each team."""
 
     def __init__(self) -> None:
         self.team_queues: dict[str, deque[Request]] = {}
@@ -61,7 +62,7 @@
     Parameters
     ----------
     weights : mapping of str to float
-        Weight of each team; a team that isn't named has weight 1.
+        Weight of each team; teams without an entry have weight 1.
     """
 
     def __init__(self, weights: Mapping[str, float] | None = None) -> None:
@@ -80,19 +81,19 @@
 def push_request(
     state: QueueState, request: Request, settings: RoutingSettings, now: float
 ) -> list[Rejection]:
-    """Queue `request`; return whatever is given up for it, itself perhaps.
+    """Queue `request`; return the requests rejected for it, possibly itself.
 
     Notes
     -----
-    A request whose deadline can't be met by the present estimate is given up here, at
-    once, so that its caller can go elsewhere while there is time. The time kept for
-    running is that of a slow sending, but half of what is left at most: an estimate
-    that has grown too long would otherwise refuse every request, and nothing would
-    ever correct it.
+    A request that can't meet its deadline by the current estimate is rejected at once,
+    so that its caller can go elsewhere while there is time. The time reserved for
+    running the request is that of a slow attempt, but at most half of the time left:
+    otherwise an estimate that has grown too long would reject every request, and no
+    new sample would ever correct it.
     """
     wait = estimate_wait(state, request.urgent)
-    slow_s = state.service_time_s + _SLOW_DEVIATIONS * state.deviation_s
-    latest = request.deadline - min(slow_s, (request.deadline - now) / 2)
+    slow_attempt_s = state.service_time_s + _SLOW_DEVIATIONS * state.deviation_s
+    latest = request.deadline - min(slow_attempt_s, (request.deadline - now) / 2)
     if now + wait > latest or now >= request.deadline:
         return [_reject(state, request, Reason.DEADLINE)]
     if request.size_bytes > settings.queue_bytes:
@@ -112,16 +113,16 @@
 def pop_request(
     state: QueueState, settings: RoutingSettings, can_send: Callable[[Request], object]
 ) -> Request | None:
-    """Return the next request to send and take it out of the queue.
+    """Remove the next request to send from the queue and return it.
 
     Parameters
     ----------
     state : QueueState
-        Changed.
+        Updated.
     settings : RoutingSettings
         For the share of ordinary work.
     can_send : callable
-        Returns something true where a slot is free for a request.
+        Returns a true value if a slot is free for the request.
     """
     urgent = _pick_team(state.urgent, can_send)
     ordinary = _pick_team(state.ordinary, can_send)
@@ -143,22 +144,23 @@
 
 
 def expire_requests(state: QueueState, now: float) -> list[Rejection]:
-    """Take out the requests whose deadline can't be met any more.
+    """Remove the requests that can no longer meet their deadline, and return them.
 
     Notes
     -----
-    What is sent too late runs in vain: its caller has gone when the answer comes, and
-    its slot is lost until the longest request has ended.
+    Running a request that is sent too late is useless: its caller has stopped waiting
+    when the answer arrives, and its slot stays occupied until the longest request has
+    ended.
     """
-    starts = state.latest_send_times
-    late = [r for r in select_waiting(state) if now > starts[r.key]]
+    send_times = state.latest_send_times
+    late = [r for r in select_waiting(state) if now > send_times[r.key]]
     for request in late:
         drop_request(state, request)
     return [_reject(state, request, Reason.DEADLINE) for request in late]
 
 
 def drop_request(state: QueueState, request: Request) -> None:
-    """Take `request` out of the queue."""
+    """Remove `request` from the queue."""
     queue = state.urgent if request.urgent else state.ordinary
     team_queue = queue.team_queues[request.team]
     team_queue.remove(request)
@@ -167,15 +169,15 @@
     state.size_bytes -= request.size_bytes
     if not team_queue:
         del queue.team_queues[request.team]
-    # A team that is away keeps its pass only while that is ahead of the others; the
-    # memory of teams is bounded by those that were served a short time ago.
+    # A team without waiting requests keeps its pass only while it is above the global
+    # pass, so only recently served teams are remembered and the memory stays bounded.
     for team in [t for t, p in queue.passes.items() if p <= queue.global_pass]:
         if team not in queue.team_queues:
             del queue.passes[team]
 
 
 def estimate_wait(state: QueueState, urgent: bool) -> float:
-    """Return the expected seconds until a request pushed now is sent."""
+    """Return the expected time in seconds until a request queued now is sent."""
     ahead = _count_waiting(state.urgent)
     if not urgent:
         ahead += _count_waiting(state.ordinary)
@@ -183,11 +185,11 @@
 
 
 def record_service_time(state: QueueState, service_time_s: float) -> None:
-    """Take the duration of a sending into the estimate.
+    """Update the estimates of the service time and its deviation with one attempt.
 
     References
     ----------
-    RFC 6298, section 2, has the same estimate for round trips.
+    RFC 6298, section 2, uses the same estimator for round-trip times.
     """
     error = service_time_s - state.service_time_s
     state.service_time_s += _SMOOTHING * error
@@ -215,7 +217,8 @@
 def _append(state: QueueState, request: Request) -> None:
     queue = state.urgent if request.urgent else state.ordinary
     if request.team not in queue.team_queues:
-        # Without the floor a team that was away would be owed all the turns since.
+        # Without this lower bound, a team that had nothing waiting for a while would be
+        # served alone until it had caught up.
         queue.passes[request.team] = max(
             queue.global_pass, queue.passes.get(request.team, 0.0)
         )
@@ -236,34 +239,33 @@
 def _choose_shed(
     state: QueueState, request: Request, settings: RoutingSettings
 ) -> Request | None:
-    """Return the request to shed for `request`, or None where there is none.
+    """Return the request to shed in favour of `request`, or None.
 
-    The class beyond its part of the queue goes before the other; within a class the
-    newest of the team that takes up most of its weighted part, if that is more than
-    the newcomer's.
+    A class that exceeds its share of the queue is shed in favour of the other. Within
+    one class, the newest request of the team with the highest load for its weight is
+    shed, if that load is higher than the load of the team of `request`.
     """
-    # Without a part of its own in the queue, ordinary work would be shed for urgent
-    # work before its turn comes, and starve whatever its share of the slots is.
-    part = max(1, int(settings.ordinary_share * settings.queue_count))
+    # Without a reserved share of the queue, ordinary requests would be shed in favour
+    # of urgent ones before their turn, and would starve whatever share of the slots
+    # they are given.
+    reserved = max(1, int(settings.ordinary_share * settings.queue_count))
     ordinary = _count_waiting(state.ordinary)
-    if request.urgent and ordinary > part:
-        return state.ordinary.team_queues[_find_heaviest_team(state, state.ordinary)][
-            -1
-        ]
-    if not request.urgent and ordinary < part and state.urgent.team_queues:
-        return state.urgent.team_queues[_find_heaviest_team(state, state.urgent)][-1]
+    if request.urgent and ordinary > reserved:
+        return state.ordinary.team_queues[_find_heaviest(state, state.ordinary)][-1]
+    if not request.urgent and ordinary < reserved and state.urgent.team_queues:
+        return state.urgent.team_queues[_find_heaviest(state, state.urgent)][-1]
     queue = state.urgent if request.urgent else state.ordinary
     if not queue.team_queues:
         return None
-    heaviest = _find_heaviest_team(state, queue)
-    own = (len(queue.team_queues.get(request.team, ())) + 1) / _get_weight(
+    heaviest = _find_heaviest(state, queue)
+    own_load = (len(queue.team_queues.get(request.team, ())) + 1) / _get_weight(
         state, request.team
     )
     load = len(queue.team_queues[heaviest]) / _get_weight(state, heaviest)
-    return queue.team_queues[heaviest][-1] if load > own else None
+    return queue.team_queues[heaviest][-1] if load > own_load else None
 
 
-def _find_heaviest_team(state: QueueState, queue: _ClassQueue) -> str:
+def _find_heaviest(state: QueueState, queue: _ClassQueue) -> str:
     return max(
         queue.team_queues,
         key=lambda t: (len(queue.team_queues[t]) / _get_weight(state, t), t),
--- a/plantainyard/routing/retries.py
+++ b/plantainyard/routing/retries.py
@@ -1,10 +1,10 @@
-"""Retries: which sending may be repeated, and out of which budget.
+"""Retries: which attempts may be repeated, within a retry budget.
 
 Notes
 -----
-The budget is a token bucket: each first sending adds a share of a token and each retry
-takes one. So the load offered to upstreams is at most ``1 + share`` times the load of
-the callers plus the burst, however many upstreams fail.
+The budget is a token bucket: each first attempt adds a share of a token, and each retry
+takes one token. The load on upstreams is therefore at most ``1 + share`` times the load
+of the callers, plus the burst, however many upstreams fail.
 """
 
 from typing import NamedTuple
@@ -16,26 +16,27 @@
     "RetryBudget",
     "RetryDecision",
     "SendResult",
-    "earn_retry",
     "decide_retry",
+    "earn_retry",
 ]
 
 
 class SendResult:
-    """Names of the ways in which a sending ends.
+    """Names of the results of an attempt.
 
     Notes
     -----
     ``ANSWERED``
-        The runner's whole answer to this request came.
+        The runner's complete answer to this request was received.
     ``FAILED``
-        The runner answered that it ran the request and failed.
+        The runner answered that it ran the request and that it failed.
     ``NOT_RUN``
-        Provably not run: never connected, or the runner said so.
+        The request provably did not run: no connection was made, or the runner
+        reported so.
     ``NOT_SENT``
-        The credit ended before the send; no upstream heard of it.
+        The credit ended before the request was sent; no upstream received it.
     ``LOST``
-        It may have run: the answer is late, cut off, or for another request.
+        The request may have run: the answer is late, truncated, or for another request.
     """
 
     ANSWERED = "answered"
@@ -46,12 +47,12 @@
 
 
 class RetryBudget:
-    """Tokens for retries.
+    """Token bucket for retries.
 
     Parameters
     ----------
     tokens : float
-        Tokens at the start.
+        Initial number of tokens.
     """
 
     def __init__(self, tokens: float) -> None:
@@ -59,7 +60,7 @@
 
 
 class RetryDecision(NamedTuple):
-    """Whether to send again, and the outcome if not."""
+    """Whether to retry, and the outcome and reason if not."""
 
     retry: bool
     outcome: str = ""
@@ -67,7 +68,7 @@
 
 
 def earn_retry(budget: RetryBudget, settings: RoutingSettings) -> None:
-    """Count a first sending."""
+    """Add the share of a token that a first attempt earns."""
     budget.tokens = min(settings.retry_burst, budget.tokens + settings.retry_share)
 
 
@@ -80,35 +81,35 @@
     settings: RoutingSettings,
     now: float,
 ) -> RetryDecision:
-    """Decide what follows a sending that brought no answer.
+    """Decide whether to retry after an attempt without a successful answer.
 
     Parameters
     ----------
     budget : RetryBudget
-        Changed where a retry is granted.
+        A token is taken where a retry is granted, except after ``NOT_SENT``.
     request : Request
         The request.
     result : str
-        One of the names in `SendResult` but ``ANSWERED``.
+        One of the names in `SendResult` except ``ANSWERED``.
     attempts : int
-        Sendings so far.
+        Number of attempts so far.
     service_s : float
-        Usual time of a sending, which must fit before the deadline.
+        Estimated duration of an attempt, which must fit before the deadline.
     settings : RoutingSettings
-        Bounds.
+        Limits.
     now : float
-        Present time.
+        Current time.
 
     Returns
     -------
     RetryVerdict
-        Send again, or the final outcome.
+        Whether to retry, or else the final outcome.
     """
-    outcome, reason = _conclude(result)
-    # A non-idempotent request that may have run would run twice: a customer charged
-    # twice. Only a sending that provably did not run is repeated.
-    safe = request.idempotent or result in (SendResult.NOT_RUN, SendResult.NOT_SENT)
-    if not safe or attempts >= settings.attempts_max:
+    outcome, reason = _find_outcome(result)
+    # Repeating a non-idempotent request that may have run could charge a customer
+    # twice. Only an attempt that provably did not run is repeated.
+    is_safe = request.idempotent or result in (SendResult.NOT_RUN, SendResult.NOT_SENT)
+    if not is_safe or attempts >= settings.attempts_max:
         return RetryDecision(False, outcome, reason)
     if now + service_time_s > request.deadline:
         return RetryDecision(False, outcome, reason or Reason.DEADLINE)
@@ -120,7 +121,7 @@
     return RetryDecision(True)
 
 
-def _conclude(result: str) -> tuple[str, str]:
+def _find_outcome(result: str) -> tuple[str, str]:
     if result == SendResult.FAILED:
         return Outcome.FAILED, Reason.RUN_FAILED
     if result == SendResult.LOST:
--- a/plantainyard/routing/selection.py
+++ b/plantainyard/routing/selection.py
@@ -1,4 +1,4 @@
-"""Choices of the gateway: which runner, which peer, how many slots to ask for."""
+"""Selection of a runner or peer for a request, and division of demand among racks."""
 
 import math
 from collections import Counter
@@ -17,15 +17,15 @@
     "Location",
     "choose_peer",
     "choose_runner",
-    "divide_demand",
     "compute_distance",
+    "divide_demand",
     "rank_runners",
     "refill_link",
 ]
 
 
 class Location(NamedTuple):
-    """Where an instance stands."""
+    """Location of an instance."""
 
     instance: str
     domain: str
@@ -33,12 +33,12 @@
 
 
 class LinkBudget:
-    """Bytes that this instance may send over the link between regions now.
+    """Token bucket for this instance's traffic over the link between regions.
 
     Parameters
     ----------
     tokens : float
-        Bytes at the start.
+        Initial number of bytes that may be sent.
     """
 
     def __init__(self, tokens: float) -> None:
@@ -54,9 +54,9 @@
 
 
 class Candidates(NamedTuple):
-    """Runners for one kind of request: all that are usable, and those with a slot.
+    """Runners for one kind of request: all usable ones, and those with a free slot.
 
-    `free` is in the order in which to take them.
+    `free` is sorted by preference.
     """
 
     usable: tuple[str, ...]
@@ -72,13 +72,13 @@
     settings: RoutingSettings,
     now: float,
 ) -> Candidates:
-    """Return the runners of a service: the nearest first, then by free credits.
+    """Return the runners of a service, the nearest first, then by free credits.
 
     Notes
     -----
-    The cost is proportional to the number of runners. One call serves all requests
-    of a kind that wait: with a call for each, a full queue in front of failing
-    runners made one decision as long as a request.
+    The time taken is proportional to the number of runners. One call serves all waiting
+    requests of a kind: with one call for each request, a full queue in front of failing
+    runners made one decision take as long as a request.
     """
     held = {key: h for key, h in credits.runners.items() if h.info.service == service}
     usable = select_usable(health, held, idempotent, settings, now)
@@ -97,12 +97,12 @@
 
 
 def choose_runner(candidates: Candidates, failed_runners: frozenset[str]) -> str | None:
-    """Return the runner for a request, or None where no slot is free.
+    """Return the runner for a request, or None where it should wait.
 
     Notes
     -----
-    Elsewhere than where the request has failed: what failed there once is likely to
-    fail there again. Only where no other runner exists is the same one taken twice.
+    A runner at which the request has failed is avoided, since the request is likely to
+    fail there again. It is chosen again only where no other usable runner exists.
     """
     for key in candidates.free:
         if key not in failed_runners:
@@ -118,12 +118,12 @@
     link: LinkBudget,
     tried_peers: frozenset[str],
 ) -> Peer | None:
-    """Return the nearest peer with room for `request`, or None.
+    """Return the nearest peer with free credits for `request`, or None.
 
     Notes
     -----
-    The link between regions is paid for by the byte and narrow: it is used last, and
-    only while this instance's share of it lasts.
+    The link between regions is narrow and charged by the byte: it is used last, and
+    only within this instance's share of it.
     """
     if request.hops >= MAX_HOPS:
         return None
@@ -132,19 +132,19 @@
         distance = compute_distance(location, peer.domain, peer.region)
         return distance, -peer.free_credits[request.service], peer.instance
 
-    def accepts_requests(peer: Peer) -> bool:
-        free_credits = (
+    def can_take(peer: Peer) -> bool:
+        has_credits = (
             peer.free_credits.get(request.service, 0) > 0
             and peer.instance not in tried_peers
         )
-        near = peer.region == location.region
-        return free_credits and (near or link.tokens >= request.size_bytes)
+        is_near = peer.region == location.region
+        return has_credits and (is_near or link.tokens >= request.size_bytes)
 
-    return min(filter(accepts_requests, peers), key=rank, default=None)
+    return min(filter(can_take, peers), key=rank, default=None)
 
 
 def refill_link(link: LinkBudget, settings: RoutingSettings, now: float) -> None:
-    """Add the bytes that time has brought, one second's worth at most."""
+    """Add the bytes earned since the last refill, up to those of one second."""
     if math.isfinite(link.refilled_at):
         gained = (now - link.refilled_at) * settings.link_bytes_s
         link.tokens = min(settings.link_bytes_s, link.tokens + gained)
@@ -158,12 +158,12 @@
     credits: CreditState,
     now: float,
 ) -> dict[str, dict[str, int]]:
-    """Return, for each rack of the region, the slots to ask for each service.
+    """Return the slots to request of each rack of the region, for each service.
 
     Notes
     -----
-    The racks of the own domain are asked for the whole demand in equal parts; the
-    other racks of the region for what those have not lent.
+    The whole demand is requested from the racks of the instance's own domain in equal
+    parts; what these haven't lent is requested from the other racks of the region.
     """
     ranks = {
         r: compute_distance(location, o.domain, o.region) for r, o in owners.items()
--- a/plantainyard/routing/sending.py
+++ b/plantainyard/routing/sending.py
@@ -1,4 +1,10 @@
-"""Slots for the requests that wait: sending under credits, and asking for them."""
+"""Sending of waiting requests under credits, and requests for more credits.
+
+Notes
+-----
+A credit allows the gateway to use one slot of a runner until its lease ends. The owner
+of the runner's rack grants credits in answer to a `CreditAsk`.
+"""
 
 from collections import Counter
 from collections.abc import Callable
@@ -27,23 +33,25 @@
 from plantainyard.routing.state import GatewayState, record_decision
 from plantainyard.routing.values import Request
 
-__all__ = ["request_credits", "return_credits", "send_waiting", "apply_credit_answer"]
+__all__ = ["apply_credit_answer", "request_credits", "return_credits", "send_waiting"]
 
 _BACKLOG_INTERVAL_S = 0.05
 _PEAK_DECAY = 0.8
 _MIN_PEAK = 0.5
-# Below the two seconds within which a leaving runner must get nothing new.
+# Upper bound in seconds for the interval between credit requests of an idle gateway.
+# The answers name the leaving runners, and a gateway has to stop sending new requests
+# to a leaving runner within 2 s.
 _IDLE_INTERVAL_MAX_S = 1.5
 _IDLE_INTERVAL_SHARE = 0.3
 
 
 def send_waiting(state: GatewayState, now: float) -> list[Action]:
-    """Send what waits, as far as credits are free."""
+    """Send waiting requests while there are free credits."""
     held = state.credits.runners.values()
     state.queue.slots = sum(h.limit for h in held if now < h.valid_until)
     actions: list[Action] = []
     while state.queue.count and any(count_free(h, now) > 0 for h in held):
-        find = _build_finder(state, now)
+        find = _build_runner_finder(state, now)
         request = pop_request(state.queue, state.settings, find)
         if request is None:
             break
@@ -53,8 +61,10 @@
     return actions
 
 
-def _build_finder(state: GatewayState, now: float) -> Callable[[Request], str | None]:
-    """Return a function that finds the runner for a request, as things stand now."""
+def _build_runner_finder(
+    state: GatewayState, now: float
+) -> Callable[[Request], str | None]:
+    """Return a function that finds the runner for a request in the current state."""
 
     @cache
     def rank(service: str, idempotent: bool) -> Candidates:
@@ -93,20 +103,23 @@
 
 
 def apply_credit_answer(state: GatewayState, answer: CreditAnswer) -> None:
-    """Take an owner's answer over, and judge whether hurrying brought anything.
+    """Apply an owner's answer, and adjust the interval between credit requests.
 
     Notes
     -----
-    While requests wait, the owner is asked more often. Under overload that brings
-    nothing and, at the shortest time between asks, cost more than all control may;
-    so the time doubles with each answer that brings no more credits.
+    While requests wait, the owner is asked more often. Under overload this brings no
+    credits, and at the shortest interval the credit requests alone exceeded the cost
+    budget of all control traffic. The interval therefore doubles with each answer that
+    doesn't raise the credits, as an exponential backoff.
     """
     before = _sum_limits(state, answer.rack)
     if not apply_answer(state.credits, answer, state.settings):
         return
-    grown = _sum_limits(state, answer.rack) > before
-    hurry_s = 2 * state.backlog_intervals.get(answer.rack, _BACKLOG_INTERVAL_S)
-    state.backlog_intervals[answer.rack] = _BACKLOG_INTERVAL_S if grown else hurry_s
+    has_grown = _sum_limits(state, answer.rack) > before
+    backlog_s = 2 * state.backlog_intervals.get(answer.rack, _BACKLOG_INTERVAL_S)
+    state.backlog_intervals[answer.rack] = (
+        _BACKLOG_INTERVAL_S if has_grown else backlog_s
+    )
 
 
 def _sum_limits(state: GatewayState, rack: str) -> int:
@@ -115,28 +128,28 @@
 
 
 def request_credits(state: GatewayState, event: Event, now: float) -> list[Action]:
-    """Ask the owners of the region's racks for credits where it is time to.
+    """Return the credit requests that are due to the owners of the region's racks.
 
     Notes
     -----
-    The demand is what is in use and what waits; a peak is remembered and decays, so
-    that credits aren't given back between two bursts.
+    The demand is the number of credits in use and of requests that wait. A peak of the
+    demand decays gradually, so that credits aren't returned between two bursts.
     """
     refill_link(state.link, state.settings, now)
-    retry = _find_new_term_rack(event)
+    refused = _find_new_term_rack(event)
     due = [
         rack
         for rack, owner in state.owners.items()
         if owner.instance
         and owner.region == state.location.region
-        and (_is_due(state, rack, now) or rack == retry)
+        and (_is_request_due(state, rack, now) or rack == refused)
     ]
     if not due or state.drained:
         return []
     demand = _measure_demand(state)
     parts = divide_demand(state.location, state.owners, demand, state.credits, now)
-    asks = [_build_request(state, rack, parts[rack], now) for rack in due]
-    return [ask for ask in asks if ask is not None]
+    requests = [_build_credit_request(state, rack, parts[rack], now) for rack in due]
+    return [ask for ask in requests if ask is not None]
 
 
 def _measure_demand(state: GatewayState) -> dict[str, int]:
@@ -154,15 +167,16 @@
     return {s: round(n) for s, n in state.demand_peaks.items() if n >= _MIN_PEAK}
 
 
-def _build_request(
+def _build_credit_request(
     state: GatewayState, rack: str, demand: dict[str, int], now: float
 ) -> Action | None:
-    """Return the ask to a rack's owner; None where there is nothing to say.
+    """Return the credit request to a rack's owner, or None where none is needed.
 
     Notes
     -----
-    Another domain's rack is asked only while there is a demand for it: an ask brings
-    a part of the idle slots too, and those belong to the gateways next to them.
+    A rack of another domain gets a request only while there is demand for its slots:
+    an answer also grants a share of the idle slots, which should go to the gateways of
+    the rack's own domain.
     """
     owner = state.owners[rack]
     if any(demand.values()) or owner.domain == state.location.domain:
@@ -175,26 +189,28 @@
 
 
 def _find_new_term_rack(event: Event) -> str:
-    """Return the rack whose owner wants to be asked again under its new term."""
+    """Return the rack whose owner requires a new request under its new term, or ""."""
     match event:
         case events.CreditAnswerReceived(answer) if answer.term and not answer.granted:
             return answer.rack
     return ""
 
 
-def _is_due(state: GatewayState, rack: str, now: float) -> bool:
-    waited = now - state.credits.requested_at.get(rack, float("-inf"))
+def _is_request_due(state: GatewayState, rack: str, now: float) -> bool:
+    elapsed_s = now - state.credits.requested_at.get(rack, float("-inf"))
     if not state.queue.count:
         state.backlog_intervals.clear()
-    hurry_s = state.backlog_intervals.get(rack, _BACKLOG_INTERVAL_S)
-    hurry = state.queue.count > 0 and waited >= hurry_s
-    calm_s = min(_IDLE_INTERVAL_MAX_S, state.settings.credit_s * _IDLE_INTERVAL_SHARE)
-    every_s = state.settings.credit_request_interval_s
-    return hurry or waited >= (every_s if state.pending else max(every_s, calm_s))
+    backlog_s = state.backlog_intervals.get(rack, _BACKLOG_INTERVAL_S)
+    is_backlog_due = state.queue.count > 0 and elapsed_s >= backlog_s
+    idle_s = min(_IDLE_INTERVAL_MAX_S, state.settings.credit_s * _IDLE_INTERVAL_SHARE)
+    usual_s = state.settings.credit_request_interval_s
+    return is_backlog_due or elapsed_s >= (
+        usual_s if state.pending else max(usual_s, idle_s)
+    )
 
 
 def return_credits(state: GatewayState, now: float) -> list[Action]:
-    """Hand all credits back, so that others need not wait for the leases to end."""
+    """Return all credits, so that other gateways needn't wait for the leases to end."""
     racks = {held.info.rack for held in state.credits.runners.values()}
     return [
         events.RequestCredits(
--- a/plantainyard/routing/shares.py
+++ b/plantainyard/routing/shares.py
@@ -1,4 +1,4 @@
-"""Division of slots among gateways and of a gateway's share among runners."""
+"""Division of slots among gateways, and of a gateway's share among runners."""
 
 from collections.abc import Mapping
 
@@ -8,7 +8,7 @@
 
 
 def share_slots(total: int, demands: Mapping[str, int]) -> dict[str, int]:
-    """Divide `total` slots by demand, max-min fair, and what is idle evenly.
+    """Divide `total` slots max-min fairly by demand, and the idle slots evenly.
 
     Parameters
     ----------
@@ -24,8 +24,8 @@
 
     Notes
     -----
-    Nobody who wants less than an equal part gets less than it wants. Idle slots are
-    lent too, so that a burst finds credits without an ask.
+    A gateway that wants less than an equal share gets all that it wants. Idle slots are
+    lent too, so that a burst finds credits without a credit request.
 
     Examples
     --------
@@ -51,26 +51,26 @@
 def spread_share(
     target: int, held: Mapping[str, Holding], max_slots: Mapping[str, int]
 ) -> dict[str, int]:
-    """Divide a gateway's share among runners.
+    """Divide a gateway's share of the slots among runners.
 
     Parameters
     ----------
     target : int
-        Slots that the gateway is to have in all.
+        Total number of slots that the gateway should have.
     held : mapping of str to Holding
-        What it holds of each runner.
-    most : mapping of str to int
-        Slots that each runner can lend it.
+        What the gateway holds of each runner.
+    max_slots : mapping of str to int
+        Slots of each runner that can be lent to the gateway.
 
     Returns
     -------
     dict
-        Slots of each runner, at most `target` in all.
+        Slots of each runner, at most `target` in total.
 
     Notes
     -----
-    The slots that are in use are kept first, then those that are held, so that
-    credits don't move without need; new ones come from the emptiest runners.
+    Slots in use are kept first, then slots that are held, so that credits aren't moved
+    without need; new slots come from the runners with the most slots left.
     """
     grants = dict.fromkeys(max_slots, 0)
     left = target
@@ -87,7 +87,10 @@
     max_slots: Mapping[str, int],
     left: int,
 ) -> int:
-    """Raise grants towards `goal`, one slot at a time where most room is left."""
+    """Raise `grants` towards `goal` by `left` slots; return the slots that remain.
+
+    Each slot is granted at the runner with the most slots left.
+    """
     open_keys = [key for key in goal if grants[key] < goal[key]]
     while left > 0 and open_keys:
         key = max(open_keys, key=lambda k: (max_slots[k] - grants[k], k))
--- a/plantainyard/routing/state.py
+++ b/plantainyard/routing/state.py
@@ -1,4 +1,4 @@
-"""State of a gateway: its requests in progress and all that decides about them."""
+"""State of a gateway: its pending requests and the parts that decide on them."""
 
 from collections import deque
 from collections.abc import Mapping
@@ -13,13 +13,17 @@
 from plantainyard.routing.selection import LinkBudget, Location
 from plantainyard.routing.values import Request, RoutingSettings
 
-__all__ = ["PendingRequest", "GatewayState", "finish_request", "record_decision"]
+__all__ = ["GatewayState", "PendingRequest", "finish_request", "record_decision"]
 
 _DECISIONS_KEPT = 200
 
 
 class PendingRequest:
-    """A request that was accepted and not yet answered."""
+    """A request that was accepted and not yet answered.
+
+    `earlier_outcome` is the outcome of an earlier attempt that ran or may have run;
+    it is empty where there was none.
+    """
 
     def __init__(self, request: Request) -> None:
         self.request = request
@@ -37,11 +41,11 @@
     Parameters
     ----------
     place : Place
-        Where this instance stands.
+        Location of this instance.
     name : str
-        Name of this process towards owners of racks; never used again.
+        Name of this process in credit requests; no later process may use it again.
     settings : RoutingSettings
-        Bounds and times.
+        Limits and times.
     weights : mapping of str to float
         Weights of the teams.
     """
@@ -73,10 +77,10 @@
 
 
 def finish_request(state: GatewayState, key: str, answer: FinalAnswer) -> list[Action]:
-    """Answer a request, and the repeats that have joined it."""
+    """Answer a request and the repeats that have joined it."""
     pending = state.pending.pop(key)
-    # "Refused" says that the request did not run. After an earlier sending that ran,
-    # or may have run, it would be untrue, whatever became of the last one.
+    # "Refused" states that the request did not run. After an earlier attempt that ran
+    # or may have run this would be false, whatever the result of the last attempt.
     if answer.outcome == Outcome.REFUSED and pending.earlier_outcome:
         answer = answer._replace(outcome=pending.earlier_outcome)
     joined = complete_id(state.arbitration, pending.request, answer, state.settings)
@@ -88,5 +92,5 @@
 def record_decision(
     state: GatewayState, request: Request, text: str, now: float
 ) -> None:
-    """Keep a decision and its reason for the dump."""
+    """Record a decision and its reason for the state dump."""
     state.decisions.append(f"{now:.3f} {request.id} ({request.key}): {text}")
--- a/plantainyard/routing/values.py
+++ b/plantainyard/routing/values.py
@@ -1,4 +1,4 @@
-"""Shared values of routing: a caller's request and the settings of all its parts."""
+"""Values shared by the routing modules: a caller's request and the settings."""
 
 from typing import NamedTuple
 
@@ -6,52 +6,53 @@
 
 
 class RoutingSettings(NamedTuple):
-    """Limits and times of routing; all times in seconds.
+    """Limits and times of routing; all times are in seconds.
 
     Attributes
     ----------
     credit_s : float
-        Lease of lent slots.
+        Length of the lease of lent slots.
     send_margin_s : float
-        Time before the end of a credit in which nothing is sent any more, because a
-        connection may take that long to be made.
-    ask_every_s : float
-        Longest time between two credit asks to one owner.
+        Time before the end of a credit in which no request is sent, because making a
+        connection may take that long.
+    credit_request_interval_s : float
+        Interval between two credit requests to one owner while requests are pending;
+        shorter while requests wait, longer while the gateway is idle.
     request_max_s : float
-        Longest time for which a runner may work on one request.
+        Longest time that a runner may take for one request.
     drift : float
-        Greatest relative error of an instance's clock.
+        Maximum relative rate error of an instance's clock.
     spare_slots : int
         Credits kept above the demand before idle ones are returned.
     queue_count, queue_bytes : int
-        Bounds of the queue.
+        Maximum number and total body size of the waiting requests.
     ordinary_share : float
-        Share of the slots that ordinary work gets while urgent work waits.
+        Share of the slots that ordinary requests get while urgent requests wait.
     retry_share, retry_burst : float
-        Retries allowed for each first sending, and the most that can be saved up.
+        Retries allowed for each first attempt, and the maximum number saved up.
     attempts_max : int
-        Sendings of one request, the first included.
-    aside_failures : int
-        Failures in a row after which a runner is set aside.
-    aside_s, aside_max_s : float
-        First and longest time for which a runner is set aside.
+        Maximum number of attempts for one request, the first included.
+    ejection_failures : int
+        Number of consecutive failures after which a runner is ejected.
+    ejection_s, ejection_max_s : float
+        First and longest time for which a runner is ejected.
     slow_factor : float
-        A runner this many times slower than the median is set aside.
-    panic_share : float
-        Above this share of runners set aside, none is.
+        A runner that is this many times slower than the median is ejected.
+    panic_threshold : float
+        Share of ejected runners above which ejections are ignored.
     id_memory_s : float
         Time for which request ids are kept.
     id_count : int
-        Most ids kept for one rack.
+        Maximum number of ids kept for one rack.
     id_answer_bytes : int
-        Bytes of answers kept for repeats, for one rack.
+        Maximum bytes of answers kept for repeats, for one rack.
     id_skew_s : float
-        Greatest difference between a caller's clock and an instance's, or between
-        the clocks of two instances.
+        Maximum difference between the clocks of a caller and an instance, or of two
+        instances.
     link_bytes_s : float
-        This instance's share of the link between regions.
+        This instance's share of the link between regions, in bytes per second.
     forward_max : int
-        Most requests forwarded at a time.
+        Maximum number of requests forwarded at the same time.
     """
 
     credit_s: float = 2.0
@@ -80,27 +81,27 @@
 
 
 class Request(NamedTuple):
-    """A caller's request, as far as decisions need it.
+    """The properties of a caller's request that decisions depend on.
 
     Attributes
     ----------
     key : str
-        Unique for each arrival at this instance; two arrivals of one id differ.
+        Unique for each arrival at this instance, also for two arrivals of one id.
     id : str
         The caller's request id.
     service, team : str
-        What it is for and who is charged.
+        The service that runs it and the team that is charged.
     deadline : float
-        Time after which nobody waits for the answer.
+        Time after which the caller no longer waits for the answer.
     urgent, idempotent : bool
-        As the caller declared.
+        As declared by the caller.
     size_bytes : int
         Length of the body.
     hops : int
-        Number of times that it has been forwarded already.
+        Number of times that the request has been forwarded.
     digest : int
         Hash of the service and the body, to tell a repeat from a reused id.
-    judged : bool
+    admitted : bool
         Whether the arbiter of the id has already let it run.
     """
 
