--- a/plantainyard/dispatch/tests/test_dispatcher.py
+++ b/plantainyard/dispatch/tests/test_dispatcher.py
@@ -7,10 +7,10 @@
     world = World()
     world.submit("a", make_step(3), make_step(2, after=(0,)))
     world.run(1.0)
-    assert len(world.starts("a")) == 3
+    assert len(world.list_starts("a")) == 3
     world.run(2.5)
-    assert len(world.starts("a")) == 5
-    assert world.ended("a") == "completed"
+    assert len(world.list_starts("a")) == 5
+    assert world.final_state("a") == "completed"
 
 
 def test_a_submission_that_comes_twice_runs_once():
@@ -22,7 +22,7 @@
     world.run(3.0)
     world.submit("a", make_step(2))
     world.run(2.0)
-    assert len(world.starts("a")) == 2
+    assert len(world.list_starts("a")) == 2
 
 
 def test_a_start_is_stored_before_it_is_sent():
@@ -32,10 +32,10 @@
     world.store_down = True
     world.submit("a", make_step())
     world.run(1.0)
-    assert world.starts("a") == []
+    assert world.list_starts("a") == []
     world.store_down = False
     world.run(0.5)
-    assert len(world.starts("a")) == 1
+    assert len(world.list_starts("a")) == 1
 
 
 def test_an_end_is_acknowledged_only_once_it_is_stored():
@@ -50,7 +50,7 @@
     world.store_down = False
     world.run(0.5)
     assert world.runners["r0"].ends == []
-    assert world.ended("a") == "completed"
+    assert world.final_state("a") == "completed"
 
 
 def test_a_cancelled_job_stops_and_starts_nothing():
@@ -59,9 +59,9 @@
     world.run(0.5)
     world.cancel("a")
     world.run(2.0)
-    assert world.at_work("a") == []
-    assert len(world.starts("a")) == 2
-    assert world.ended("a") == "cancelled"
+    assert world.list_running("a") == []
+    assert len(world.list_starts("a")) == 2
+    assert world.final_state("a") == "cancelled"
 
 
 def test_a_task_that_fails_too_often_fails_its_job():
@@ -70,8 +70,8 @@
         runner.faults.fails_all = True
     world.submit("a", make_step(), max_attempts=3)
     world.run(20.0)
-    assert len(world.starts("a")) == 3
-    assert world.ended("a") == "failed"
+    assert len(world.list_starts("a")) == 3
+    assert world.final_state("a") == "failed"
 
 
 def test_a_bad_runner_does_not_use_a_task_s_attempts_up():
@@ -82,7 +82,7 @@
     for number in range(6):
         world.submit(f"a{number}", make_step(2), max_attempts=2)
     world.run(15.0)
-    assert {world.ended(f"a{n}") for n in range(6)} == {"completed"}
+    assert {world.final_state(f"a{n}") for n in range(6)} == {"completed"}
 
 
 def test_long_running_tasks_come_back_however_they_end():
@@ -91,8 +91,8 @@
         runner.durations = {"a": 0.7}
     world.submit("a", make_step(2, long_running=True), max_attempts=1)
     world.run(6.0)
-    assert len(world.starts("a")) > 8
-    assert world.ended("a") == ""
+    assert len(world.list_starts("a")) > 8
+    assert world.final_state("a") == ""
 
 
 def test_no_runner_gets_more_than_it_holds():
@@ -104,7 +104,7 @@
         for runner in world.runners.values():
             assert len(runner.running) <= 6
     world.run(5.0)
-    assert world.ended("a") == "completed"
+    assert world.final_state("a") == "completed"
 
 
 def test_what_is_being_stopped_still_takes_room():
@@ -115,9 +115,9 @@
     world.cancel("a")
     world.submit("b", make_step(6, cpu=10_000))
     world.run(0.5)
-    assert world.starts("b") == []
+    assert world.list_starts("b") == []
     world.run(1.5)
-    assert len(world.starts("b")) == 6
+    assert len(world.list_starts("b")) == 6
 
 
 def test_a_gang_starts_together_or_not_at_all():
@@ -126,10 +126,10 @@
     world.run(0.2)
     world.submit("a", make_step(4, cpu=30_000, gang=True))
     world.run(0.5)
-    assert world.starts("a") == []
+    assert world.list_starts("a") == []
     world.run(3.0)
-    times = {round(time, 1) for time, _, _ in world.starts("a")}
-    assert len(world.starts("a")) == 4
+    times = {round(time, 1) for time, _, _ in world.list_starts("a")}
+    assert len(world.list_starts("a")) == 4
     assert len(times) == 1
 
 
@@ -139,13 +139,13 @@
     world.run(0.5)
     assert sorted(len(r.running) for r in world.runners.values()) == [1, 1, 1]
     world.run(3.0)
-    assert world.ended("a") == "completed"
+    assert world.final_state("a") == "completed"
 
 
 def test_a_task_starts_only_where_its_label_is():
     world = World(runners=3)
     world.runners["r2"].labels = ("b", "r1-1")
-    world.announce()
+    world.publish_entries()
     world.submit("a", make_step(4, requires="b"))
     world.run(0.5)
     assert len(world.runners["r2"].running) == 4
@@ -154,7 +154,7 @@
 def test_a_task_starts_near_its_data():
     world = World(runners=3, remote_factor=3.0)
     world.runners["r1"].labels = ("a", "r1-2")
-    world.announce()
+    world.publish_entries()
     world.submit("a", make_step(4, preferred_rack="r1-2"))
     world.run(0.5)
     assert len(world.runners["r1"].running) == 4
@@ -163,7 +163,7 @@
 def test_nothing_starts_on_a_draining_runner():
     world = World(runners=2)
     world.runners["r0"].draining = True
-    world.announce()
+    world.publish_entries()
     world.submit("a", make_step(4))
     world.run(0.5)
     assert world.runners["r0"].started == []
@@ -174,11 +174,11 @@
     start_ms = round(world.now * 1000) + 1000
     world.submit("a", make_step(), times=2, start_at_ms=start_ms, interval_ms=2000)
     world.run(0.8)
-    assert world.starts("a") == []
+    assert world.list_starts("a") == []
     world.run(5.0)
-    times = [time for time, _, _ in world.starts("a")]
+    times = [time for time, _, _ in world.list_starts("a")]
     assert [round(t * 10) for t in times] == [1012, 1032]
-    assert world.ended("a") == "completed"
+    assert world.final_state("a") == "completed"
 
 
 def test_long_running_tasks_leave_a_draining_runner():
@@ -191,10 +191,10 @@
     world.run(1.0)
     (home,) = {n for n, r in world.runners.items() if r.running}
     world.runners[home].draining = True
-    world.announce()
+    world.publish_entries()
     world.run(1.5)
     assert not world.runners[home].running
-    assert len(world.at_work("a")) == 2
+    assert len(world.list_running("a")) == 2
 
 
 def test_a_task_that_stands_still_is_started_elsewhere():
@@ -208,7 +208,7 @@
     for name, runner in world.runners.items():
         runner.faults.stands_still = name == home
     world.run(6.0)
-    assert world.ended("a") == "completed"
+    assert world.final_state("a") == "completed"
 
 
 def test_a_gap_that_short_jobs_use_by_turns_isnt_given_away_for_good():
@@ -223,10 +223,10 @@
         if number == 0:
             world.submit("lasting", make_step(cpu=4_000, long_running=True))
         world.run(1.5)
-        assert world.ended(f"short{number}") == "completed"
-        assert world.starts("lasting") == []
+        assert world.final_state(f"short{number}") == "completed"
+        assert world.list_starts("lasting") == []
     world.run(1.6)
-    assert len(world.at_work("lasting")) == 1
+    assert len(world.list_running("lasting")) == 1
 
 
 def test_a_gang_that_finds_no_room_counts_as_waiting():
--- a/plantainyard/dispatch/tests/test_faults.py
+++ b/plantainyard/dispatch/tests/test_faults.py
@@ -30,7 +30,7 @@
     @rule(job=st.sampled_from(JOBS), lasting=st.booleans())
     def submit(self, job: str, lasting: bool) -> None:
         if job in self.world.submissions:
-            self.world.tell_again(job)
+            self.world.resubmit(job)
             return
         for runner in self.world.runners.values():
             runner.durations[job] = 0.0 if lasting else 1.2
@@ -54,29 +54,29 @@
 
     @rule()
     def change_owner(self) -> None:
-        self.world.begin()
+        self.world.change_owner()
 
     @rule(runner=st.integers(0, RUNNERS - 1))
     def cut_or_heal(self, runner: int) -> None:
-        self.world.cut ^= {f"r{runner}"}
+        self.world.unreachable ^= {f"r{runner}"}
 
     @rule(runner=st.integers(0, RUNNERS - 1))
     def restart_runner(self, runner: int) -> None:
         # Its entry reaches the owner through the store, also while it is cut off.
         self.world.runners[f"r{runner}"].restart(self.world.now)
-        self.world.announce()
+        self.world.publish_entries()
 
     @rule()
     def lose_answers(self) -> None:
-        self.world.lose_answers = 3
+        self.world.answers_to_lose = 3
 
     @rule()
     def delay_orders(self) -> None:
-        self.world.delay_orders = 2
+        self.world.orders_to_delay = 2
 
     @rule()
     def deliver_late(self) -> None:
-        self.world.deliver_late()
+        self.world.deliver_delayed()
 
     @rule()
     def stop_or_start_store(self) -> None:
@@ -100,19 +100,19 @@
     def teardown(self) -> None:
         """Heal everything: what was accepted must then come to its end."""
         world = self.world
-        world.cut, world.lose_answers, world.delay_orders = set(), 0, 0
+        world.unreachable, world.answers_to_lose, world.orders_to_delay = set(), 0, 0
         world.store_down = False
-        world.deliver_late()
+        world.deliver_delayed()
         for _ in range(round(LEASE_OVER_S * 10)):
             world.run(0.1)
             self.check()
         for job, submission in world.submissions.items():
-            ended = world.ended(job)
+            ended = world.final_state(job)
             if job in self.cancelled:
                 assert ended in ("cancelled", "completed"), job
-                assert world.at_work(job) == [], job
+                assert world.list_running(job) == [], job
             elif submission.steps[0].long_running:
-                assert len(world.at_work(job)) == 2, job
+                assert len(world.list_running(job)) == 2, job
             else:
                 assert ended == "completed", job
 
@@ -122,7 +122,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.world.slow = True
+        self.world.has_slow_answers = True
 
 
 SETTINGS = settings(
--- a/plantainyard/dispatch/tests/test_fleet.py
+++ b/plantainyard/dispatch/tests/test_fleet.py
@@ -53,11 +53,11 @@
         key = parse_key(record.key)
         if key.kind == RecordKind.CANCEL:
             self.store(record.key, record.value)
-            self.tell(CancelRequested(key.job_id))
+            self.send_event(CancelRequested(key.job_id))
             return
-        self.take(record)
+        self.receive_submission(record)
         if self.replica.jobs[key.job_id].cancelled:
-            self.tell(CancelRequested(key.job_id))
+            self.send_event(CancelRequested(key.job_id))
 
 
 class Fleet(RuleBasedStateMachine):
@@ -93,7 +93,7 @@
         loads = {world.unit: world.state.load for world in self.worlds}
         for world in self.worlds:
             others = {u: load for u, load in loads.items() if u != world.unit}
-            world.tell(LoadsReceived(others))
+            world.send_event(LoadsReceived(others))
 
     def list_at_work(self) -> list[str]:
         worlds = self.worlds
@@ -104,7 +104,7 @@
         """Leave a unit without room for what was on one of its two runners."""
         world = self.worlds[unit]
         if len(world.runners) > 1:
-            world.lose(min(world.runners))
+            world.lose_runner(min(world.runners))
 
     @rule(unit=st.integers(0, UNITS - 1))
     def cancel(self, unit: int) -> None:
@@ -136,13 +136,13 @@
         """Let another unit tell of room, where runners may answer nothing."""
         other = (unit + step) % UNITS
         if cut:
-            self.worlds[other].cut |= set(self.worlds[other].runners)
+            self.worlds[other].unreachable |= set(self.worlds[other].runners)
         if divided:
             # A job that came from elsewhere can't go on as a whole, and its tasks can.
             self.submit(unit, long_running=True, hops=MAX_HOPS)
         else:
             self.submit(unit)
-        self.worlds[unit].tell(LoadsReceived({other: ROOMY}))
+        self.worlds[unit].send_event(LoadsReceived({other: ROOMY}))
         self.pass_ticks(ticks)
 
     @rule(unit=st.integers(0, UNITS - 1), ticks=st.integers(1, 8))
@@ -150,7 +150,7 @@
         world = self.worlds[unit]
         world.cancel(f"rest{unit}")
         self.pass_ticks(10)
-        world.cut |= set(world.runners)
+        world.unreachable |= set(world.runners)
         self.submit(unit)
         self.pass_ticks(ticks)
 
@@ -162,7 +162,7 @@
     def cut_runners_or_mend(self, unit: int) -> None:
         """Let the runners of a unit answer nothing, or answer again."""
         world = self.worlds[unit]
-        world.cut ^= set(world.runners)
+        world.unreachable ^= set(world.runners)
 
     @rule(ticks=st.sampled_from([1, 5, 20, 60]))
     def pass_time(self, ticks: int) -> None:
@@ -170,12 +170,12 @@
 
     @rule(unit=st.integers(0, UNITS - 1))
     def change_owner(self, unit: int) -> None:
-        self.worlds[unit].begin()
+        self.worlds[unit].change_owner()
 
     @rule()
     def lose_power(self) -> None:
         for world in self.worlds:
-            world.begin()
+            world.change_owner()
 
     @rule(unit=st.integers(0, UNITS - 1))
     def hold_forwards_up_or_not(self, unit: int) -> None:
@@ -210,7 +210,7 @@
         """Heal everything: what was cancelled is gone, the rest is at work."""
         for unit, world in enumerate(self.worlds):
             world.store_down = world.losing_forwards = False
-            world.cut -= set(world.runners)
+            world.unreachable -= set(world.runners)
             world.cancel(f"rest{unit}")
         self.pass_ticks(round(SETTLE_S * 10))
         at_work = self.list_at_work()
--- a/plantainyard/dispatch/tests/test_handover.py
+++ b/plantainyard/dispatch/tests/test_handover.py
@@ -25,7 +25,7 @@
     world.runners["r0"].durations = {"full": 0.0}
     world.submit("full", make_step(cpu=63_000, long_running=True))
     world.run(1.0)
-    world.tell(LoadsReceived({3: FULL, 5: ROOMY}))
+    world.send_event(LoadsReceived({3: FULL, 5: ROOMY}))
     return world
 
 
@@ -46,7 +46,7 @@
     world.run(3.0)
     world.submit("short", make_step(cpu=4000))
     world.run(0.5)
-    world.tell(LoadsReceived({3: FULL, 5: ROOMY}))
+    world.send_event(LoadsReceived({3: FULL, 5: ROOMY}))
     world.submit("a", make_step(cpu=4000))
     assert list_forwarded(world) == []
     world.run(0.6)
@@ -54,7 +54,7 @@
     (record,) = world.forwarded[0].records
     assert decode_submission(record.value).hops == 1
     assert world.replica.jobs["a"].handed_to == 5
-    assert world.starts("a") == []
+    assert world.list_starts("a") == []
 
 
 def test_a_job_goes_at_once_where_only_long_running_ones_could_make_room_for_it():
@@ -65,7 +65,7 @@
     world.runners["r0"].durations = {"full": 0.0}
     world.submit("full", make_step(cpu=60_000, long_running=True))
     world.run(3.0)
-    world.tell(
+    world.send_event(
         LoadsReceived(
             {3: FULL, 5: FULL._replace(reserved=0.93, waiting=0.0, gap=12_000)}
         )
@@ -84,7 +84,7 @@
 
 def test_nothing_is_handed_to_a_unit_that_is_hardly_emptier():
     world = make_full_world()
-    world.tell(LoadsReceived({3: FULL}))
+    world.send_event(LoadsReceived({3: FULL}))
     world.submit("a", make_step(cpu=4000))
     world.run(3.0)
     assert world.forwarded == []
@@ -94,7 +94,7 @@
     # Ten wide jobs come between two of the neighbour's reports. Sent there all
     # together they would wait there instead.
     world = make_full_world()
-    world.tell(LoadsReceived({5: ROOMY}))
+    world.send_event(LoadsReceived({5: ROOMY}))
     for number in range(10):
         world.submit(f"a{number}", make_step(8, cpu=4000))
     world.run(1.0)
@@ -131,9 +131,9 @@
     # Guards against jobs that wait for minutes beside a unit that is nearly empty: of a
     # unit without runners one job went with each of the neighbour's words.
     world = World(runners=1)
-    world.lose("r0")
+    world.lose_runner("r0")
     world.run(LEASE_LAPSES_S)
-    world.tell(LoadsReceived({5: ROOMY}))
+    world.send_event(LoadsReceived({5: ROOMY}))
     for number in range(10):
         world.submit(f"a{number}", make_step(cpu=1000))
     world.run(1.0)
@@ -144,9 +144,9 @@
     # Guards against wide jobs that all wait in the unit that they were handed to, and
     # can't be handed on.
     world = World(runners=1)
-    world.lose("r0")
+    world.lose_runner("r0")
     world.run(LEASE_LAPSES_S)
-    world.tell(LoadsReceived({5: ROOMY}))
+    world.send_event(LoadsReceived({5: ROOMY}))
     for number in range(100):
         world.submit(f"a{number}", make_step(8, cpu=4000))
     world.run(1.0)
@@ -160,10 +160,10 @@
     world.runners["r0"].durations = {"a": 5.0}
     world.submit("a", make_step(2, cpu=40_000))
     world.run(0.5)
-    world.tell(LoadsReceived({5: ROOMY}))
+    world.send_event(LoadsReceived({5: ROOMY}))
     world.run(2.0)
     assert world.forwarded == []
-    assert len(world.starts("a")) == 1
+    assert len(world.list_starts("a")) == 1
 
 
 def test_a_job_is_handed_over_once():
@@ -197,10 +197,10 @@
     assert world.replica.jobs["a"].handed_to == 5
     assert list_forwarded(world) == []
     world.losing_forwards = False
-    world.begin()
+    world.change_owner()
     world.run(0.3)
     assert list_forwarded(world) == [(5, ["j/a"])]
-    assert world.starts("a") == []
+    assert world.list_starts("a") == []
 
 
 def test_a_successor_does_not_send_again_what_has_arrived():
@@ -211,10 +211,10 @@
     world.submit("other", make_step(cpu=500))
     world.run(1.0)
     world.forwarded = []
-    world.begin()
+    world.change_owner()
     world.run(3.0)
     assert list_forwarded(world) == []
-    assert world.starts("a") == []
+    assert world.list_starts("a") == []
     world.cancel("a")
     assert list_forwarded(world) == [(5, ["c/a"])]
 
@@ -244,12 +244,12 @@
     world = make_full_world()
     world.submit("a", make_step(cpu=4000))
     world.run(0.6)
-    world.tell(LoadsReceived({}))
-    world.tell_again("a")
+    world.send_event(LoadsReceived({}))
+    world.resubmit("a")
     world.runners["r0"].durations = {}
     world.cancel("full")
     world.run(2.0)
-    assert world.starts("a") == []
+    assert world.list_starts("a") == []
 
 
 def interrupt(world: World) -> None:
@@ -259,8 +259,8 @@
     world.submit("full", make_step(cpu=30_000, long_running=True))
     world.run(2.5)
     lost = next(name for name, r in world.runners.items() if not is_full(r))
-    world.lose(lost)
-    world.tell(LoadsReceived({5: ROOMY}))
+    world.lose_runner(lost)
+    world.send_event(LoadsReceived({5: ROOMY}))
 
 
 def is_full(runner: RunnerState) -> bool:
@@ -287,7 +287,7 @@
     piece = decode_submission(record.value)
     assert (piece.job_id, piece.first_run, piece.hops) == ("a", 1, 1)
     assert key == f"j/{piece.record_id}"
-    assert len(world.at_work("a")) == 1
+    assert len(world.list_running("a")) == 1
 
 
 def test_an_interrupted_task_goes_to_a_unit_that_is_as_full_as_its_own():
@@ -298,21 +298,21 @@
         runner.durations = {"a": 0.0}
     world.submit("a", make_step(2, cpu=20_000, long_running=True, max_per_runner=1))
     world.run(2.0)
-    world.lose("r0")
+    world.lose_runner("r0")
     world.run(LEASE_LAPSES_S)
-    world.tell(LoadsReceived({5: world.state.load._replace(waiting=0.5)}))
+    world.send_event(LoadsReceived({5: world.state.load._replace(waiting=0.5)}))
     world.run(1.0)
     assert [unit for unit, _ in list_forwarded(world)] == [5]
 
 
 def test_a_successor_sends_an_interrupted_task_again():
     world = make_interrupted_world(losing_forwards=True)
-    (forward,) = world.waiting_forwards
+    (forward,) = world.pending_forwards
     world.losing_forwards = False
-    world.begin()
+    world.change_owner()
     world.run(0.5)
     assert world.forwarded == [forward]
-    assert len(world.at_work("a")) == 1
+    assert len(world.list_running("a")) == 1
 
 
 def test_a_successor_does_not_send_a_task_again_that_has_arrived():
@@ -321,10 +321,10 @@
     world.submit("other", make_step(cpu=500))
     world.run(1.0)
     world.forwarded = []
-    world.begin()
+    world.change_owner()
     world.run(2.0)
     assert list_forwarded(world) == []
-    assert len(world.at_work("a")) == 1
+    assert len(world.list_running("a")) == 1
 
 
 def test_cancelling_a_job_reaches_the_task_that_went_elsewhere():
@@ -333,8 +333,8 @@
     world.cancel("a")
     world.run(1.0)
     assert list_forwarded(world)[-1] == (5, ["c" + key[1:]])
-    assert world.at_work("a") == []
-    assert world.ended("a") == "cancelled"
+    assert world.list_running("a") == []
+    assert world.final_state("a") == "cancelled"
 
 
 def test_a_cancel_outlives_the_owner_that_was_to_pass_it_on():
@@ -344,12 +344,12 @@
     world.losing_forwards = True
     world.cancel("a")
     world.run(1.0)
-    assert world.at_work("a") == []
+    assert world.list_running("a") == []
     world.losing_forwards = False
-    world.begin()
+    world.change_owner()
     world.run(1.0)
     assert list_forwarded(world)[-1] == (5, ["c" + key[1:]])
-    assert world.ended("a") == "cancelled"
+    assert world.final_state("a") == "cancelled"
 
 
 def test_a_task_from_another_unit_goes_on_from_its_last_run():
@@ -359,16 +359,16 @@
     (record,) = home.forwarded[0].records
     world = World(runners=1)
     world.runners["r0"].durations = {"a": 0.0}
-    world.take(record)
+    world.receive_submission(record)
     world.run(1.0)
-    ((_, task, run),) = world.starts("a")
+    ((_, task, run),) = world.list_starts("a")
     assert (task.rpartition(".")[0], run) == ("a.0.0", 2)
-    world.begin()
+    world.change_owner()
     world.run(1.0)
-    assert world.starts("a") == [(world.starts("a")[0][0], task, 2)]
+    assert world.list_starts("a") == [(world.list_starts("a")[0][0], task, 2)]
     world.cancel(record.key[2:])
     world.run(1.0)
-    assert world.at_work("a") == []
+    assert world.list_running("a") == []
 
 
 def test_tasks_of_one_step_that_come_alone_keep_apart():
@@ -382,24 +382,24 @@
             "a", "q", "tollgate", "spec", (step,), hops=1, piece=(0, 0, number)
         )
         key = make_submission_key(piece.record_id)
-        world.take(Record(key, encode_submission(piece)))
+        world.receive_submission(Record(key, encode_submission(piece)))
     world.run(1.0)
-    assert len(world.at_work("a")) == 1
+    assert len(world.list_running("a")) == 1
 
 
 def test_a_new_owner_hands_nothing_over_before_it_has_seen_its_runners():
     # An owner takes over and no runner has reported yet, so its unit seems full. Its
     # jobs would all go to the neighbours within the first tenth of a second.
     world = World(runners=1)
-    world.cut.add("r0")
-    world.begin()
-    world.tell(LoadsReceived({5: ROOMY}))
+    world.unreachable.add("r0")
+    world.change_owner()
+    world.send_event(LoadsReceived({5: ROOMY}))
     world.submit("a", make_step(cpu=500, long_running=True))
     world.run(0.5)
     assert world.forwarded == []
-    world.cut.clear()
+    world.unreachable.clear()
     world.run(1.0)
-    assert len(world.at_work("a")) == 1
+    assert len(world.list_running("a")) == 1
 
 
 def test_a_runner_that_takes_no_work_is_no_room():
@@ -416,7 +416,7 @@
     # Two tasks wait in a unit that is a little fuller than the neighbour. Both sent
     # there in one moment, the neighbour is the fuller one and sends them back.
     world = make_full_world()
-    world.tell(LoadsReceived({5: Load(1.0, 0.0, 0.0, 0.0, 6_000)}))
+    world.send_event(LoadsReceived({5: Load(1.0, 0.0, 0.0, 0.0, 6_000)}))
     for job_id in ("a", "b"):
         world.submit(job_id, make_step(cpu=4_000, long_running=True), hops=1)
     world.run(1.5)
@@ -427,7 +427,7 @@
     # A runner with several tasks of a service is lost and its unit is full. Each was
     # handed over only 0.6 s after the one before; the last counted as forgotten.
     world = make_full_world()
-    world.tell(LoadsReceived({5: ROOMY}))
+    world.send_event(LoadsReceived({5: ROOMY}))
     world.submit("a", make_step(5, cpu=1_500, long_running=True), hops=1)
     world.run(1.0)
     assert len(set(list_keys(world))) == 5
@@ -451,36 +451,38 @@
     # not leave any more, and did one task after the other for the rest of the day. The
     # neighbour's runners are all in use at this moment, by tasks that end in a second.
     world = make_nearly_full_world()
-    world.tell(LoadsReceived({3: FULL, 5: CROWDED_BUT_ROOMY}))
+    world.send_event(LoadsReceived({3: FULL, 5: CROWDED_BUT_ROOMY}))
     world.submit("a", make_step(12, cpu=3000))
     assert list_forwarded(world) == [(5, ["j/a"])]
-    assert world.starts("a") == []
+    assert world.list_starts("a") == []
 
 
 def test_a_job_that_its_unit_has_room_for_stays():
     world = make_nearly_full_world()
-    world.tell(LoadsReceived({5: CROWDED_BUT_ROOMY}))
+    world.send_event(LoadsReceived({5: CROWDED_BUT_ROOMY}))
     world.submit("a", make_step(2, cpu=2000))
     world.run(0.2)
     assert world.forwarded == []
-    assert len(world.starts("a")) == 2
+    assert len(world.list_starts("a")) == 2
 
 
 def test_a_job_stays_where_the_others_are_as_crowded():
     # Loads are told once a second. Moved for little, jobs come where others came.
     world = make_nearly_full_world()
     crowded = CROWDED_BUT_ROOMY._replace(slots=(1,) * 14, ending=0)
-    world.tell(LoadsReceived({3: crowded, 5: FULL._replace(slots=(0,) * 14)}))
+    world.send_event(LoadsReceived({3: crowded, 5: FULL._replace(slots=(0,) * 14)}))
     world.submit("a", make_step(2, cpu=3500))
     world.run(0.2)
     assert world.forwarded == []
-    assert len(world.starts("a")) == 1
+    assert len(world.list_starts("a")) == 1
 
 
 def test_a_word_that_counts_other_sizes_draws_no_jobs():
     # While a release is rolled out owners of two versions tell each other their loads.
     world = make_nearly_full_world()
-    world.tell(LoadsReceived({3: CROWDED_BUT_ROOMY._replace(slots=(60,) * 3), 5: FULL}))
+    world.send_event(
+        LoadsReceived({3: CROWDED_BUT_ROOMY._replace(slots=(60,) * 3), 5: FULL})
+    )
     world.submit("a", make_step(12, cpu=3000))
     world.run(0.2)
     assert world.forwarded == []
@@ -489,7 +491,7 @@
 def test_wide_jobs_are_spread_between_two_words_of_the_other_units():
     world = make_nearly_full_world()
     empty = CROWDED_BUT_ROOMY._replace(ending=0)
-    world.tell(LoadsReceived({3: empty, 5: empty}))
+    world.send_event(LoadsReceived({3: empty, 5: empty}))
     for number in range(6):
         world.submit(f"a{number}", make_step(12, cpu=3000))
     world.run(0.2)
--- a/plantainyard/dispatch/tests/test_pending.py
+++ b/plantainyard/dispatch/tests/test_pending.py
@@ -35,15 +35,15 @@
     # Guards against a waiting job that is left out of the count because it is assigned
     # to a runner that leaves starts unanswered.
     world = World(runners=1)
-    world.cut.add("r0")
+    world.unreachable.add("r0")
     world.submit("a", make_step())
     world.run(0.5)
     assert world.replica.jobs["a"].steps
     assert count_waiting(world) == 1
     assert describe(world, "a") == "queued"
-    world.cut.clear()
+    world.unreachable.clear()
     world.run(1.0)
-    assert world.starts("a")
+    assert world.list_starts("a")
     assert count_waiting(world) == 0
     assert describe(world, "a") == "running"
 
@@ -55,7 +55,7 @@
     world.runners["r0"].faults.refuses = True
     world.submit("a", make_step())
     world.run(2.0)
-    assert world.starts("a") == []
+    assert world.list_starts("a") == []
     assert count_waiting(world) == 1
     world.runners["r0"].faults.refuses = False
     world.run(2.0)
@@ -67,11 +67,11 @@
     # delivered after a delay.
     world = World(runners=1)
     world.runners["r0"].durations = {"a": 5.0}
-    world.delay_orders = 100
+    world.orders_to_delay = 100
     world.submit("a", make_step())
     world.run(0.5)
     assert count_waiting(world) == 1
-    world.deliver_late()
+    world.deliver_delayed()
     world.run(1.0)
     assert count_waiting(world) == 0
 
@@ -84,9 +84,9 @@
     world.run(0.5)
     world.submit("b", make_step(2))
     world.run(0.5)
-    world.cut = {"r0", "r1"}
+    world.unreachable = {"r0", "r1"}
     world.submit("c", make_step())
-    world.begin()
+    world.change_owner()
     assert count_waiting(world) == 1
     assert world.state.jobs["a"].started
     assert not world.state.jobs["c"].started
@@ -103,24 +103,24 @@
 def test_a_job_during_its_hand_over_counts_once():
     # Guards against a waiting job that neither unit counts.
     old, new = make_full_world(), World(runners=1)
-    new.cut.add("r0")
+    new.unreachable.add("r0")
     old.losing_forwards = True
     old.submit("a", make_step(cpu=4000))
     for _ in range(30):
         old.run(0.1)
         assert sum_pending(map(report_pending, (old, new))) == 1
     new_before = report_pending(new)
-    ((forward,), old.losing_forwards) = old.waiting_forwards, False
+    ((forward,), old.losing_forwards) = old.pending_forwards, False
     old.run(0.1)
     assert sum_pending([report_pending(old), new_before]) == 1
-    new.take(forward.records[0])
+    new.receive_submission(forward.records[0])
     started_at = old.now
     while report_pending(old).moving:
         assert old.now < started_at + DELIVERY_READ_S + 1.0
         for world in (old, new):
             world.run(0.1)
         assert sum_pending(map(report_pending, (old, new))) == 1
-    new.cut.clear()
+    new.unreachable.clear()
     new.run(1.0)
     assert sum_pending(map(report_pending, (old, new))) == 0
 
@@ -131,7 +131,7 @@
     old, new = make_full_world(), World(runners=1)
     old.submit("a", make_step(cpu=4000))
     old.run(0.2)
-    new.take(old.forwarded[0].records[0])
+    new.receive_submission(old.forwarded[0].records[0])
     new.run(0.3)
     assert report_pending(old).moving
     assert sum_pending(map(report_pending, (old, new))) == 0
@@ -140,11 +140,11 @@
 def divide_job() -> World:
     """Return a unit that has handed over the two tasks of a job one by one."""
     world = make_full_world()
-    world.tell(LoadsReceived({}))
+    world.send_event(LoadsReceived({}))
     step = make_step(2, cpu=4000, long_running=True)
     world.submit("a", step, hops=MAX_HOPS)
     world.run(1.0)
-    world.tell(LoadsReceived({5: ROOMY}))
+    world.send_event(LoadsReceived({5: ROOMY}))
     world.run(1.0)
     return world
 
@@ -153,10 +153,10 @@
     # Guards against a job that no unit counts for as long as the fleet is full: its own
     # unit has handed over its tasks, and none has started anywhere.
     old, new = divide_job(), World(runners=1)
-    new.cut.add("r0")
+    new.unreachable.add("r0")
     assert sum_pending(map(report_pending, (old, new))) == 1
     for record in old.forwarded[0].records:
-        new.take(record)
+        new.receive_submission(record)
     for _ in range(30):
         for world in (old, new):
             world.run(0.1)
@@ -169,7 +169,7 @@
     old, new = divide_job(), World(runners=1)
     new.runners["r0"].durations = {"a": 0.0}
     assert describe(old, "a") == "running"
-    new.take(old.forwarded[0].records[0])
+    new.receive_submission(old.forwarded[0].records[0])
     new.run(1.0)
     assert report_pending(old).divided == {"a"}
     assert sum_pending(map(report_pending, (old, new))) == 0
@@ -191,7 +191,7 @@
 def test_a_job_that_arrives_during_a_count_is_reported_by_both_units(monkeypatch):
     # Guards against an owner that reports a job as arrived without having counted it.
     old, new = make_full_world(), World(runners=1)
-    new.cut.add("r0")
+    new.unreachable.add("r0")
     old.submit("a", make_step(cpu=4000))
     old.run(0.2)
     (record,) = old.forwarded[0].records
@@ -199,7 +199,7 @@
 
     def count_late(copy: UnitCopy, queue: str) -> PendingCount:
         counted = count(copy, queue)
-        new.take(record)
+        new.receive_submission(record)
         return counted
 
     monkeypatch.setattr(peers, "count_pending_in_copy", count_late)
@@ -224,7 +224,7 @@
     # Guards against a request that fails because the thread of the commit adds a step
     # meanwhile.
     world = World(runners=1)
-    world.cut.add("r0")
+    world.unreachable.add("r0")
     world.submit("a", *(make_step() for _ in range(3)))
     view = world.replica.jobs["a"]
     progress = StepProgress(frozenset(), {0: TaskProgress(1, "r0@0")})
--- a/plantainyard/dispatch/tests/test_planning.py
+++ b/plantainyard/dispatch/tests/test_planning.py
@@ -78,7 +78,7 @@
     world.submit("apart", make_step(2, 1_000, max_per_runner=1, estimate_ms=60_000))
     world.run(1.0)
     world.submit("other", make_step(2, 1_000, estimate_ms=90_000))
-    assert world.starts("other")
+    assert world.list_starts("other")
 
 
 def test_a_wide_step_needs_one_search(searches):
@@ -86,7 +86,7 @@
     world = World(8)
     world.submit("wide", make_step(40, 2_000))
     assert searches == ["wide"]
-    assert len(world.starts("wide")) == 40
+    assert len(world.list_starts("wide")) == 40
 
 
 @given(
@@ -164,10 +164,10 @@
     world.run(3.0)
     world.submit("b", make_step(1, 20_000))
     world.run(1.0)
-    assert not world.starts("b")
+    assert not world.list_starts("b")
     world.cancel("a")
     world.now += 1.0
     for runner in world.runners.values():
         runner.advance(world.now)
-    world.answer_holds()
-    assert world.starts("b")
+    world.answer_reports()
+    assert world.list_starts("b")
--- a/plantainyard/dispatch/tests/test_takeovers.py
+++ b/plantainyard/dispatch/tests/test_takeovers.py
@@ -25,10 +25,10 @@
     world.runners["r1"].durations = world.runners["r2"].durations = {"a": 8.0}
     world.submit("a", make_step(3))
     world.run(1.0)
-    world.begin()
+    world.change_owner()
     world.run(8.5)
-    assert len(world.starts("a")) == 3
-    assert world.ended("a") == "completed"
+    assert len(world.list_starts("a")) == 3
+    assert world.final_state("a") == "completed"
 
 
 def test_a_successor_learns_of_ends_that_were_not_stored():
@@ -40,10 +40,10 @@
     world.store_down = True
     world.run(2.0)
     world.store_down = False
-    world.begin()
+    world.change_owner()
     world.run(0.5)
-    assert len(world.starts("a")) == 1
-    assert world.ended("a") == "completed"
+    assert len(world.list_starts("a")) == 1
+    assert world.final_state("a") == "completed"
 
 
 def test_a_silent_runner_blocks_its_tasks_until_their_lease_is_over():
@@ -51,10 +51,10 @@
     # can be at work there any more, or it would run in two places.
     world = World(runners=2)
     home = start_lasting(world)
-    world.cut.add(home)
+    world.unreachable.add(home)
     for _ in range(100):
         world.run(0.1)
-        assert len(world.at_work("a")) <= 1
+        assert len(world.list_running("a")) <= 1
     (new,) = [n for n, r in world.runners.items() if r.running]
     assert new != home
 
@@ -64,10 +64,10 @@
     # other side can't be told to stop, and went on until leases of five seconds ended,
     # where their caller was promised 4.2 s.
     world = World(runners=1, lease_s=choose_lease(10.0, 4.2))
-    world.cut.add(start_lasting(world))
+    world.unreachable.add(start_lasting(world))
     world.cancel("a")
     world.run(4.2)
-    assert world.at_work("a") == []
+    assert world.list_running("a") == []
 
 
 def test_work_outlives_a_change_of_owner_where_the_bound_is_short():
@@ -75,14 +75,14 @@
     # of owner, and with them everything that ran.
     world = World(runners=1, lease_s=choose_lease(10.0, 1.2))
     start_lasting(world)
-    world.held = []
+    world.pending_reports = []
     for _ in range(17):
         world.now += 0.1
         world.runners["r0"].advance(world.now)
-    world.begin()
+    world.change_owner()
     world.run(1.0)
-    assert len(world.starts("a")) == 1
-    assert len(world.at_work("a")) == 1
+    assert len(world.list_starts("a")) == 1
+    assert len(world.list_running("a")) == 1
 
 
 def test_a_successor_waits_for_the_lease_of_a_runner_that_it_never_reached():
@@ -90,58 +90,58 @@
     # that a task is there, and not for how long it was allowed to run.
     world = World(runners=2)
     home = start_lasting(world)
-    world.cut.add(home)
-    world.begin()
+    world.unreachable.add(home)
+    world.change_owner()
     for _ in range(130):
         world.run(0.1)
-        assert len(world.at_work("a")) <= 1
-    assert len(world.at_work("a")) == 1
+        assert len(world.list_running("a")) <= 1
+    assert len(world.list_running("a")) == 1
 
 
 def test_a_late_start_after_a_change_of_owner_does_nothing():
     # A start is left unanswered and carried out seconds later. Meanwhile a successor
     # has asked that runner, and started the task elsewhere.
     world = World(runners=2)
-    world.delay_orders = 100
+    world.orders_to_delay = 100
     world.submit("a", make_step())
     world.run(0.3)
-    world.delay_orders = 0
-    world.begin()
+    world.orders_to_delay = 0
+    world.change_owner()
     world.run(0.3)
-    assert len(world.at_work("a")) == 1
-    world.deliver_late()
-    assert len(world.at_work("a")) == 1
+    assert len(world.list_running("a")) == 1
+    world.deliver_delayed()
+    assert len(world.list_running("a")) == 1
     world.run(3.0)
-    assert len(world.starts("a")) == 1
+    assert len(world.list_starts("a")) == 1
 
 
 def test_a_lost_answer_is_settled_by_the_same_start():
     # The runner has begun, its answer is lost. The start is sent again, to the same
     # runner, and finds the run there.
     world = World()
-    world.lose_answers = 1
+    world.answers_to_lose = 1
     world.submit("a", make_step())
     world.run(3.0)
-    assert len(world.starts("a")) == 1
-    assert world.ended("a") == "completed"
+    assert len(world.list_starts("a")) == 1
+    assert world.final_state("a") == "completed"
 
 
 def test_a_start_on_its_way_to_an_old_incarnation_is_stopped_at_the_new_one():
     # A runner crashes and is back under its id while a start is on its way: the new
     # life carries it out. The task must not start elsewhere until that is ruled out.
     world = World(runners=2)
-    world.delay_orders = 1
+    world.orders_to_delay = 1
     world.submit("a", make_step())
     world.run(0.1)
-    ((order, _),) = world.late
+    ((order, _),) = world.delayed_orders
     home = order.entry.runner
     world.runners[home].restart(world.now)
-    world.deliver_late()
-    world.announce()
+    world.deliver_delayed()
+    world.publish_entries()
     for _ in range(30):
         world.run(0.1)
-        assert len(set(world.at_work("a"))) == len(world.at_work("a"))
-    assert world.ended("a") == "completed"
+        assert len(set(world.list_running("a"))) == len(world.list_running("a"))
+    assert world.final_state("a") == "completed"
 
 
 def test_a_runner_that_starts_again_frees_its_tasks_at_once():
@@ -151,9 +151,9 @@
     world.submit("a", make_step(4))
     world.run(0.4)
     world.runners["r0"].restart(world.now)
-    world.announce()
+    world.publish_entries()
     world.run(3.0)
-    assert world.ended("a") == "completed"
+    assert world.final_state("a") == "completed"
 
 
 def test_attempts_are_counted_across_owners():
@@ -163,13 +163,13 @@
         runner.faults.fails_all = True
     world.submit("a", make_step(), max_attempts=2)
     world.run(0.4)
-    assert len(world.starts("a")) >= 1
-    world.begin()
+    assert len(world.list_starts("a")) >= 1
+    world.change_owner()
     world.run(15.0)
-    world.begin()
+    world.change_owner()
     world.run(15.0)
-    assert len(world.starts("a")) == 2
-    assert world.ended("a") == "failed"
+    assert len(world.list_starts("a")) == 2
+    assert world.final_state("a") == "failed"
 
 
 def test_dropped_history_loses_nothing():
@@ -178,10 +178,10 @@
     world = World()
     world.submit("a", make_step(3), make_step(3, after=(0,)))
     world.run(1.5)
-    world.begin()
+    world.change_owner()
     world.run(4.0)
-    assert len(world.starts("a")) == 6
-    assert world.ended("a") == "completed"
+    assert len(world.list_starts("a")) == 6
+    assert world.final_state("a") == "completed"
 
 
 def test_an_owner_that_is_cut_off_with_a_runner_lets_its_leases_end():
@@ -195,7 +195,7 @@
     world.renewing = False
     cut_at = world.now
     world.run(7.0)
-    assert world.at_work("a") == []
+    assert world.list_running("a") == []
     lapse = world.runners["r0"].ends[-1] if world.runners["r0"].ends else None
     assert lapse is None or lapse[3] == "lapsed"
     assert world.now - cut_at < 6.0 * (1 + world.limits.clock_drift) + 1.0
@@ -209,8 +209,8 @@
     world.run(1.0)
     world.store_down = True
     world.run(9.0)
-    assert len(world.starts("a")) == 1
-    assert len(world.at_work("a")) == 1
+    assert len(world.list_starts("a")) == 1
+    assert len(world.list_running("a")) == 1
 
 
 def test_a_start_that_a_new_incarnation_has_taken_is_stopped_there():
@@ -222,12 +222,12 @@
         runner.durations = {"a": 5.0}
         runner.restart(world.now)
     world.submit("a", make_step(2))
-    assert len(world.at_work("a")) == 2
-    world.announce()
+    assert len(world.list_running("a")) == 2
+    world.publish_entries()
     for _ in range(80):
-        assert len(set(world.at_work("a"))) == len(world.at_work("a"))
+        assert len(set(world.list_running("a"))) == len(world.list_running("a"))
         world.run(0.1)
-    assert world.ended("a") == "completed"
+    assert world.final_state("a") == "completed"
 
 
 def test_a_cancel_that_is_stored_while_no_owner_is_there_is_carried_out():
@@ -236,10 +236,10 @@
     world.submit("a", make_step(2, long_running=True))
     world.run(0.5)
     world.store(make_cancel_key("a"), CANCEL_VALUE)
-    world.begin()
+    world.change_owner()
     world.run(1.0)
-    assert world.at_work("a") == []
-    assert world.ended("a") == "cancelled"
+    assert world.list_running("a") == []
+    assert world.final_state("a") == "cancelled"
 
 
 def test_one_report_that_is_lost_keeps_no_work_from_a_runner():
@@ -248,12 +248,12 @@
     world = World(runners=1)
     world.submit("b", make_step())
     world.run(0.3)
-    world.cut.add("r0")
+    world.unreachable.add("r0")
     world.run(0.1)
-    world.cut.clear()
+    world.unreachable.clear()
     world.submit("a", make_step())
     world.run(0.1)
-    assert len(world.starts("a")) == 1
+    assert len(world.list_starts("a")) == 1
 
 
 def test_a_refused_repeat_does_not_free_a_task_whose_first_start_may_come():
@@ -264,18 +264,18 @@
     for runner in world.runners.values():
         runner.durations = {"a": 8.0}
         runner.faults.refuses = True
-    world.delay_orders = 1
+    world.orders_to_delay = 1
     world.submit("a", make_step())
     world.run(0.8)
-    ((order, _),) = world.late
+    ((order, _),) = world.delayed_orders
     other = next(n for n in world.runners if n != order.entry.runner)
     world.runners[other].faults.refuses = False
     world.run(1.0)
     world.runners[order.entry.runner].faults.refuses = False
-    world.deliver_late()
-    assert len(world.at_work("a")) == 1
+    world.deliver_delayed()
+    assert len(world.list_running("a")) == 1
     world.run(9.0)
-    assert world.ended("a") == "completed"
+    assert world.final_state("a") == "completed"
 
 
 def test_a_successor_knows_when_a_job_was_accepted():
@@ -285,7 +285,7 @@
     accepted_ms = (world.now - 30.0) * 1000
     step = make_step(estimate_ms=1000)
     world.submit("a", step, accepted_at_ms=accepted_ms, stretch=2.0)
-    world.begin()
+    world.change_owner()
     job = world.state.jobs["a"]
     assert job.deadline == pytest.approx(world.now - 30.0 + 2.0, abs=1.0)
     assert job.useful_until == pytest.approx(world.now - 30.0 + 6.0, abs=1.0)
@@ -296,14 +296,14 @@
     # start, nothing else ended there, and each repeat of the stop put off the proof
     # that the run is gone until after the report that was on its way.
     world = World(runners=1)
-    world.slow = True
+    world.has_slow_answers = True
     world.run(2.0)
     world.submit("a", make_step(2))
     world.run(0.1)
     world.runners["r0"].restart(world.now)
-    world.announce()
+    world.publish_entries()
     world.run(6.0)
-    assert world.ended("a") == "completed"
+    assert world.final_state("a") == "completed"
 
 
 def test_a_new_incarnation_must_answer_the_stop_before_its_report_counts():
@@ -314,20 +314,20 @@
     world.run(1.0)
     for runner in world.runners.values():
         runner.durations = {"a": 5.0}
-    world.delay_orders = 1
+    world.orders_to_delay = 1
     world.submit("a", make_step())
     world.now += 0.5
-    world.tell(Tick())
+    world.send_event(Tick())
     (home,) = [r for r in world.runners.values() if r.started]
     home.restart(world.now)
-    world.delayed_kind, world.delay_orders = OrderKind.STOP, 1
-    world.announce()
+    world.delayed_kind, world.orders_to_delay = OrderKind.STOP, 1
+    world.publish_entries()
     world.run(0.2)
-    world.deliver_late()
+    world.deliver_delayed()
     for _ in range(80):
-        assert len(set(world.at_work("a"))) == len(world.at_work("a"))
+        assert len(set(world.list_running("a"))) == len(world.list_running("a"))
         world.run(0.1)
-    assert world.ended("a") == "completed"
+    assert world.final_state("a") == "completed"
 
 
 def test_ends_at_a_new_incarnation_that_nobody_has_read_of_are_not_forgotten():
@@ -337,13 +337,13 @@
     world = World(runners=1)
     world.submit("old", make_step(5))
     world.run(3.0)
-    world.delay_orders = 1
+    world.orders_to_delay = 1
     world.submit("a", make_step())
     world.runners["r0"].restart(world.now)
     world.run(0.1)
-    world.deliver_late()
+    world.deliver_delayed()
     world.run(2.0)
-    world.announce()
+    world.publish_entries()
     world.run(3.0)
-    assert len(world.starts("a")) == 1
-    assert world.ended("a") == "completed"
+    assert len(world.list_starts("a")) == 1
+    assert world.final_state("a") == "completed"
--- a/plantainyard/dispatch/tests/test_timing.py
+++ b/plantainyard/dispatch/tests/test_timing.py
@@ -57,7 +57,7 @@
     world.runners["r0"].durations = {"long": 5.0}
     world.submit("long", make_step(1))
     world.run(2.0)
-    world.begin()
+    world.change_owner()
     world.run(5.0)
     found = get_summary(world, "long")
     assert 2.0 < found.task_time_s[TimePart.WORKING] < 3.5
@@ -70,7 +70,7 @@
     world.runners["r0"].durations = {"watch": 1.0}
     world.submit("watch", make_step(1, long_running=True))
     world.run(5.0)
-    assert len(world.starts("watch")) > 1
+    assert len(world.list_starts("watch")) > 1
     world.cancel("watch")
     world.run(2.0)
     assert "done" not in get_summary(world, "watch").lost_runs
--- a/plantainyard/dispatch/tests/world.py
+++ b/plantainyard/dispatch/tests/world.py
@@ -55,9 +55,9 @@
 class World:
     """Runners, a store of records, and one dispatcher after the other.
 
-    Calls are answered at once unless they are dropped (`cut`), lost after the effect
-    (`lose_answers`) or kept back (`delay_orders` of `delayed_kind`, then
-    `deliver_late`). Reports come with the next step of time. With `slow` calls answers
+    Calls are answered at once unless they are dropped (`unreachable`), lost after the effect
+    (`answers_to_lose`) or kept back (`orders_to_delay` of `delayed_kind`, then
+    `deliver_delayed`). Reports come with the next step of time. With `has_slow_answers` calls answers
     to orders do too, and reports wait for an end as long as they were asked to.
     """
 
@@ -68,30 +68,30 @@
         self.stored: dict[str, bytes] = {}
         self.replica = Replica()
         self.submissions: dict[str, Submission] = {}
-        self.cut: set[str] = set()
-        self.lose_answers = 0
-        self.delay_orders = 0
+        self.unreachable: set[str] = set()
+        self.answers_to_lose = 0
+        self.orders_to_delay = 0
         self.delayed_kind = OrderKind.START
-        self.late: list[tuple[SendOrder, int]] = []
+        self.delayed_orders: list[tuple[SendOrder, int]] = []
         self.store_down = False
         self.renewing = True
-        self.waiting_commit: Commit | None = None
-        self.held: list[tuple[float, RequestReport]] = []
-        self.slow = False
+        self.pending_commit: Commit | None = None
+        self.pending_reports: list[tuple[float, RequestReport]] = []
+        self.has_slow_answers = False
         self.answers: list[OrderAnswered] = []
         self.forwarded: list[Forward] = []
-        self.waiting_forwards: list[Forward] = []
+        self.pending_forwards: list[Forward] = []
         self.losing_forwards = False
         self.summaries: list[JobSummary] = []
         self.fence = 0
-        self.begin()
+        self.change_owner()
 
-    def begin(self) -> None:
+    def change_owner(self) -> None:
         """Let a new owner take over from what is stored."""
         self.fence += 1
-        self.waiting_commit = None
-        self.waiting_forwards = []
-        self.held = []
+        self.pending_commit = None
+        self.pending_forwards = []
+        self.pending_reports = []
         self.answers = []
         self.replica = Replica()
         for key, value in self.stored.items():
@@ -99,7 +99,7 @@
         self.state = restore_dispatcher(
             self.replica, self.limits, self.now, self.now * 1000, self.now
         )
-        self.announce()
+        self.publish_entries()
         self.run(TICK_S)
 
     def store(self, key: str, value: bytes) -> None:
@@ -107,38 +107,38 @@
         self.stored[key] = value
         apply_record(self.replica, key, value)
 
-    def announce(self) -> None:
+    def publish_entries(self) -> None:
         for name, runner in self.runners.items():
             entry = decode_entry(name, json.dumps(runner.entry(self.now)).encode())
-            self.tell(EntryChanged(name, entry))
+            self.send_event(EntryChanged(name, entry))
 
     def submit(self, job_id: str, *steps: Step, queue: str = "q", **more: Any) -> None:
         submission = Submission(job_id, queue, SERVICE, "spec", steps, **more)
         self.submissions[job_id] = submission
         key = make_submission_key(job_id)
         self.store(key, encode_submission(submission))
-        self.tell(JobSubmitted(submission))
+        self.send_event(JobSubmitted(submission))
 
-    def tell_again(self, job_id: str) -> None:
+    def resubmit(self, job_id: str) -> None:
         """Repeat a submission, as a caller does that lost the answer."""
-        self.tell(JobSubmitted(self.submissions[job_id]))
+        self.send_event(JobSubmitted(self.submissions[job_id]))
 
-    def take(self, record: Record) -> None:
+    def receive_submission(self, record: Record) -> None:
         """Read a record that another unit's owner has stored."""
         self.store(record.key, record.value)
-        self.tell(JobSubmitted(decode_submission(record.value)))
+        self.send_event(JobSubmitted(decode_submission(record.value)))
 
-    def lose(self, name: str) -> None:
+    def lose_runner(self, name: str) -> None:
         """Lose a runner for good: it runs nothing, and its entry goes."""
         del self.runners[name]
-        self.cut.add(name)
-        self.tell(EntryChanged(name, None))
+        self.unreachable.add(name)
+        self.send_event(EntryChanged(name, None))
 
     def cancel(self, job_id: str) -> None:
         self.store(make_cancel_key(job_id), b"1")
-        self.tell(CancelRequested(job_id))
+        self.send_event(CancelRequested(job_id))
 
-    def tell(self, event: Event) -> None:
+    def send_event(self, event: Event) -> None:
         events: list[Event] = [event]
         while events:
             actions = step(self.state, events.pop(0), self.now)
@@ -148,17 +148,17 @@
     def perform(self, action: Action) -> list[Event]:
         if isinstance(action, Commit):
             if self.store_down:
-                self.waiting_commit = action
+                self.pending_commit = action
                 return []
             return self.commit(action)
         if isinstance(action, Forward):
             if self.store_down or self.losing_forwards:
-                self.waiting_forwards.append(action)
+                self.pending_forwards.append(action)
                 return []
             return self.forward(action)
         if isinstance(action, RequestReport):
             # A report that waits is answered with the next step of time.
-            self.held.append((self.now, action))
+            self.pending_reports.append((self.now, action))
             return []
         if isinstance(action, JobStarted):
             mark_job_started(self.replica, action.job_id)
@@ -183,32 +183,32 @@
         name = action.entry.runner
         lost = OrderResult(OrderOutcome.UNKNOWN)
         result = lost
-        if action.kind == self.delayed_kind and self.delay_orders > 0:
-            self.delay_orders -= 1
-            self.late.append((action, self.fence))
-        elif name not in self.cut:
-            result = self.call(action, self.fence)
-            if self.lose_answers > 0:
-                self.lose_answers -= 1
+        if action.kind == self.delayed_kind and self.orders_to_delay > 0:
+            self.orders_to_delay -= 1
+            self.delayed_orders.append((action, self.fence))
+        elif name not in self.unreachable:
+            result = self.deliver_order(action, self.fence)
+            if self.answers_to_lose > 0:
+                self.answers_to_lose -= 1
                 result = lost
         incarnation = action.entry.incarnation
         answer = OrderAnswered(
             action.kind, action.task, action.run, incarnation, result, self.now
         )
-        if self.slow:
+        if self.has_slow_answers:
             self.answers.append(answer)
             return []
         return [answer]
 
-    def call(self, action: SendOrder, fence: int) -> OrderResult:
+    def deliver_order(self, action: SendOrder, fence: int) -> OrderResult:
         runner = self.runners[action.entry.runner]
         return order_runner(runner, action, fence, self.now)
 
-    def deliver_late(self) -> None:
+    def deliver_delayed(self) -> None:
         """Carry out the orders that were kept back, in their time's words."""
-        for action, fence in self.late:
-            self.call(action, fence)
-        self.late = []
+        for action, fence in self.delayed_orders:
+            self.deliver_order(action, fence)
+        self.delayed_orders = []
 
     def run(self, seconds: float) -> None:
         """Let time pass in steps of a tick."""
@@ -219,49 +219,49 @@
                 runner.advance(self.now)
             answers, self.answers = self.answers, []
             for answer in answers:
-                self.tell(answer)
-            self.answer_holds()
-            if self.waiting_commit is not None and not self.store_down:
-                waiting, self.waiting_commit = self.waiting_commit, None
+                self.send_event(answer)
+            self.answer_reports()
+            if self.pending_commit is not None and not self.store_down:
+                waiting, self.pending_commit = self.pending_commit, None
                 for event in self.commit(waiting):
-                    self.tell(event)
+                    self.send_event(event)
             if not self.store_down and not self.losing_forwards:
-                waiting_forwards, self.waiting_forwards = self.waiting_forwards, []
-                for forward in waiting_forwards:
+                pending_forwards, self.pending_forwards = self.pending_forwards, []
+                for forward in pending_forwards:
                     for event in self.forward(forward):
-                        self.tell(event)
+                        self.send_event(event)
             if self.renewing and not self.store_down:
-                self.tell(OwnershipRenewed(self.now))
-            self.tell(Tick())
-
-    def answer_holds(self) -> None:
-        held, self.held = self.held, []
-        for sent_at, action in held:
-            if self.slow and self.is_waiting(sent_at, action):
-                self.held.append((sent_at, action))
+                self.send_event(OwnershipRenewed(self.now))
+            self.send_event(Tick())
+
+    def answer_reports(self) -> None:
+        pending_reports, self.pending_reports = self.pending_reports, []
+        for sent_at, action in pending_reports:
+            if self.has_slow_answers and self.is_report_waiting(sent_at, action):
+                self.pending_reports.append((sent_at, action))
             else:
-                at = sent_at if self.slow else self.now - 0.01
-                self.tell(self.hold(action, at))
+                at = sent_at if self.has_slow_answers else self.now - 0.01
+                self.send_event(self.answer_report(action, at))
 
-    def is_waiting(self, sent_at: float, action: RequestReport) -> bool:
+    def is_report_waiting(self, sent_at: float, action: RequestReport) -> bool:
         """Return whether a runner waits for something to report, as it was asked to."""
         runner = self.runners.get(action.entry.runner)
-        if runner is None or action.entry.runner in self.cut or runner.ends:
+        if runner is None or action.entry.runner in self.unreachable or runner.ends:
             return False
         return self.now < sent_at + action.wait_s
 
-    def hold(
+    def answer_report(
         self, action: RequestReport, sent_at: float
     ) -> ReportReceived | ReportFailed:
         incarnation, name = action.entry.incarnation, action.entry.runner
-        if name in self.cut:
+        if name in self.unreachable:
             return ReportFailed(incarnation, sent_at, "no answer")
         found = hold_runner(self.runners[name], action, self.fence, self.now)
         if isinstance(found, Err):
             return ReportFailed(incarnation, sent_at, found.err_value.detail)
         return ReportReceived(incarnation, found.ok_value, sent_at)
 
-    def starts(self, job_id: str) -> list[tuple[float, str, int]]:
+    def list_starts(self, job_id: str) -> list[tuple[float, str, int]]:
         """Return every run of a job that began anywhere, in order."""
         return sorted(
             start
@@ -270,7 +270,7 @@
             if start[1].startswith(job_id)
         )
 
-    def at_work(self, job_id: str) -> list[str]:
+    def list_running(self, job_id: str) -> list[str]:
         """Return the names of a job's tasks that are at work now, with repeats."""
         return [
             task
@@ -279,7 +279,7 @@
             if task.startswith(job_id)
         ]
 
-    def ended(self, job_id: str) -> str:
+    def final_state(self, job_id: str) -> str:
         return self.replica.jobs[job_id].final_state
 
 
