--- a/plantainyard/dispatch/tests/world.py
+++ b/plantainyard/dispatch/tests/world.py
@@ -1,4 +1,4 @@
-"""A world in virtual time: stand-in runners and a store around a dispatcher."""
+"""Test environment in virtual time: stand-in runners, a store and a dispatcher."""
 
 import json
 from typing import Any
@@ -53,12 +53,13 @@
 
 
 class World:
-    """Runners, a store of records, and one dispatcher after the other.
+    """Runners, a store of records, and a dispatcher with successive owners.
 
-    Calls are answered at once unless they are dropped (`unreachable`), lost after the effect
-    (`answers_to_lose`) or kept back (`orders_to_delay` of `delayed_kind`, then
-    `deliver_delayed`). Reports come with the next step of time. With `has_slow_answers` calls answers
-    to orders do too, and reports wait for an end as long as they were asked to.
+    Orders are answered at once, except those to `unreachable` runners, those whose
+    answer is lost after they took effect (`answers_to_lose`), and those of
+    `delayed_kind` that are kept back (`orders_to_delay`) until `deliver_delayed`.
+    Reports are answered with the next step of time. With `has_slow_answers` this is
+    true of orders too, and reports wait for an end of a run as long as requested.
     """
 
     def __init__(self, runners: int = 3, **limits: float) -> None:
@@ -87,7 +88,7 @@
         self.change_owner()
 
     def change_owner(self) -> None:
-        """Let a new owner take over from what is stored."""
+        """Let a new owner take over from the stored records."""
         self.fence += 1
         self.pending_commit = None
         self.pending_forwards = []
@@ -103,7 +104,7 @@
         self.run(TICK_S)
 
     def store(self, key: str, value: bytes) -> None:
-        """Let a record be stored, and read at once."""
+        """Store a record and apply it to the replica at once."""
         self.stored[key] = value
         apply_record(self.replica, key, value)
 
@@ -120,16 +121,16 @@
         self.send_event(JobSubmitted(submission))
 
     def resubmit(self, job_id: str) -> None:
-        """Repeat a submission, as a caller does that lost the answer."""
+        """Repeat a submission, like a caller that didn't get the answer."""
         self.send_event(JobSubmitted(self.submissions[job_id]))
 
     def receive_submission(self, record: Record) -> None:
-        """Read a record that another unit's owner has stored."""
+        """Read a submission that the owner of another unit has stored."""
         self.store(record.key, record.value)
         self.send_event(JobSubmitted(decode_submission(record.value)))
 
     def lose_runner(self, name: str) -> None:
-        """Lose a runner for good: it runs nothing, and its entry goes."""
+        """Remove a runner permanently, with its runs and its entry."""
         del self.runners[name]
         self.unreachable.add(name)
         self.send_event(EntryChanged(name, None))
@@ -157,7 +158,7 @@
                 return []
             return self.forward(action)
         if isinstance(action, RequestReport):
-            # A report that waits is answered with the next step of time.
+            # Reports are answered with the next step of time.
             self.pending_reports.append((self.now, action))
             return []
         if isinstance(action, JobStarted):
@@ -205,13 +206,13 @@
         return order_runner(runner, action, fence, self.now)
 
     def deliver_delayed(self) -> None:
-        """Carry out the orders that were kept back, in their time's words."""
+        """Carry out the orders that were kept back, with the fence they were sent with."""
         for action, fence in self.delayed_orders:
             self.deliver_order(action, fence)
         self.delayed_orders = []
 
     def run(self, seconds: float) -> None:
-        """Let time pass in steps of a tick."""
+        """Let time pass in steps of one tick."""
         until = self.now + seconds
         while self.now < until - 1e-9:
             self.now += TICK_S
@@ -244,7 +245,7 @@
                 self.send_event(self.answer_report(action, at))
 
     def is_report_waiting(self, sent_at: float, action: RequestReport) -> bool:
-        """Return whether a runner waits for something to report, as it was asked to."""
+        """Return whether a runner still waits for an end to report, as requested."""
         runner = self.runners.get(action.entry.runner)
         if runner is None or action.entry.runner in self.unreachable or runner.ends:
             return False
@@ -262,7 +263,7 @@
         return ReportReceived(incarnation, found.ok_value, sent_at)
 
     def list_starts(self, job_id: str) -> list[tuple[float, str, int]]:
-        """Return every run of a job that began anywhere, in order."""
+        """Return all runs of a job that started at any runner, in order."""
         return sorted(
             start
             for runner in self.runners.values()
@@ -271,7 +272,7 @@
         )
 
     def list_running(self, job_id: str) -> list[str]:
-        """Return the names of a job's tasks that are at work now, with repeats."""
+        """Return the names of a job's running tasks, one for each run."""
         return [
             task
             for runner in self.runners.values()
