--- a/plantainyard/dispatch/tests/test_dispatcher.py
+++ b/plantainyard/dispatch/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Runs of whole jobs in virtual time."""
+"""Tests of the dispatcher with whole jobs, in virtual time."""
 
 from plantainyard.dispatch.tests.world import World, make_step
 
@@ -14,8 +14,8 @@
 
 
 def test_a_submission_that_comes_twice_runs_once():
-    # A caller lost the answer and sends the job again, at another instance; the copy
-    # is read after the job has ended.
+    # Guards against a job that runs again because a caller that didn't get the answer
+    # resubmits it at another instance, whose copy is read after the job has ended.
     world = World()
     world.submit("a", make_step(2))
     world.submit("a", make_step(2))
@@ -26,8 +26,8 @@
 
 
 def test_a_start_is_stored_before_it_is_sent():
-    # The store is down when a job's turn comes. A runner must not hear of it: an owner
-    # that follows could not know where the task runs.
+    # Guards against a start that is sent while the store is down: a successor couldn't
+    # know where the task runs.
     world = World()
     world.store_down = True
     world.submit("a", make_step())
@@ -39,8 +39,8 @@
 
 
 def test_an_end_is_acknowledged_only_once_it_is_stored():
-    # The store goes down while a task runs. Its end is listed by the runner until the
-    # store has it; acknowledged earlier it would be known to nobody after a crash.
+    # Guards against an end that nobody knows after a crash, because it was acknowledged
+    # while the store was down. Until it is stored the runner must list it.
     world = World(runners=1)
     world.submit("a", make_step(2))
     world.run(0.5)
@@ -74,9 +74,9 @@
     assert world.final_state("a") == "failed"
 
 
-def test_a_bad_runner_does_not_use_a_task_s_attempts_up():
-    # One runner fails whatever it starts and is always free. The task must succeed
-    # elsewhere before its attempts are spent.
+def test_a_failing_runner_does_not_use_up_the_attempts_of_tasks():
+    # Guards against a runner that fails every task and is therefore always free: tasks
+    # must succeed elsewhere before their attempts are used up.
     world = World()
     world.runners["r0"].faults.fails_all = True
     for number in range(6):
@@ -85,7 +85,7 @@
     assert {world.final_state(f"a{n}") for n in range(6)} == {"completed"}
 
 
-def test_long_running_tasks_come_back_however_they_end():
+def test_long_running_tasks_restart_however_they_end():
     world = World()
     for runner in world.runners.values():
         runner.durations = {"a": 0.7}
@@ -95,8 +95,8 @@
     assert world.final_state("a") == ""
 
 
-def test_no_runner_gets_more_than_it_holds():
-    # Runners of this service start whatever they are told to, also beyond their room.
+def test_no_runner_gets_more_than_its_capacity():
+    # Stand-in runners accept every start, even beyond their capacity.
     world = World(runners=2)
     world.submit("a", make_step(20, cpu=10_000))
     for _ in range(40):
@@ -107,7 +107,7 @@
     assert world.final_state("a") == "completed"
 
 
-def test_what_is_being_stopped_still_takes_room():
+def test_stopping_tasks_still_occupy_capacity():
     world = World(runners=1)
     world.runners["r0"].stop_s = 1.0
     world.submit("a", make_step(6, cpu=10_000))
@@ -133,7 +133,7 @@
     assert len(times) == 1
 
 
-def test_tasks_of_a_step_keep_their_distance():
+def test_tasks_of_a_step_are_limited_per_runner():
     world = World(runners=3)
     world.submit("a", make_step(5, max_per_runner=1))
     world.run(0.5)
@@ -142,7 +142,7 @@
     assert world.final_state("a") == "completed"
 
 
-def test_a_task_starts_only_where_its_label_is():
+def test_a_task_starts_only_on_a_runner_with_the_required_label():
     world = World(runners=3)
     world.runners["r2"].labels = ("b", "r1-1")
     world.publish_entries()
@@ -151,7 +151,7 @@
     assert len(world.runners["r2"].running) == 4
 
 
-def test_a_task_starts_near_its_data():
+def test_a_task_starts_in_its_preferred_rack():
     world = World(runners=3, remote_factor=3.0)
     world.runners["r1"].labels = ("a", "r1-2")
     world.publish_entries()
@@ -182,8 +182,8 @@
 
 
 def test_long_running_tasks_leave_a_draining_runner():
-    # A runner reports that it is draining and leaves seconds later, with everything
-    # on it. The service would be without its tasks until somebody notices.
+    # Guards against a service without its tasks until a drained runner is found to be
+    # lost: it leaves seconds after it started to drain, with everything on it.
     world = World(runners=2)
     for runner in world.runners.values():
         runner.durations = {"a": 0.0}
@@ -197,8 +197,8 @@
     assert len(world.list_running("a")) == 2
 
 
-def test_a_task_that_stands_still_is_started_elsewhere():
-    # Tasks on one runner make no progress, and the runner reports nothing wrong.
+def test_a_stalled_task_is_started_elsewhere():
+    # Guards against tasks that stall forever on a runner that reports no fault.
     world = World(runners=2)
     for runner in world.runners.values():
         runner.faults.stands_still = True
@@ -211,9 +211,9 @@
     assert world.final_state("a") == "completed"
 
 
-def test_a_gap_that_short_jobs_use_by_turns_isnt_given_away_for_good():
-    # One runner is full but for a gap in which short jobs run one after the other. A
-    # long-running task that waits for room would close it at the first pause.
+def test_a_gap_in_use_by_short_jobs_is_not_given_to_a_long_running_task():
+    # Guards against a long-running task that occupies the last gap of a runner in the
+    # first pause between the short jobs that use it one after the other.
     world = World(runners=1)
     world.runners["r0"].durations = {"full": 0.0, "lasting": 0.0}
     world.submit("full", make_step(cpu=60_000, long_running=True))
@@ -229,9 +229,10 @@
     assert len(world.list_running("lasting")) == 1
 
 
-def test_a_gang_that_finds_no_room_counts_as_waiting():
-    # How long its tasks have waited decides which places will do. Taken to have waited
-    # for ever, a backfilling gang went at once where its neighbours stop it.
+def test_a_gang_without_capacity_counts_as_waiting():
+    # The time that tasks have waited determines which places are acceptable. Guards
+    # against a backfill gang without that time, which was placed at once on runners
+    # whose serving tasks force it to stop.
     world = World(runners=1)
     world.submit("a", make_step(4, gang=True, backfill=True, max_per_runner=1))
     world.run(0.5)
--- a/plantainyard/dispatch/tests/test_faults.py
+++ b/plantainyard/dispatch/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""Any two faults in any order: one commander, no task twice, nothing lost."""
+"""Random sequences of faults: no task runs twice, and no accepted job is lost."""
 
 from hypothesis import HealthCheck, settings
 from hypothesis import strategies as st
@@ -15,11 +15,11 @@
 JOBS = [f"job{n}" for n in range(4)]
 CORES = 64
 TASK_CPU = 20_000
-LEASE_OVER_S = 14.0
+LEASE_EXPIRY_S = 14.0
 
 
 class Faults(RuleBasedStateMachine):
-    """Owners that come and go, runners cut off and reborn, answers lost and late."""
+    """Changes of owner, unreachable and restarted runners, lost and delayed answers."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -57,12 +57,12 @@
         self.world.change_owner()
 
     @rule(runner=st.integers(0, RUNNERS - 1))
-    def cut_or_heal(self, runner: int) -> None:
+    def connect_or_disconnect_runner(self, runner: int) -> None:
         self.world.unreachable ^= {f"r{runner}"}
 
     @rule(runner=st.integers(0, RUNNERS - 1))
     def restart_runner(self, runner: int) -> None:
-        # Its entry reaches the owner through the store, also while it is cut off.
+        # The entry reaches the owner through the store, even if the runner doesn't.
         self.world.runners[f"r{runner}"].restart(self.world.now)
         self.world.publish_entries()
 
@@ -75,7 +75,7 @@
         self.world.orders_to_delay = 2
 
     @rule()
-    def deliver_late(self) -> None:
+    def deliver_delayed_orders(self) -> None:
         self.world.deliver_delayed()
 
     @rule()
@@ -86,9 +86,9 @@
     def check(self) -> None:
         world = self.world
         names = [t for r in world.runners.values() for t in r.running]
-        assert len(names) == len(set(names)), f"twice: {sorted(names)}"
+        assert len(names) == len(set(names)), f"running twice: {sorted(names)}"
         for runner in world.runners.values():
-            assert len(runner.running) * TASK_CPU <= CORES * 1000, "over its room"
+            assert len(runner.running) * TASK_CPU <= CORES * 1000, "beyond its capacity"
         for job, view in world.replica.jobs.items():
             steps = world.submissions[job].steps
             if view.final_state == "completed":
@@ -98,12 +98,12 @@
             assert view.final_state != "failed"
 
     def teardown(self) -> None:
-        """Heal everything: what was accepted must then come to its end."""
+        """Repair all faults; every accepted job must then end or run."""
         world = self.world
         world.unreachable, world.answers_to_lose, world.orders_to_delay = set(), 0, 0
         world.store_down = False
         world.deliver_delayed()
-        for _ in range(round(LEASE_OVER_S * 10)):
+        for _ in range(round(LEASE_EXPIRY_S * 10)):
             world.run(0.1)
             self.check()
         for job, submission in world.submissions.items():
@@ -118,7 +118,7 @@
 
 
 class SlowFaults(Faults):
-    """The same where answers take time, and reports wait for ends."""
+    """The same with delayed answers, and reports that wait for ends of runs."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/plantainyard/dispatch/tests/test_fleet.py
+++ b/plantainyard/dispatch/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Several units that hand work to each other, under faults between any two steps."""
+"""Handovers between several units, with random faults between any two steps."""
 
 import itertools
 from typing import Any
@@ -22,7 +22,7 @@
     list_arrivals,
 )
 from plantainyard.dispatch.handover import MAX_HOPS
-from plantainyard.dispatch.tests.test_handover import ROOMY
+from plantainyard.dispatch.tests.test_handover import LIGHT_LOAD
 from plantainyard.dispatch.tests.world import World, make_step
 from plantainyard.platform.store import Record
 
@@ -36,7 +36,7 @@
 
 
 class UnitWorld(World):
-    """A unit whose records for other units reach those."""
+    """Unit whose forwarded records are received by the other units."""
 
     def __init__(self, fleet: "Fleet", unit: int) -> None:
         self.fleet = fleet
@@ -49,7 +49,7 @@
         return [Forwarded([record.key for record in action.records])]
 
     def receive(self, record: Record) -> None:
-        """Read a record that another unit's owner has stored."""
+        """Read a record that the owner of another unit has stored."""
         key = parse_key(record.key)
         if key.kind == RecordKind.CANCEL:
             self.store(record.key, record.value)
@@ -61,7 +61,7 @@
 
 
 class Fleet(RuleBasedStateMachine):
-    """Owners that are lost, power that is lost, work and cancels on their way."""
+    """Lost owners, losses of power, and jobs and cancellations in transit."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -70,7 +70,7 @@
         self.cancelled: set[str] = set()
         self.submitted: list[str] = []
         self.ticks = 0
-        # Also those that are lost later.
+        # All runners, including those that are lost later.
         self.fleet_runners = [list(world.runners.values()) for world in self.worlds]
         for unit, world in enumerate(self.worlds):
             for runner in world.runners.values():
@@ -86,22 +86,22 @@
                 world.run(0.1)
             self.ticks += 1
             if self.ticks % LOADS_EVERY_TICKS == 0:
-                self.tell_loads()
+                self.send_loads()
             self.check()
 
-    def tell_loads(self) -> None:
+    def send_loads(self) -> None:
         loads = {world.unit: world.state.load for world in self.worlds}
         for world in self.worlds:
             others = {u: load for u, load in loads.items() if u != world.unit}
             world.send_event(LoadsReceived(others))
 
-    def list_at_work(self) -> list[str]:
+    def list_running(self) -> list[str]:
         worlds = self.worlds
         return [t for w in worlds for r in w.runners.values() for t in r.running]
 
     @rule(unit=st.integers(0, UNITS - 1))
     def lose_runner(self, unit: int) -> None:
-        """Leave a unit without room for what was on one of its two runners."""
+        """Lose one of a unit's two runners, so that the other lacks capacity."""
         world = self.worlds[unit]
         if len(world.runners) > 1:
             world.lose_runner(min(world.runners))
@@ -112,7 +112,7 @@
         self.worlds[unit].cancel(f"job{unit}")
 
     def submit(self, unit: int, **more: Any) -> None:
-        """Submit a job to a queue of its own, so that its count tells of it alone."""
+        """Submit a job to a queue of its own, so that its queue counts it alone."""
         job = f"new{len(self.submitted)}"
         self.submitted.append(job)
         hops = more.pop("hops", 0)
@@ -126,27 +126,27 @@
     @rule(
         unit=st.integers(0, UNITS - 1),
         step=st.integers(1, UNITS - 1),
-        cut=st.booleans(),
+        disconnected=st.booleans(),
         divided=st.booleans(),
         ticks=st.integers(1, 12),
     )
     def submit_and_hand_over(
-        self, unit: int, step: int, cut: bool, divided: bool, ticks: int
+        self, unit: int, step: int, disconnected: bool, divided: bool, ticks: int
     ) -> None:
-        """Let another unit tell of room, where runners may answer nothing."""
+        """Submit a job while another unit, maybe with silent runners, has capacity."""
         other = (unit + step) % UNITS
-        if cut:
+        if disconnected:
             self.worlds[other].unreachable |= set(self.worlds[other].runners)
         if divided:
-            # A job that came from elsewhere can't go on as a whole, and its tasks can.
+            # A job that was handed over can't be handed over again, but its tasks can.
             self.submit(unit, long_running=True, hops=MAX_HOPS)
         else:
             self.submit(unit)
-        self.worlds[unit].send_event(LoadsReceived({other: ROOMY}))
+        self.worlds[unit].send_event(LoadsReceived({other: LIGHT_LOAD}))
         self.pass_ticks(ticks)
 
     @rule(unit=st.integers(0, UNITS - 1), ticks=st.integers(1, 8))
-    def submit_where_nobody_answers(self, unit: int, ticks: int) -> None:
+    def submit_with_unreachable_runners(self, unit: int, ticks: int) -> None:
         world = self.worlds[unit]
         world.cancel(f"rest{unit}")
         self.pass_ticks(10)
@@ -155,12 +155,12 @@
         self.pass_ticks(ticks)
 
     @rule(unit=st.integers(0, UNITS - 1))
-    def make_room(self, unit: int) -> None:
+    def make_capacity_available(self, unit: int) -> None:
         self.worlds[unit].cancel(f"rest{unit}")
 
     @rule(unit=st.integers(0, UNITS - 1))
-    def cut_runners_or_mend(self, unit: int) -> None:
-        """Let the runners of a unit answer nothing, or answer again."""
+    def disconnect_or_reconnect_runners(self, unit: int) -> None:
+        """Make the runners of a unit unreachable, or reachable again."""
         world = self.worlds[unit]
         world.unreachable ^= set(world.runners)
 
@@ -178,7 +178,7 @@
             world.change_owner()
 
     @rule(unit=st.integers(0, UNITS - 1))
-    def hold_forwards_up_or_not(self, unit: int) -> None:
+    def hold_or_release_forwards(self, unit: int) -> None:
         world = self.worlds[unit]
         world.losing_forwards = not world.losing_forwards
 
@@ -189,36 +189,36 @@
 
     @invariant()
     def check(self) -> None:
-        names = self.list_at_work()
-        assert len(names) == len(set(names)), f"twice: {sorted(names)}"
+        names = self.list_running()
+        assert len(names) == len(set(names)), f"running twice: {sorted(names)}"
         for job in self.list_waiting():
             assert self.count(job) >= 1, f"{job} is in no count"
 
     def list_waiting(self) -> list[str]:
-        """Return the submitted jobs that no runner has ever begun."""
-        incarnations = itertools.chain.from_iterable(self.fleet_runners)
-        started = {start[1] for runner in incarnations for start in runner.started}
+        """Return the submitted jobs that no runner has ever started."""
+        runners = itertools.chain.from_iterable(self.fleet_runners)
+        started = {start[1] for runner in runners for start in runner.started}
         return [job for job in self.submitted if f"{job}.0.0.0" not in started]
 
     def count(self, queue: str) -> int:
-        told = [count_pending(world.replica, queue) for world in self.worlds]
-        recent = [list_arrivals(world.state, queue) for world in self.worlds]
-        rows = zip(told, recent, strict=True)
+        counts = [count_pending(world.replica, queue) for world in self.worlds]
+        arrivals = [list_arrivals(world.state, queue) for world in self.worlds]
+        rows = zip(counts, arrivals, strict=True)
         return sum_pending(t._replace(arrived=t.arrived | new) for t, new in rows)
 
     def teardown(self) -> None:
-        """Heal everything: what was cancelled is gone, the rest is at work."""
+        """Repair all faults; cancelled jobs must then have stopped, others run."""
         for unit, world in enumerate(self.worlds):
             world.store_down = world.losing_forwards = False
             world.unreachable -= set(world.runners)
             world.cancel(f"rest{unit}")
         self.pass_ticks(round(SETTLE_S * 10))
-        at_work = self.list_at_work()
-        assert not [name for name in at_work if name.startswith("rest")]
+        running = self.list_running()
+        assert not [name for name in running if name.startswith("rest")]
         counted = [job for job in self.submitted for _ in range(self.count(job))]
         assert counted == self.list_waiting()
         for job in (f"job{unit}" for unit in range(UNITS)):
-            found = [name for name in at_work if name.startswith(job)]
+            found = [name for name in running if name.startswith(job)]
             assert len(found) == (0 if job in self.cancelled else TASKS), job
 
 
--- a/plantainyard/dispatch/tests/test_handover.py
+++ b/plantainyard/dispatch/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Jobs that are handed to other units, with faults on the way."""
+"""Tests of handovers to other units, with faults in between."""
 
 from plantainyard.batch.records import (
     decode_submission,
@@ -14,18 +14,18 @@
 from plantainyard.platform.store import Record
 from standins.platform import RunnerState
 
-ROOMY = Load(0.2, 0.0, 0.0, 0.0, 60_000)
-LEASE_LAPSES_S = 7.0
-FULL = Load(0.95, 0.5, 0.2, 0.2, 6_000)
+LIGHT_LOAD = Load(0.2, 0.0, 0.0, 0.0, 60_000)
+LEASE_EXPIRY_S = 7.0
+HIGH_LOAD = Load(0.95, 0.5, 0.2, 0.2, 6_000)
 
 
 def make_full_world() -> World:
-    """Return a unit whose runner is full for good, beside one with room."""
+    """Return a unit whose runner is permanently full, beside one with capacity."""
     world = World(runners=1)
     world.runners["r0"].durations = {"full": 0.0}
     world.submit("full", make_step(cpu=63_000, long_running=True))
     world.run(1.0)
-    world.send_event(LoadsReceived({3: FULL, 5: ROOMY}))
+    world.send_event(LoadsReceived({3: HIGH_LOAD, 5: LIGHT_LOAD}))
     return world
 
 
@@ -37,16 +37,16 @@
     return [key for _, keys in list_forwarded(world) for key in keys]
 
 
-def test_a_job_that_waits_goes_where_there_is_room():
-    # A unit's processors are all in use. Its jobs would wait for long while the
-    # neighbour's runners are free; but what ends soon may leave room for them first.
+def test_a_waiting_job_is_handed_to_a_unit_with_capacity():
+    # Guards against jobs that wait long in a full unit while runners of another one are
+    # free. Jobs wait for a moment, as short jobs that end may leave capacity.
     world = World(runners=1)
     world.runners["r0"].durations = {"full": 0.0, "short": 5.0}
     world.submit("full", make_step(cpu=60_000, long_running=True))
     world.run(3.0)
     world.submit("short", make_step(cpu=4000))
     world.run(0.5)
-    world.send_event(LoadsReceived({3: FULL, 5: ROOMY}))
+    world.send_event(LoadsReceived({3: HIGH_LOAD, 5: LIGHT_LOAD}))
     world.submit("a", make_step(cpu=4000))
     assert list_forwarded(world) == []
     world.run(0.6)
@@ -57,17 +57,20 @@
     assert world.list_starts("a") == []
 
 
-def test_a_job_goes_at_once_where_only_long_running_ones_could_make_room_for_it():
-    # The first step of a short job fits into a gap, its second one fits none: begun
-    # here, it waited for a long-running job to end, for the rest of the day. Another
-    # unit is hardly emptier, and has a gap that is large enough.
+def test_a_job_too_large_beside_long_running_ones_is_handed_over_at_once():
+    # Guards against a short job that starts in a gap which is too small for its second
+    # step, and then waits for a long-running job to end, for the rest of the day. The
+    # load of another unit is hardly lower, but its gap is large enough.
     world = World(runners=1)
     world.runners["r0"].durations = {"full": 0.0}
     world.submit("full", make_step(cpu=60_000, long_running=True))
     world.run(3.0)
     world.send_event(
         LoadsReceived(
-            {3: FULL, 5: FULL._replace(reserved=0.93, waiting=0.0, gap=12_000)}
+            {
+                3: HIGH_LOAD,
+                5: HIGH_LOAD._replace(reserved=0.93, waiting=0.0, gap=12_000),
+            }
         )
     )
     world.submit("a", make_step(cpu=1000), make_step(cpu=9000, after=(0,)))
@@ -76,25 +79,25 @@
     assert list_forwarded(world) == [(5, ["j/a"])]
 
 
-def test_a_long_running_job_goes_at_once():
+def test_a_long_running_job_is_handed_over_at_once():
     world = make_full_world()
     world.submit("a", make_step(cpu=500, long_running=True))
     assert list_forwarded(world) == [(5, ["j/a"])]
 
 
-def test_nothing_is_handed_to_a_unit_that_is_hardly_emptier():
+def test_nothing_is_handed_to_a_unit_with_a_hardly_lower_load():
     world = make_full_world()
-    world.send_event(LoadsReceived({3: FULL}))
+    world.send_event(LoadsReceived({3: HIGH_LOAD}))
     world.submit("a", make_step(cpu=4000))
     world.run(3.0)
     assert world.forwarded == []
 
 
-def test_a_burst_is_spread_between_two_words_of_the_other_unit():
-    # Ten wide jobs come between two of the neighbour's reports. Sent there all
-    # together they would wait there instead.
+def test_a_burst_is_spread_between_two_load_reports():
+    # Guards against ten wide jobs that are all handed over between two load reports of
+    # another unit, and then wait there instead.
     world = make_full_world()
-    world.send_event(LoadsReceived({5: ROOMY}))
+    world.send_event(LoadsReceived({5: LIGHT_LOAD}))
     for number in range(10):
         world.submit(f"a{number}", make_step(8, cpu=4000))
     world.run(1.0)
@@ -102,7 +105,7 @@
 
 
 def test_jobs_that_are_handed_over_together_are_sent_in_few_calls():
-    # Guards against a burst that is sent on one append after the other.
+    # Guards against a burst of jobs that is forwarded in one append per job.
     world = make_full_world()
     world.store_down = True
     for number in range(5):
@@ -114,8 +117,8 @@
 
 
 def test_a_burst_of_large_jobs_fits_into_the_calls_that_the_store_takes():
-    # Guards against a call that the store refuses for its size, and that is repeated
-    # for good.
+    # Guards against a call that the store refuses for its size and that is repeated
+    # forever.
     world = make_full_world()
     world.store_down = True
     for number in range(9):
@@ -127,56 +130,56 @@
     assert list_keys(world) == [f"j/a{number}" for number in range(9)]
 
 
-def test_a_unit_that_has_lost_all_runners_hands_over_all_that_fits_elsewhere():
-    # Guards against jobs that wait for minutes beside a unit that is nearly empty: of a
-    # unit without runners one job went with each of the neighbour's words.
+def test_a_unit_without_runners_hands_over_all_that_fits_elsewhere():
+    # Guards against jobs that wait for minutes although another unit is nearly empty,
+    # because a unit without runners hands over one job per load report of that unit.
     world = World(runners=1)
     world.lose_runner("r0")
-    world.run(LEASE_LAPSES_S)
-    world.send_event(LoadsReceived({5: ROOMY}))
+    world.run(LEASE_EXPIRY_S)
+    world.send_event(LoadsReceived({5: LIGHT_LOAD}))
     for number in range(10):
         world.submit(f"a{number}", make_step(cpu=1000))
     world.run(1.0)
     assert len(list_keys(world)) == 10
 
 
-def test_a_unit_that_has_lost_all_runners_does_not_flood_another():
-    # Guards against wide jobs that all wait in the unit that they were handed to, and
-    # can't be handed on.
+def test_a_unit_without_runners_does_not_overload_another():
+    # Guards against wide jobs that all wait in the unit that received them, and that
+    # can't be handed over again.
     world = World(runners=1)
     world.lose_runner("r0")
-    world.run(LEASE_LAPSES_S)
-    world.send_event(LoadsReceived({5: ROOMY}))
+    world.run(LEASE_EXPIRY_S)
+    world.send_event(LoadsReceived({5: LIGHT_LOAD}))
     for number in range(100):
         world.submit(f"a{number}", make_step(8, cpu=4000))
     world.run(1.0)
     assert 2 <= len(list_keys(world)) <= 10
 
 
-def test_a_job_that_has_begun_stays():
-    # One task of a job runs, the other waits for room. Handed over now, both would be
-    # started anew elsewhere, and one run twice at the same time.
+def test_a_started_job_is_not_handed_over():
+    # Guards against a task that runs twice at the same time: a job with one running and
+    # one waiting task, if handed over, would start both tasks in its new unit.
     world = World(runners=1)
     world.runners["r0"].durations = {"a": 5.0}
     world.submit("a", make_step(2, cpu=40_000))
     world.run(0.5)
-    world.send_event(LoadsReceived({5: ROOMY}))
+    world.send_event(LoadsReceived({5: LIGHT_LOAD}))
     world.run(2.0)
     assert world.forwarded == []
     assert len(world.list_starts("a")) == 1
 
 
 def test_a_job_is_handed_over_once():
-    # Two full units would pass it to and fro, and it would run in neither.
+    # Guards against a job that two full units hand to each other without running it.
     world = make_full_world()
     world.submit("a", make_step(cpu=4000), hops=1)
     world.run(2.0)
     assert world.forwarded == []
 
 
-def test_a_job_is_sent_only_once_that_is_stored():
-    # The store is down. Sent before the record, the job would run in its new unit, and
-    # in the old one too under the owner that follows.
+def test_a_job_is_sent_only_after_its_handover_is_stored():
+    # Guards against a job that runs in two units: if it were sent while the store is
+    # down, before the record of the handover, a successor would run it in the old unit.
     world = make_full_world()
     world.store_down = True
     world.submit("a", make_step(cpu=4000))
@@ -187,9 +190,9 @@
     assert list_forwarded(world) == [(5, ["j/a"])]
 
 
-def test_a_successor_sends_again_what_may_not_have_been_sent():
-    # Guards against a job that nobody has: its owner dies after it has stored that the
-    # job is another unit's, and before it was sent there or heard that it was.
+def test_a_successor_resends_jobs_that_may_not_have_been_sent():
+    # Guards against a job that no unit runs: its owner is lost after storing the
+    # handover, and before the job was sent or that was confirmed.
     world = make_full_world()
     world.losing_forwards = True
     world.submit("a", make_step(cpu=4000))
@@ -203,8 +206,8 @@
     assert world.list_starts("a") == []
 
 
-def test_a_successor_does_not_send_again_what_has_arrived():
-    # Guards against a new owner that is busy with all that was ever handed over.
+def test_a_successor_does_not_resend_jobs_that_have_arrived():
+    # Guards against a new owner that resends all jobs that were ever handed over.
     world = make_full_world()
     world.submit("a", make_step(cpu=4000))
     world.run(DELIVERY_READ_S + 1.0)
@@ -219,7 +222,7 @@
     assert list_forwarded(world) == [(5, ["c/a"])]
 
 
-def test_cancelling_follows_the_job():
+def test_a_cancellation_is_forwarded_to_the_new_unit():
     world = make_full_world()
     world.submit("a", make_step(cpu=4000))
     world.run(0.6)
@@ -227,9 +230,9 @@
     assert list_forwarded(world)[-1] == (5, ["c/a"])
 
 
-def test_a_cancel_that_comes_on_the_way_goes_after_the_job():
-    # The cancel is read while the record of the handing over is on its way. Sent
-    # before the job, or not at all, it would be lost on the new unit.
+def test_a_cancellation_during_a_handover_is_forwarded_after_the_job():
+    # Guards against a cancellation that is lost because it is read while the handover
+    # is being stored: it must reach the new unit, and after the job.
     world = make_full_world()
     world.store_down = True
     world.submit("a", make_step(cpu=4000))
@@ -240,7 +243,7 @@
     assert list_forwarded(world) == [(5, ["j/a", "c/a"])]
 
 
-def test_a_submission_that_comes_again_does_not_bring_the_job_back():
+def test_a_repeated_submission_does_not_restore_a_job_that_was_handed_over():
     world = make_full_world()
     world.submit("a", make_step(cpu=4000))
     world.run(0.6)
@@ -253,14 +256,14 @@
 
 
 def interrupt(world: World) -> None:
-    """Lose the runner that a long-running job's only task is on; the other is full."""
+    """Lose a runner with one task of a long-running job; the other runner is full."""
     world.submit("a", make_step(2, cpu=30_000, long_running=True, max_per_runner=1))
     world.run(2.0)
     world.submit("full", make_step(cpu=30_000, long_running=True))
     world.run(2.5)
     lost = next(name for name, r in world.runners.items() if not is_full(r))
     world.lose_runner(lost)
-    world.send_event(LoadsReceived({5: ROOMY}))
+    world.send_event(LoadsReceived({5: LIGHT_LOAD}))
 
 
 def is_full(runner: RunnerState) -> bool:
@@ -273,13 +276,13 @@
     for runner in world.runners.values():
         runner.durations = {"a": 0.0, "full": 0.0}
     interrupt(world)
-    world.run(LEASE_LAPSES_S)
+    world.run(LEASE_EXPIRY_S)
     return world
 
 
-def test_an_interrupted_task_goes_alone_where_there_is_room():
-    # A runner is lost and its unit has no room for the task that was there. Another
-    # unit has; the task's users would be without it until the day's end.
+def test_an_interrupted_task_is_handed_over_alone():
+    # Guards against a service that lacks a task for the rest of the day because a
+    # runner was lost and its unit is full, while another unit has capacity.
     world = make_interrupted_world()
     ((unit, (key,)),) = list_forwarded(world)
     assert unit == 5
@@ -290,22 +293,23 @@
     assert len(world.list_running("a")) == 1
 
 
-def test_an_interrupted_task_goes_to_a_unit_that_is_as_full_as_its_own():
-    # Guards against a service that stays interrupted because all units are alike: its
-    # own runners have others of its tasks, which must be kept apart.
+def test_an_interrupted_task_is_handed_to_a_unit_with_the_same_load():
+    # Guards against a service that stays interrupted because all units have the same
+    # load: the remaining runners of its own unit have other tasks of the same step,
+    # which allows one per runner.
     world = World(runners=2)
     for runner in world.runners.values():
         runner.durations = {"a": 0.0}
     world.submit("a", make_step(2, cpu=20_000, long_running=True, max_per_runner=1))
     world.run(2.0)
     world.lose_runner("r0")
-    world.run(LEASE_LAPSES_S)
+    world.run(LEASE_EXPIRY_S)
     world.send_event(LoadsReceived({5: world.state.load._replace(waiting=0.5)}))
     world.run(1.0)
     assert [unit for unit, _ in list_forwarded(world)] == [5]
 
 
-def test_a_successor_sends_an_interrupted_task_again():
+def test_a_successor_resends_an_interrupted_task():
     world = make_interrupted_world(losing_forwards=True)
     (forward,) = world.pending_forwards
     world.losing_forwards = False
@@ -315,7 +319,7 @@
     assert len(world.list_running("a")) == 1
 
 
-def test_a_successor_does_not_send_a_task_again_that_has_arrived():
+def test_a_successor_does_not_resend_a_task_that_has_arrived():
     world = make_interrupted_world()
     world.run(DELIVERY_READ_S + 1.0)
     world.submit("other", make_step(cpu=500))
@@ -327,7 +331,7 @@
     assert len(world.list_running("a")) == 1
 
 
-def test_cancelling_a_job_reaches_the_task_that_went_elsewhere():
+def test_cancelling_a_job_stops_its_task_in_another_unit():
     world = make_interrupted_world()
     ((_, (key,)),) = list_forwarded(world)
     world.cancel("a")
@@ -337,8 +341,9 @@
     assert world.final_state("a") == "cancelled"
 
 
-def test_a_cancel_outlives_the_owner_that_was_to_pass_it_on():
-    # Guards against cancelled tasks that go on in another unit after a loss of power.
+def test_a_successor_forwards_a_cancellation():
+    # Guards against cancelled tasks that continue to run in another unit after a loss
+    # of power.
     world = make_interrupted_world()
     ((_, (key,)),) = list_forwarded(world)
     world.losing_forwards = True
@@ -352,9 +357,9 @@
     assert world.final_state("a") == "cancelled"
 
 
-def test_a_task_from_another_unit_goes_on_from_its_last_run():
-    # Its old runs may still be started late; numbered alike, the new one would be
-    # taken for one of them.
+def test_a_task_from_another_unit_continues_its_run_numbers():
+    # Guards against a delayed start of an old run that is taken for the new one because
+    # both have the same number.
     home = make_interrupted_world()
     (record,) = home.forwarded[0].records
     world = World(runners=1)
@@ -371,9 +376,9 @@
     assert world.list_running("a") == []
 
 
-def test_tasks_of_one_step_that_come_alone_keep_apart():
-    # Two tasks of a step that allows one a runner come from other units, each by
-    # itself. Their records have nothing in common but their job's id.
+def test_tasks_of_one_step_that_arrive_alone_are_limited_per_runner():
+    # Guards against two tasks on one runner of a step that allows one per runner: they
+    # come from other units as separate records that only share the id of their job.
     world = World(runners=1)
     world.runners["r0"].durations = {"a": 0.0}
     step = make_step(9, long_running=True, max_per_runner=1)
@@ -387,13 +392,13 @@
     assert len(world.list_running("a")) == 1
 
 
-def test_a_new_owner_hands_nothing_over_before_it_has_seen_its_runners():
-    # An owner takes over and no runner has reported yet, so its unit seems full. Its
-    # jobs would all go to the neighbours within the first tenth of a second.
+def test_a_new_owner_hands_nothing_over_before_its_runners_report():
+    # Guards against a new owner that hands over all its jobs within the first 0.1 s,
+    # because its unit seems to be full until its runners have reported.
     world = World(runners=1)
     world.unreachable.add("r0")
     world.change_owner()
-    world.send_event(LoadsReceived({5: ROOMY}))
+    world.send_event(LoadsReceived({5: LIGHT_LOAD}))
     world.submit("a", make_step(cpu=500, long_running=True))
     world.run(0.5)
     assert world.forwarded == []
@@ -402,9 +407,9 @@
     assert len(world.list_running("a")) == 1
 
 
-def test_a_runner_that_takes_no_work_is_no_room():
-    # A runner has listed a part of its ends only. Nothing starts there until it has
-    # told all; counted as room, it draws jobs from other units that then wait.
+def test_a_runner_that_accepts_no_tasks_is_no_capacity():
+    # Guards against jobs that are handed over to a unit and wait there: nothing starts
+    # on a runner that has listed only a part of its ends, so it is no capacity.
     world = World(runners=1)
     (runner,) = world.state.runners.values()
     assert measure_load(world.state) != NO_RUNNERS_LOAD
@@ -412,9 +417,10 @@
     assert measure_load(world.state) == NO_RUNNERS_LOAD
 
 
-def test_tasks_that_go_one_by_one_stop_going_once_loads_are_even():
-    # Two tasks wait in a unit that is a little fuller than the neighbour. Both sent
-    # there in one moment, the neighbour is the fuller one and sends them back.
+def test_single_tasks_are_handed_over_only_until_loads_are_equal():
+    # Guards against tasks that are handed to and fro: two tasks wait in a unit whose
+    # load is a little higher, and if both were handed over at once, that of the other
+    # unit would be higher.
     world = make_full_world()
     world.send_event(LoadsReceived({5: Load(1.0, 0.0, 0.0, 0.0, 6_000)}))
     for job_id in ("a", "b"):
@@ -423,21 +429,21 @@
     assert len(list_keys(world)) == 1
 
 
-def test_interrupted_tasks_of_one_job_wait_at_the_same_time():
-    # A runner with several tasks of a service is lost and its unit is full. Each was
-    # handed over only 0.6 s after the one before; the last counted as forgotten.
+def test_interrupted_tasks_of_one_job_are_handed_over_together():
+    # Guards against the tasks of a lost runner being handed over one every 0.6 s, so
+    # that the platform counts the last one as forgotten.
     world = make_full_world()
-    world.send_event(LoadsReceived({5: ROOMY}))
+    world.send_event(LoadsReceived({5: LIGHT_LOAD}))
     world.submit("a", make_step(5, cpu=1_500, long_running=True), hops=1)
     world.run(1.0)
     assert len(set(list_keys(world))) == 5
 
 
-CROWDED_BUT_ROOMY = FULL._replace(slots=(60,) * 14, ending=30_000, gap=2_000)
+BUSY_WITH_SHORT_TASKS = HIGH_LOAD._replace(slots=(60,) * 14, ending=30_000, gap=2_000)
 
 
 def make_nearly_full_world() -> World:
-    """Return a unit of which long-running tasks leave a gap on one of two runners."""
+    """Return a unit in which long-running tasks leave a gap on one of two runners."""
     world = World(runners=2)
     world.runners["r0"].durations = world.runners["r1"].durations = {"full": 0.0}
     world.submit("full", make_step(cpu=64_000, long_running=True))
@@ -446,51 +452,58 @@
     return world
 
 
-def test_a_wide_job_does_not_begin_in_the_one_gap_of_its_unit():
-    # Long-running tasks leave a gap for one task. A job of twelve began in it, could
-    # not leave any more, and did one task after the other for the rest of the day. The
-    # neighbour's runners are all in use at this moment, by tasks that end in a second.
+def test_a_wide_job_does_not_start_in_the_only_gap_of_its_unit():
+    # Guards against a job of twelve tasks that starts in a gap for one task, can then
+    # no longer be handed over, and runs one task after the other for the rest of the
+    # day. The runners of the other unit are all in use, but by tasks that end within 1
+    # s.
     world = make_nearly_full_world()
-    world.send_event(LoadsReceived({3: FULL, 5: CROWDED_BUT_ROOMY}))
+    world.send_event(LoadsReceived({3: HIGH_LOAD, 5: BUSY_WITH_SHORT_TASKS}))
     world.submit("a", make_step(12, cpu=3000))
     assert list_forwarded(world) == [(5, ["j/a"])]
     assert world.list_starts("a") == []
 
 
-def test_a_job_that_its_unit_has_room_for_stays():
+def test_a_job_that_fits_into_its_unit_is_not_handed_over():
     world = make_nearly_full_world()
-    world.send_event(LoadsReceived({5: CROWDED_BUT_ROOMY}))
+    world.send_event(LoadsReceived({5: BUSY_WITH_SHORT_TASKS}))
     world.submit("a", make_step(2, cpu=2000))
     world.run(0.2)
     assert world.forwarded == []
     assert len(world.list_starts("a")) == 2
 
 
-def test_a_job_stays_where_the_others_are_as_crowded():
-    # Loads are told once a second. Moved for little, jobs come where others came.
+def test_a_job_is_not_handed_to_an_equally_utilized_unit():
+    # Guards against jobs that are handed over for a small gain, to a unit that others
+    # were handed to as well: loads are reported only once a second.
     world = make_nearly_full_world()
-    crowded = CROWDED_BUT_ROOMY._replace(slots=(1,) * 14, ending=0)
-    world.send_event(LoadsReceived({3: crowded, 5: FULL._replace(slots=(0,) * 14)}))
+    crowded = BUSY_WITH_SHORT_TASKS._replace(slots=(1,) * 14, ending=0)
+    world.send_event(
+        LoadsReceived({3: crowded, 5: HIGH_LOAD._replace(slots=(0,) * 14)})
+    )
     world.submit("a", make_step(2, cpu=3500))
     world.run(0.2)
     assert world.forwarded == []
     assert len(world.list_starts("a")) == 1
 
 
-def test_a_word_that_counts_other_sizes_draws_no_jobs():
-    # While a release is rolled out owners of two versions tell each other their loads.
+def test_a_load_with_other_slot_sizes_attracts_no_jobs():
+    # Guards against misread loads during the roll-out of a release, while owners of two
+    # versions exchange them.
     world = make_nearly_full_world()
     world.send_event(
-        LoadsReceived({3: CROWDED_BUT_ROOMY._replace(slots=(60,) * 3), 5: FULL})
+        LoadsReceived(
+            {3: BUSY_WITH_SHORT_TASKS._replace(slots=(60,) * 3), 5: HIGH_LOAD}
+        )
     )
     world.submit("a", make_step(12, cpu=3000))
     world.run(0.2)
     assert world.forwarded == []
 
 
-def test_wide_jobs_are_spread_between_two_words_of_the_other_units():
+def test_wide_jobs_are_spread_between_two_load_reports():
     world = make_nearly_full_world()
-    empty = CROWDED_BUT_ROOMY._replace(ending=0)
+    empty = BUSY_WITH_SHORT_TASKS._replace(ending=0)
     world.send_event(LoadsReceived({3: empty, 5: empty}))
     for number in range(6):
         world.submit(f"a{number}", make_step(12, cpu=3000))
--- a/plantainyard/dispatch/tests/test_pending.py
+++ b/plantainyard/dispatch/tests/test_pending.py
@@ -13,7 +13,7 @@
 from plantainyard.dispatch import LoadsReceived, list_arrivals
 from plantainyard.dispatch.forwarding import DELIVERY_READ_S
 from plantainyard.dispatch.handover import MAX_HOPS
-from plantainyard.dispatch.tests.test_handover import ROOMY, make_full_world
+from plantainyard.dispatch.tests.test_handover import LIGHT_LOAD, make_full_world
 from plantainyard.dispatch.tests.world import World, make_step
 from plantainyard.entry import peers
 from plantainyard.entry.copies import UnitCopy
@@ -144,7 +144,7 @@
     step = make_step(2, cpu=4000, long_running=True)
     world.submit("a", step, hops=MAX_HOPS)
     world.run(1.0)
-    world.send_event(LoadsReceived({5: ROOMY}))
+    world.send_event(LoadsReceived({5: LIGHT_LOAD}))
     world.run(1.0)
     return world
 
--- a/plantainyard/dispatch/tests/test_takeovers.py
+++ b/plantainyard/dispatch/tests/test_takeovers.py
@@ -1,4 +1,4 @@
-"""Owners, leases and lives of runners that end, in virtual time."""
+"""Tests of lost owners, expired leases and restarted runners, in virtual time."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 from plantainyard.dispatch.tests.world import World, make_step
 
 
-def start_lasting(world: World) -> str:
+def start_long_running(world: World) -> str:
     """Let a long-running task start; return the name of its runner."""
     for runner in world.runners.values():
         runner.durations = {"a": 0.0}
@@ -18,8 +18,8 @@
 
 
 def test_a_successor_takes_over_what_runs():
-    # The owner dies while tasks run. Its successor finds them at their runners, keeps
-    # their leases alive and starts nothing anew.
+    # Guards against tasks that are started again after the loss of an owner: its
+    # successor must find them at their runners and renew their leases.
     world = World()
     world.runners["r0"].durations = {"a": 8.0}
     world.runners["r1"].durations = world.runners["r2"].durations = {"a": 8.0}
@@ -31,9 +31,9 @@
     assert world.final_state("a") == "completed"
 
 
-def test_a_successor_learns_of_ends_that_were_not_stored():
-    # A task ends while no owner is there. The runner lists the end until it is
-    # acknowledged, and the successor counts it once.
+def test_a_successor_applies_ends_that_were_not_stored():
+    # Guards against the end of a task being lost because it ends while there is no
+    # owner. The runner lists the end until it is acknowledged; it must count once.
     world = World(runners=1)
     world.submit("a", make_step())
     world.run(0.3)
@@ -46,11 +46,11 @@
     assert world.final_state("a") == "completed"
 
 
-def test_a_silent_runner_blocks_its_tasks_until_their_lease_is_over():
-    # A runner is cut off and runs on. The task may start elsewhere only when nothing
-    # can be at work there any more, or it would run in two places.
+def test_a_silent_runner_blocks_its_tasks_until_their_lease_expires():
+    # Guards against two runs of one task: an unreachable runner continues its runs, so
+    # the task may start elsewhere only after the lease has expired.
     world = World(runners=2)
-    home = start_lasting(world)
+    home = start_long_running(world)
     world.unreachable.add(home)
     for _ in range(100):
         world.run(0.1)
@@ -59,22 +59,22 @@
     assert new != home
 
 
-def test_cancelled_work_across_a_cut_ends_within_the_bound():
-    # Regions are cut off from each other just as a job is cancelled. Its tasks on the
-    # other side can't be told to stop, and went on until leases of five seconds ended,
-    # where their caller was promised 4.2 s.
+def test_cancelled_work_at_an_unreachable_runner_ends_within_the_bound():
+    # Guards against cancelled tasks that run for longer than the promised 4.2 s: if
+    # regions are cut off from each other when a job is cancelled, no stop reaches its
+    # tasks on the other side, and leases of 5 s would let them continue.
     world = World(runners=1, lease_s=choose_lease(10.0, 4.2))
-    world.unreachable.add(start_lasting(world))
+    world.unreachable.add(start_long_running(world))
     world.cancel("a")
     world.run(4.2)
     assert world.list_running("a") == []
 
 
-def test_work_outlives_a_change_of_owner_where_the_bound_is_short():
-    # A site bounds cancelled work at 1.2 s. Leases as short as that end in each change
-    # of owner, and with them everything that ran.
+def test_runs_survive_a_change_of_owner_if_the_bound_is_short():
+    # Guards against a loss of all runs with every change of owner: at a site that
+    # bounds cancelled work at 1.2 s, leases that short would expire before a takeover.
     world = World(runners=1, lease_s=choose_lease(10.0, 1.2))
-    start_lasting(world)
+    start_long_running(world)
     world.pending_reports = []
     for _ in range(17):
         world.now += 0.1
@@ -86,10 +86,10 @@
 
 
 def test_a_successor_waits_for_the_lease_of_a_runner_that_it_never_reached():
-    # The owner dies while a runner is cut off. The successor knows from the store
-    # that a task is there, and not for how long it was allowed to run.
+    # Guards against two runs of one task: if the owner is lost while a runner is cut
+    # off, its successor knows from the store that a task is there, but not its lease.
     world = World(runners=2)
-    home = start_lasting(world)
+    home = start_long_running(world)
     world.unreachable.add(home)
     world.change_owner()
     for _ in range(130):
@@ -98,9 +98,10 @@
     assert len(world.list_running("a")) == 1
 
 
-def test_a_late_start_after_a_change_of_owner_does_nothing():
-    # A start is left unanswered and carried out seconds later. Meanwhile a successor
-    # has asked that runner, and started the task elsewhere.
+def test_a_delayed_start_after_a_change_of_owner_is_refused():
+    # Guards against two runs of one task: a start isn't answered and is carried out
+    # seconds later, after a successor has queried that runner and started the task
+    # elsewhere.
     world = World(runners=2)
     world.orders_to_delay = 100
     world.submit("a", make_step())
@@ -115,9 +116,9 @@
     assert len(world.list_starts("a")) == 1
 
 
-def test_a_lost_answer_is_settled_by_the_same_start():
-    # The runner has begun, its answer is lost. The start is sent again, to the same
-    # runner, and finds the run there.
+def test_a_lost_answer_to_a_start_is_resolved_by_repeating_it():
+    # Guards against a second run after the answer to a start was lost: the start is
+    # repeated at the same runner and finds the run there.
     world = World()
     world.answers_to_lose = 1
     world.submit("a", make_step())
@@ -126,9 +127,10 @@
     assert world.final_state("a") == "completed"
 
 
-def test_a_start_on_its_way_to_an_old_incarnation_is_stopped_at_the_new_one():
-    # A runner crashes and is back under its id while a start is on its way: the new
-    # life carries it out. The task must not start elsewhere until that is ruled out.
+def test_a_start_in_transit_to_an_old_incarnation_is_stopped_at_the_new_one():
+    # Guards against two runs of one task: a runner restarts while a start is in
+    # transit, and its new incarnation carries it out. The task must not start elsewhere
+    # until that is ruled out.
     world = World(runners=2)
     world.orders_to_delay = 1
     world.submit("a", make_step())
@@ -144,9 +146,9 @@
     assert world.final_state("a") == "completed"
 
 
-def test_a_runner_that_starts_again_frees_its_tasks_at_once():
-    # A crash ends everything at a runner. The birth of its new life says so; nobody
-    # has to wait for a lease.
+def test_tasks_of_a_restarted_runner_are_requeued_at_once():
+    # Guards against a needless wait for leases: a crash ends all runs of a runner, and
+    # the entry of its new incarnation proves it.
     world = World(runners=2)
     world.submit("a", make_step(4))
     world.run(0.4)
@@ -157,7 +159,7 @@
 
 
 def test_attempts_are_counted_across_owners():
-    # Each owner would allow a hopeless task its attempts anew.
+    # Guards against a task that gets its full number of attempts from every new owner.
     world = World()
     for runner in world.runners.values():
         runner.faults.fails_all = True
@@ -172,9 +174,9 @@
     assert world.final_state("a") == "failed"
 
 
-def test_dropped_history_loses_nothing():
-    # The records of a job in progress are read again from nothing but the newest of
-    # each key; the owner begins from them.
+def test_progress_survives_without_superseded_records():
+    # Guards against progress that is lost when only the newest record of each key is
+    # kept: a new owner must be able to continue from those.
     world = World()
     world.submit("a", make_step(3), make_step(3, after=(0,)))
     world.run(1.5)
@@ -184,10 +186,11 @@
     assert world.final_state("a") == "completed"
 
 
-def test_an_owner_that_is_cut_off_with_a_runner_lets_its_leases_end():
-    # An owner and a runner are cut off together from the store and all others. The
-    # successor can't reach the runner, waits for the longest lease, and starts the
-    # task elsewhere. The old owner must not have kept the first run alive.
+def test_leases_expire_if_an_owner_is_cut_off_with_a_runner():
+    # Guards against two runs of one task: an owner is cut off together with a runner
+    # from the store and all others. Its successor waits for the longest lease and
+    # starts the task elsewhere; by then the old owner must not have renewed the first
+    # run.
     world = World(runners=1, longest_lease_s=6.0)
     world.runners["r0"].durations = {"a": 0.0}
     world.submit("a", make_step(long_running=True))
@@ -201,8 +204,9 @@
     assert world.now - cut_at < 6.0 * (1 + world.limits.clock_drift) + 1.0
 
 
-def test_leases_outlast_an_outage_of_the_store():
-    # The store is down for everyone. Nobody can take over, and what runs must go on.
+def test_leases_are_renewed_during_an_outage_of_the_store():
+    # Guards against runs that end with an outage of the store, during which nobody can
+    # take over.
     world = World(runners=1)
     world.runners["r0"].durations = {"a": 0.0}
     world.submit("a", make_step(long_running=True))
@@ -213,10 +217,11 @@
     assert len(world.list_running("a")) == 1
 
 
-def test_a_start_that_a_new_incarnation_has_taken_is_stopped_there():
-    # A runner has just started again under its id, which nobody has read yet. A start
-    # that was meant for its old life is answered by the new one. Then the new entry is
-    # read, the old life's tasks count as gone, and the task was started elsewhere too.
+def test_a_start_that_a_new_incarnation_carried_out_is_stopped_there():
+    # Guards against two runs of one task: a runner has restarted and its new entry
+    # isn't read yet. A start addressed to the old incarnation is carried out by the new
+    # one. When the entry is read, that task must not count as ended with the old
+    # incarnation and start elsewhere.
     world = World(runners=2)
     for runner in world.runners.values():
         runner.durations = {"a": 5.0}
@@ -230,7 +235,7 @@
     assert world.final_state("a") == "completed"
 
 
-def test_a_cancel_that_is_stored_while_no_owner_is_there_is_carried_out():
+def test_a_cancellation_stored_between_two_owners_is_carried_out():
     world = World()
     world.runners["r0"].durations = {"a": 0.0}
     world.submit("a", make_step(2, long_running=True))
@@ -242,9 +247,9 @@
     assert world.final_state("a") == "cancelled"
 
 
-def test_one_report_that_is_lost_keeps_no_work_from_a_runner():
-    # Runners leave one call in twenty unanswered. A job's tasks wait for seconds
-    # although runners are free, since each lost report makes a runner count as silent.
+def test_a_single_missed_report_does_not_exclude_a_runner():
+    # Guards against tasks that wait for seconds although runners are free: runners
+    # leave one call in twenty unanswered, and each would make a runner count as silent.
     world = World(runners=1)
     world.submit("b", make_step())
     world.run(0.3)
@@ -256,10 +261,10 @@
     assert len(world.list_starts("a")) == 1
 
 
-def test_a_refused_repeat_does_not_free_a_task_whose_first_start_may_come():
-    # A start is left unanswered. Its repeat is refused, for the runner is unwell for a
-    # moment, and the task starts elsewhere. Then the first copy is carried out: without
-    # a stop before, the task is at work twice.
+def test_a_refused_repetition_does_not_requeue_a_task_that_may_still_start():
+    # Guards against two runs of one task: a start isn't answered, its repetition is
+    # refused because of a temporary fault, and the task starts elsewhere. Without a
+    # stop before that, the first copy of the start may still be carried out.
     world = World(runners=2)
     for runner in world.runners.values():
         runner.durations = {"a": 8.0}
@@ -279,8 +284,8 @@
 
 
 def test_a_successor_knows_when_a_job_was_accepted():
-    # A change of owner made each waiting job look new: jobs that nobody waits for any
-    # more came before those that could still be in time.
+    # Guards against waiting jobs that look new after a change of owner, so that jobs
+    # whose results are no longer of use precede jobs that could still be in time.
     world = World(runners=0)
     accepted_ms = (world.now - 30.0) * 1000
     step = make_step(estimate_ms=1000)
@@ -291,10 +296,10 @@
     assert job.useful_until == pytest.approx(world.now - 30.0 + 6.0, abs=1.0)
 
 
-def test_a_task_whose_runner_starts_anew_goes_on_where_reports_wait():
-    # Guards against a job that never ends: its runner began a new life just after the
-    # start, nothing else ended there, and each repeat of the stop put off the proof
-    # that the run is gone until after the report that was on its way.
+def test_a_task_of_a_restarted_runner_continues_while_reports_wait():
+    # Guards against a job that never ends: its runner restarts just after the start, no
+    # other run ends there, and if the last answer to the repeated stop counted, every
+    # report would have been requested before it and prove nothing.
     world = World(runners=1)
     world.has_slow_answers = True
     world.run(2.0)
@@ -307,9 +312,10 @@
 
 
 def test_a_new_incarnation_must_answer_the_stop_before_its_report_counts():
-    # Guards against two runs of one task: the second copy of its start was answered by
-    # the old life, the first is still on its way, and so is the stop at the new life.
-    # A report of the new life shows no run, and the first copy would be carried out.
+    # Guards against two runs of one task: the old incarnation answered the second copy
+    # of its start, while the first copy and the stop at the new incarnation are still
+    # in transit. If a report of the new incarnation, which lists no run, counted
+    # already, the first copy would be carried out after the task was started elsewhere.
     world = World(runners=2)
     world.run(1.0)
     for runner in world.runners.values():
@@ -330,10 +336,11 @@
     assert world.final_state("a") == "completed"
 
 
-def test_ends_at_a_new_incarnation_that_nobody_has_read_of_are_not_forgotten():
-    # Guards against a task that is done twice: its start came to a new life whose entry
-    # isn't read yet, it was done there, and reports meant for the old life told the
-    # runner to forget as many ends as the old life had listed.
+def test_ends_at_an_unregistered_new_incarnation_are_not_discarded():
+    # Guards against a task that is done twice: its start reaches a new incarnation
+    # whose entry isn't read yet, and it is done there. Report requests to the old
+    # incarnation would acknowledge as many ends as that had listed, and the runner
+    # would discard the end of the task.
     world = World(runners=1)
     world.submit("old", make_step(5))
     world.run(3.0)
--- a/plantainyard/dispatch/tests/world.py
+++ b/plantainyard/dispatch/tests/world.py
@@ -206,7 +206,7 @@
         return order_runner(runner, action, fence, self.now)
 
     def deliver_delayed(self) -> None:
-        """Carry out the orders that were kept back, with the fence they were sent with."""
+        """Deliver the orders that were kept back, with their old fencing tokens."""
         for action, fence in self.delayed_orders:
             self.deliver_order(action, fence)
         self.delayed_orders = []
