--- a/plantainyard/state/__init__.py
+++ b/plantainyard/state/__init__.py
@@ -1,11 +1,6 @@
-"""Records of the log, their folding, snapshots, reading and appending."""
+"""Log records, the states folded from them, snapshots, and the reader and appender."""
 
-from plantainyard.state.appender import (
-    AppenderState,
-    count_backlog,
-    step_appender,
-)
-from plantainyard.state.appends import (
+from plantainyard.state.append_events import (
     Append,
     AppendAction,
     AppenderSettings,
@@ -20,12 +15,10 @@
     RecordsSkipped,
     Submit,
 )
-from plantainyard.state.changes import (
-    FoldResult,
-    RequestDecision,
-    RequestKind,
-    VoidItem,
-    VoidReason,
+from plantainyard.state.appender import (
+    AppenderState,
+    count_backlog,
+    step_appender,
 )
 from plantainyard.state.checks import (
     RecordCheck,
@@ -57,6 +50,13 @@
     list_cancelled_running,
     list_jobs,
 )
+from plantainyard.state.fold_results import (
+    FoldResult,
+    RequestDecision,
+    RequestKind,
+    VoidItem,
+    VoidReason,
+)
 from plantainyard.state.folding import (
     apply_record,
 )
--- a/plantainyard/state/appends.py
+++ b/plantainyard/state/append_events.py
@@ -1,10 +1,10 @@
-"""What the appender of a stream is told, what it asks for and what it reports."""
+"""Events, actions, reports and settings of a stream's appender."""
 
 import math
 from collections.abc import Mapping
 from typing import Any, NamedTuple
 
-from plantainyard.state.changes import FoldResult
+from plantainyard.state.fold_results import FoldResult
 
 __all__ = [
     "AppendSucceeded",
@@ -24,7 +24,7 @@
 
 
 class AppendStatus:
-    """What an `AppendReport` says.
+    """Values of the status of an `AppendReport`.
 
     Notes
     -----
@@ -32,11 +32,13 @@
         The record, or an earlier one with the same request id, took effect at the
         report's offset.
     ``VOID``
-        The record stands in the log without effect; the offset is the winner's.
+        The record is in the log without effect; the offset is that of the record that
+        prevailed.
     ``NOT_RUN``
-        The record is not in the log, or is void for good, and never takes effect.
+        The record is not in the log or is permanently void, and never takes effect.
     ``UNKNOWN``
-        Not known yet. Another report follows, except for the reason "forgotten".
+        The outcome is not known yet. Another report follows, unless the reason is
+        "forgotten".
     """
 
     APPLIED = "applied"
@@ -53,12 +55,13 @@
     record : Mapping
         The record, without an ``append_id``.
     key : str
-        Names the submission in reports: the request id of a record that has one.
-    give_up_at : float
-        Time after which the submitter doesn't want it any more. What was sent by
-        then is abandoned, if its kind has a request id.
+        Identifies the submission in reports; the request id of a record that has one.
+    expires_at : float
+        Time after which the submitter no longer needs the record. If it has been sent
+        by then, it is abandoned if its type has a request id.
     urgent : bool
-        Goes ahead of the backlog and past its bound: claims, abandons.
+        Whether the record goes ahead of the backlog and is exempt from its bound, as
+        for claims and abandons.
     """
 
     record: Mapping[str, Any]
@@ -68,23 +71,23 @@
 
 
 class AppendSucceeded(NamedTuple):
-    """The log answered the append in flight with its offset."""
+    """The log confirmed the append in flight and returned its offset."""
 
     offset: int
 
 
 class AppendUnconfirmed(NamedTuple):
-    """The append in flight may or may not have reached the log."""
+    """The append in flight may or may not have been written to the log."""
 
 
 class AppendRefused(NamedTuple):
-    """The append in flight did not take place: outage, rate limit, no connection."""
+    """The append in flight was not written: outage, rate limit or no connection."""
 
     retry_after_s: float = 0.0
 
 
 class RecordRead(NamedTuple):
-    """A record was read back and folded with the verdict `result`."""
+    """A record was read from the log and folded, giving `result`."""
 
     offset: int
     data: Any
@@ -92,13 +95,13 @@
 
 
 class RecordsSkipped(NamedTuple):
-    """The reader started over from a snapshot; records below were not seen."""
+    """The reader restarted from a snapshot; some records before it were not read."""
 
     next_offset: int
 
 
 class AppendTick(NamedTuple):
-    """Time has passed."""
+    """A periodic tick."""
 
 
 AppendEvent = (
@@ -122,20 +125,21 @@
 
 
 class AppendReport(NamedTuple):
-    """What became of a submission.
+    """The outcome of a submission.
 
     Attributes
     ----------
     key : str
         The submission's key.
     status : str
-        A name in `AppendStatus`.
+        A value of `AppendStatus`.
     offset : int
-        Where it took effect, or the offset that prevailed; -1 for none.
-    change : Change or None
-        The verdict, where the record was read back.
+        Offset at which the record took effect, or that of the record that prevailed;
+        -1 for none.
+    result : FoldResult or None
+        The result of folding the record, if it was read from the log.
     retry_after_s : float
-        For a refused submission, the time after which to come back.
+        For a refused submission, the seconds after which to submit it again.
     """
 
     key: str
@@ -149,20 +153,21 @@
 
 
 class AppenderSettings(NamedTuple):
-    """Pace and bounds of one stream's appends.
+    """Rate and size limits of one stream's appends.
 
     Attributes
     ----------
     interval_s : float
-        Least time from the start of one append to that of the next.
+        Minimum seconds from the start of one append to the start of the next.
     max_group : int
-        Records in one append.
+        Maximum number of records in one append.
     max_backlog : int
-        Records submitted and not settled; further ones are refused.
+        Maximum number of submitted records whose outcome is open; more are refused.
     settle_s : float
-        Time to read on after a lost answer before the record is sent again.
+        Seconds to wait for an unconfirmed record to be read before it is sent again.
     backoff_s, backoff_max_s : float
-        First and greatest pause after a refusal or loss; it doubles in between.
+        Initial and maximum pause in seconds after a refused or unconfirmed append; the
+        pause doubles with each failure.
     """
 
     interval_s: float = 0.1
--- a/plantainyard/state/appender.py
+++ b/plantainyard/state/appender.py
@@ -1,10 +1,11 @@
-"""Deciding part of the grouped appends to one stream.
-
-One append is in flight at a time and carries all that gathered since the last one,
-so the records a second are bounded by the pace and not by the work. An answer that
-is lost is settled by reading on: each submitted record has an ``append_id``. All
-records are conditional, so a repeat does no harm. "Not run" is said only of what was
-provably never sent, or once an ``abandon`` stands in the log ahead of it.
+"""State machine that appends groups of records to one stream.
+
+One append is in flight at a time and contains the records submitted since the last
+one, so the rate of appends is bounded and doesn't depend on the load. If the answer
+to an append is lost, its outcome is determined by reading the log, where each record
+is recognized by its ``append_id``. All records are conditional, so appending one
+twice is harmless. The status "not run" is reported only for a record that was provably
+never sent, or once an ``abandon`` precedes it in the log.
 """
 
 import math
@@ -14,7 +15,7 @@
 from itertools import chain
 from typing import Any
 
-from plantainyard.state.appends import (
+from plantainyard.state.append_events import (
     Append,
     AppendAction,
     AppenderSettings,
@@ -29,7 +30,7 @@
     RecordsSkipped,
     Submit,
 )
-from plantainyard.state.changes import FoldResult, RequestKind, VoidReason
+from plantainyard.state.fold_results import FoldResult, RequestKind, VoidReason
 from plantainyard.state.records import RecordType, make_abandon, make_group
 
 __all__ = [
@@ -43,9 +44,9 @@
 
 
 class _Item:
-    """A submitted record; `sent` once it may stand in the log.
+    """A submitted record; `sent` is true once it may be in the log.
 
-    `abandoned_id` is set for an abandon: the append id of what it abandons.
+    For an abandon, `abandoned_id` is the append id of the record that it abandons.
     """
 
     __slots__ = (
@@ -74,16 +75,16 @@
     Parameters
     ----------
     settings : AppenderSettings
-        Pace and bounds.
+        Rate and size limits.
     writer : str
-        Unique for this start of this instance; begins every ``append_id``.
+        Prefix of every ``append_id``, unique for each start of each instance.
     rng : random.Random
-        Spreads retries.
+        Source of the jitter of retries.
 
     Attributes
     ----------
     as_of : int
-        Next offset known to be written; stamped on every record.
+        Next offset of the stream as far as known; set in every submitted record.
     """
 
     def __init__(
@@ -93,11 +94,11 @@
         self.writer = writer
         self.rng = rng
         self.as_of = 0
-        self._count = 0
+        self._submitted_count = 0
         self._urgent: deque[_Item] = deque()
         self._waiting: deque[_Item] = deque()
         self._in_flight: list[_Item] | None = None
-        # Sent, and by now in the log, or perhaps: the time to send again.
+        # Sent records that are or may be in the log, with the time to send them again.
         self._unconfirmed: dict[str, tuple[_Item, float]] = {}
         self._first_attempts: set[str] = set()
         self._next_at = -math.inf
@@ -105,7 +106,7 @@
 
 
 def count_backlog(state: AppenderState) -> int:
-    """Return the number of records that are submitted and not settled."""
+    """Return the number of submitted records whose outcome is open."""
     in_flight = len(state._in_flight or ())
     return (
         len(state._urgent) + len(state._waiting) + in_flight + len(state._unconfirmed)
@@ -115,14 +116,14 @@
 def step_appender(
     state: AppenderState, event: AppendEvent, now: float
 ) -> list[AppendAction]:
-    """Take `event` in and return what to do, in order.
+    """Process `event` and return the actions to perform, in order.
 
     Parameters
     ----------
     state : AppenderState
-        Changed in place.
+        Modified in place.
     event : AppendEvent
-        What happened. Each `Append` is answered by exactly one `AppendSucceeded`,
+        The event. Each `Append` is answered by exactly one `AppendSucceeded`,
         `AppendUnconfirmed` or `AppendRefused`. Every record that the reader folds is
         reported by a `RecordRead`, whichever instance wrote it.
     now : float
@@ -168,8 +169,8 @@
             AppendReport(event.key, AppendStatus.NOT_RUN, retry_after_s=pause)
         )
         return
-    state._count += 1
-    item = _Item(f"{state.writer}.{state._count}", event, state.as_of)
+    state._submitted_count += 1
+    item = _Item(f"{state.writer}.{state._submitted_count}", event, state.as_of)
     (state._urgent if event.urgent else state._waiting).append(item)
 
 
@@ -211,8 +212,9 @@
 def _requeue_refused(state: AppenderState) -> None:
     items, state._in_flight = state._in_flight or [], None
     for item in items:
-        # Sent for the first time and refused: it is provably not in the log. A
-        # record that was lost once stays in doubt whatever its repeats meet.
+        # A record that is refused when first sent is provably not in the log. A record
+        # that was unconfirmed once may be in the log, whatever happens when it is
+        # sent again.
         if item.append_id in state._first_attempts:
             item.sent = False
     for item in filter(_is_abandoned, items):
@@ -229,22 +231,27 @@
     settings = state.settings
     pause = min(settings.backoff_max_s, settings.backoff_s * 2**state._failures)
     state._failures = min(state._failures + 1, 30)
-    # Every instance meets the same outage; the jitter keeps them from returning
-    # together, and a backlog goes out at the usual pace, one group at a time.
+    # All instances are affected by the same outage. The jitter keeps them from retrying
+    # at the same time, and a backlog is sent at the usual rate, one group at a time.
     pause = max(pause, retry_after_s) * state.rng.uniform(1.0, 1.5)
     state._next_at = max(state._next_at, now + pause)
     return pause
 
 
 def _resend(state: AppenderState, now: float) -> None:
-    due = [key for key, (_, again_at) in state._unconfirmed.items() if now >= again_at]
-    items = [state._unconfirmed.pop(key)[0] for key in due]
+    due_ids = [
+        append_id
+        for append_id, (_, again_at) in state._unconfirmed.items()
+        if now >= again_at
+    ]
+    items = [state._unconfirmed.pop(append_id)[0] for append_id in due_ids]
     state._waiting.extendleft(reversed(items))
 
 
 def _handle_skipped(state: AppenderState, event: RecordsSkipped, now: float) -> None:
-    # What the snapshot covers was never seen here. A repeat tells: it takes effect,
-    # or is a duplicate and names the offset that stands.
+    # The records that the snapshot covers were never read here. Sending a record again
+    # determines its outcome: it takes effect, or it is a duplicate and its result names
+    # the offset that prevailed.
     state.as_of = max(state.as_of, event.next_offset)
     state._unconfirmed = {
         key: (item, again_at if _is_abandoned(item) else now)
@@ -258,13 +265,14 @@
     state.as_of = max(state.as_of, event.offset + 1)
     grouped = event.result.type == RecordType.GROUP
     records = event.data["records"] if grouped and event.result.parts else [event.data]
-    changes = event.result.parts if grouped else (event.result,)
-    for record, result in zip(records, changes, strict=False):
+    results = event.result.parts if grouped else (event.result,)
+    for record, result in zip(records, results, strict=False):
         append_id = record.get("append_id") if isinstance(record, dict) else None
         item = _remove_item(state, append_id)
         if item is None:
             continue
-        # An abandon speaks for the record it abandons, unless that was seen first.
+        # An abandon determines the outcome of the record that it abandons, unless that
+        # record was read first.
         if not item.abandoned_id or _remove_item(state, item.abandoned_id) is not None:
             actions.append(_make_report(item, result))
 
@@ -284,9 +292,9 @@
 
 
 def _make_report(item: _Item, result: FoldResult) -> AppendReport:
-    abandon = item.record["type"] == RecordType.ABANDON
+    is_abandon = item.record["type"] == RecordType.ABANDON
     if result.applied:
-        status = AppendStatus.NOT_RUN if abandon else AppendStatus.APPLIED
+        status = AppendStatus.NOT_RUN if is_abandon else AppendStatus.APPLIED
         return AppendReport(item.key, status, result.offset, result)
     earlier = result.earlier
     if result.reason == VoidReason.FORGOTTEN:
@@ -302,10 +310,10 @@
     state: AppenderState, now: float, actions: list[AppendAction]
 ) -> None:
     waiting = chain(state._urgent, state._waiting)
-    unseen = (item for item, _ in state._unconfirmed.values())
+    unconfirmed = (item for item, _ in state._unconfirmed.values())
     expired_items = [
         item
-        for item in chain(waiting, unseen, state._in_flight or ())
+        for item in chain(waiting, unconfirmed, state._in_flight or ())
         if now >= item.expires_at and not item.expired
     ]
     for item in expired_items:
@@ -325,18 +333,18 @@
 
 
 def _abandon(state: AppenderState, item: _Item) -> None:
-    """Stop sending a record of which it isn't known whether it stands in the log.
+    """Stop sending a record that may be in the log, and submit an abandon for it.
 
-    The submitter may not be told "not run" while a copy is on its way. Whichever
-    of the record and its abandon stands first decides for both.
+    "Not run" must not be reported while a copy of the record may still arrive.
+    Whichever of the record and its abandon is first in the log decides for both.
     """
     if item not in (state._in_flight or ()):
         if item.append_id not in state._unconfirmed:
             _remove_queued(state, item)
         state._unconfirmed[item.append_id] = (item, math.inf)
-    state._count += 1
+    state._submitted_count += 1
     record = make_abandon(item.record["request_id"])
-    append_id = f"{state.writer}.{state._count}"
+    append_id = f"{state.writer}.{state._submitted_count}"
     abandon = _Item(append_id, Submit(record, item.key), item.record["as_of"])
     abandon.abandoned_id = item.append_id
     state._urgent.append(abandon)
--- a/plantainyard/state/configuration.py
+++ b/plantainyard/state/configuration.py
@@ -1,21 +1,21 @@
-"""Folding of the ``config`` stream: values, their versions and what they replaced.
+"""Folding of the ``config`` stream into values, their versions and the history.
 
-The offset of the record that set a key is the key's version. Versions only grow:
-an offset that was folded before is ignored, so no instance ever goes back to an
-older value.
+The offset of the record that set a key is the key's version. Versions only increase:
+an offset that was folded before is ignored, so no instance ever returns to an older
+value.
 """
 
 from collections import deque
 from collections.abc import Mapping
 from typing import Any, NamedTuple
 
-from plantainyard.state.changes import (
+from plantainyard.state.checks import Validity, check_record
+from plantainyard.state.fold_results import (
     FoldResult,
     RequestDecision,
     RequestKind,
     VoidReason,
 )
-from plantainyard.state.checks import Validity, check_record
 from plantainyard.state.records import RecordType
 from plantainyard.state.requests import (
     DecidedRequests,
@@ -36,29 +36,29 @@
     "list_values",
 ]
 
-# Constants and not settings: what is forgotten decides verdicts.
+# Not settings: which deletions are forgotten affects whether later records are void.
 MAX_DELETED = 1024
 MAX_HISTORY = 256
 
 
 class ConfigValue(NamedTuple):
-    """A value and the version that set it."""
+    """A configuration value and the version that set it."""
 
     value: Any
     version: int
 
 
 class HistoryEntry(NamedTuple):
-    """An accepted change.
+    """An accepted change of the configuration.
 
     Attributes
     ----------
     version : int
         Offset of the change.
     request_id : str
-        Id of the changing call.
+        Id of the call that requested the change.
     changes : Mapping of str to JSON value
-        What it set; None for a deleted key.
+        New value of each changed key; None for a deleted key.
     """
 
     version: int
@@ -67,7 +67,7 @@
 
 
 class ConfigState:
-    """What the ``config`` stream says up to an offset.
+    """The state folded from the ``config`` stream up to an offset.
 
     Attributes
     ----------
@@ -78,10 +78,11 @@
     values : dict of str to ConfigValue
         The values in force.
     deleted : dict of str to int
-        Versions that deleted a key, the oldest first, at most `MAX_DELETED`.
-    floor : int
+        For each deleted key, the version that deleted it; oldest first, at most
+        `MAX_DELETED`.
+    newest_forgotten_deletion : int
         Newest version of a forgotten deletion, -1 for none.
-    requests : RequestMemory
+    requests : DecidedRequests
         Decided request ids.
     history : deque of HistoryEntry
         The newest accepted changes, at most `MAX_HISTORY`.
@@ -101,7 +102,7 @@
 
 
 def get_value(state: ConfigState, key: str, default: Any = None) -> Any:
-    """Return the value in force for `key`, `default` where it has none."""
+    """Return the value in force for `key`, or `default` if it has none."""
     entry = state.values.get(key)
     return default if entry is None else entry.value
 
@@ -111,8 +112,9 @@
 
     Notes
     -----
-    A key whose deletion is forgotten counts as deleted at the newest forgotten one:
-    a change may then be refused without need, but never wins wrongly.
+    A key whose deletion is forgotten counts as deleted at the newest forgotten
+    deletion. A change may then be refused unnecessarily, but a conflicting change is
+    never accepted.
     """
     entry = state.values.get(key)
     if entry is not None:
@@ -121,7 +123,7 @@
 
 
 def list_values(state: ConfigState, prefix: str = "") -> dict[str, Any]:
-    """Return the values in force whose key begins with `prefix`, sorted by key."""
+    """Return the values in force whose keys begin with `prefix`, sorted by key."""
     return {
         key: state.values[key].value
         for key in sorted(state.values)
@@ -140,17 +142,17 @@
     Parameters
     ----------
     state : ConfigState
-        Changed in place.
+        Modified in place.
     offset : int
-        The record's offset; one that was folded before is ignored.
+        The record's offset; an offset that was folded before is ignored.
     data : JSON value
-        The record, well formed or not.
+        The record, which may be malformed.
 
     Returns
     -------
-    Change
-        Whether the change was accepted; if it conflicts, `winner` is the version
-        that set one of its keys since the operator looked.
+    FoldResult
+        Whether the change was accepted. If it conflicts, `winner` is the newest
+        version that set one of its keys after the operator read them.
 
     Raises
     ------
@@ -187,8 +189,8 @@
 def _apply_group(
     state: ConfigState, offset: int, data: Mapping[str, Any]
 ) -> FoldResult:
-    # All parts have the group's offset: the second of two changes of one key must
-    # still conflict, so a part may not build on the group's own offset.
+    # All parts have the group's offset. The second of two changes of one key must
+    # still conflict, so a part must not build on the group's own offset.
     parts = tuple(
         _apply_one(state, offset, part, part["type"])
         if isinstance(part, dict)
@@ -219,8 +221,8 @@
         return void_result
     changes = data["changes"]
     winner = max(get_version(state, key) for key in changes)
-    # Two operators change the same key without knowing of each other: the second
-    # one in the log would silently undo the first, so it is told of the winner.
+    # If two operators change the same key concurrently, the second change in the log
+    # would silently undo the first. It is void instead and names the winning version.
     applied = winner <= data["base"] < offset
     decision = RequestDecision(RequestKind.CONFIG, offset, applied)
     record_decision(state.requests, data["request_id"], decision)
--- a/plantainyard/state/domain.py
+++ b/plantainyard/state/domain.py
@@ -1,8 +1,7 @@
-"""The folded state of a failure domain's stream and the questions asked of it.
+"""Folded state of a failure domain's stream, and queries on it.
 
-Every instance of a domain folds the same records in the same order and so holds
-the same `DomainState`. It is changed by `plantainyard.state.folding.apply_record`
-alone.
+All instances of a domain fold the same records in the same order and therefore hold
+the same `DomainState`. Only `plantainyard.state.folding.apply_record` changes it.
 """
 
 from collections.abc import Iterator, Mapping
@@ -10,7 +9,7 @@
 from types import MappingProxyType
 from typing import NamedTuple
 
-from plantainyard.state.changes import RequestDecision
+from plantainyard.state.fold_results import RequestDecision
 from plantainyard.state.jobs import (
     Assignment,
     JobState,
@@ -36,27 +35,28 @@
     "list_jobs",
 ]
 
-# A constant and not a setting: what is forgotten decides verdicts, and every reader
-# must reach the same one.
+# Not a setting: which completed jobs are forgotten affects whether later records are
+# void, and every reader must reach the same result.
 MAX_COMPLETED = 2048
 
 
 class Claim(NamedTuple):
-    """Who owns a rack.
+    """The ownership of a rack.
 
     Attributes
     ----------
     holder : str
-        The owning instance; empty where the last owner gave the rack up.
+        The owning instance; empty if the last owner released the rack.
     term : int
-        Offset of the claim; the base of the next one.
+        Offset of the claim; the next claim has it as its base.
     workers : tuple of str
-        Workers on whose acceptance the authority rests, sorted.
+        Workers whose acceptance gives the holder its authority, sorted.
     previous : tuple of tuple of str
-        The same of earlier claims whose holders may still have authority.
+        The worker sets of earlier claims whose holders may still have authority.
     stopped : bool
-        Whether the last owner had authority when it stopped; then `previous` holds its
-        workers alone, for the sake of a caretaker of which it didn't know.
+        Whether the last owner had authority when it stopped acting. Then `previous`
+        holds its workers only, to account for a caretaker (a peer that stands in for
+        the owner while the log is out) of which the owner did not know.
     """
 
     holder: str
@@ -67,7 +67,7 @@
 
 
 class DomainState:
-    """What a domain's stream says up to an offset.
+    """The state folded from a domain's stream up to an offset.
 
     Attributes
     ----------
@@ -78,15 +78,15 @@
     jobs : dict of str to JobState
         Jobs that are not complete, in order of acceptance.
     completed : dict of str to JobSummary
-        Complete jobs, the oldest first, at most `MAX_COMPLETED`.
+        Completed jobs, the oldest first, at most `MAX_COMPLETED`.
     assigned : dict of str to dict of TaskKey to Assignment
         For each rack, the attempts that may be running.
     waiting : dict of str to set of str
-        For each rack, the jobs that have waiting tasks in it.
-    requests : RequestMemory
-        Decided request ids.
+        For each rack, the ids of the jobs that have waiting tasks in it.
+    requests : DecidedRequests
+        Decisions on request ids.
     cancelled : set of str
-        Cancelled jobs that still have assigned tasks.
+        Ids of the cancelled jobs that still have assigned tasks.
     skipped : int
         Number of skipped records of unknown type.
     """
@@ -104,12 +104,12 @@
 
 
 def find_claim(state: DomainState, rack: str) -> Claim | None:
-    """Return the rack's valid claim, None where it was never claimed."""
+    """Return the rack's valid claim, or None if it was never claimed."""
     return state.claims.get(rack)
 
 
 def find_decision(state: DomainState, request_id: str) -> RequestDecision | None:
-    """Return what was decided about a request id, None where it isn't remembered."""
+    """Return the decision on a request id, or None if none is stored."""
     return state.requests.decisions.get(request_id)
 
 
@@ -119,7 +119,7 @@
 
 
 def get_job(state: DomainState, job: str) -> JobState | JobSummary | None:
-    """Return a job's state, its summary once complete, or None."""
+    """Return a job's state, its summary if it is complete, or None if unknown."""
     return state.jobs.get(job) or state.completed.get(job)
 
 
@@ -129,7 +129,7 @@
 
 
 def iter_waiting(state: DomainState, rack: str) -> Iterator[WaitingTask]:
-    """Yield the tasks that may be assigned in `rack`, lazily.
+    """Lazily yield the tasks that may be assigned in `rack`.
 
     Parameters
     ----------
@@ -140,12 +140,13 @@
 
     Yields
     ------
-    Waiting
-        Jobs in order of acceptance; within one, tasks that were tried go first.
+    WaitingTask
+        The waiting tasks by job in order of acceptance; within a job, tasks that were
+        attempted before come first.
 
     Notes
     -----
-    Costs a sort of the jobs that wait in the rack, and then a constant amount for
+    Sorts the jobs with waiting tasks in the rack, and then takes constant time for
     each task that is taken from the iterator.
     """
     jobs = (state.jobs[job] for job in state.waiting.get(rack, ()))
@@ -154,7 +155,7 @@
 
 
 def count_tasks(job: JobState | JobSummary) -> TaskCounts:
-    """Return how many tasks of `job` are in each place."""
+    """Return the numbers of tasks of `job` in each state."""
     if isinstance(job, JobSummary):
         return TaskCounts(0, 0, job.done, 0, job.cancelled)
     retries = [retry for tasks in job.retries.values() for retry in tasks.values()]
@@ -167,7 +168,7 @@
 
 
 def list_cancelled_running(state: DomainState, rack: str) -> list[TaskKey]:
-    """Return the assigned tasks of cancelled jobs in `rack`; they have to stop."""
+    """Return the assigned tasks of cancelled jobs in `rack`, which must be stopped."""
     if not state.cancelled:
         return []
     return [task for task in get_assigned(state, rack) if task.job in state.cancelled]
--- a/plantainyard/state/changes.py
+++ b/plantainyard/state/fold_results.py
@@ -1,4 +1,4 @@
-"""Verdicts on folded records: what took effect, what is void and why."""
+"""Results of folding records: what took effect, and what is void for which reason."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,7 @@
 
 
 class RequestKind:
-    """What a request id was first used for."""
+    """Kinds of requests that a request id can be decided for."""
 
     ACCEPT = "accept"
     CANCEL = "cancel"
@@ -17,17 +17,17 @@
 
 
 class RequestDecision(NamedTuple):
-    """What the log decided about a request id.
+    """The decision that the log contains for a request id.
 
     Attributes
     ----------
     kind : str
-        A name in `RequestKind`. ``abandon`` means that the request did not and
-        will not run.
+        A value of `RequestKind`. ``abandon`` means that the request has not been and
+        will not be carried out.
     offset : int
-        Offset of the deciding record.
+        Offset of the record that decided the request.
     applied : bool
-        False where the deciding record was void.
+        False if that record was void.
     job : str
         Id of the accepted job; empty for other kinds.
     """
@@ -39,27 +39,28 @@
 
 
 class VoidReason:
-    """Why a record, or one item of it, is void.
+    """Reasons why a record, or one item of it, is void.
 
     Notes
     -----
     ``DUPLICATE``
-        The same request id stands at the winning offset already.
+        The record at the winning offset has the same request id.
     ``ABANDONED``
         The request id was abandoned at the winning offset.
     ``FORGOTTEN``
-        The record was written before the oldest request id still remembered, so it
-        can't be told whether it is a repeat.
+        The record was written before the oldest decision that is still stored, so it
+        is not known whether it is a repeat.
     ``BASE``
-        The record builds on a claim or value that the winning offset replaced.
+        The record builds on a claim or value that was replaced at the winning offset.
     ``TERM``
-        The rack has another term, which is the winning offset.
+        The rack is in another term, which is the winning offset.
     ``NOT_WAITING``
-        The task is not waiting in the rack: assigned, done, cancelled, elsewhere.
+        The task is not waiting in the rack: it is assigned, done, cancelled or in
+        another rack.
     ``ATTEMPT``
-        The attempt is not the next one, or not the assigned one.
+        The attempt is not the next one of the task, or not the assigned one.
     ``NO_JOB``
-        No such job, or it is complete.
+        The job does not exist or is complete.
     ``STALE``
         The offset was folded before.
     """
@@ -78,7 +79,7 @@
 
 
 class VoidItem(NamedTuple):
-    """An item of a record that had no effect; `reason` is a name in `VoidReason`."""
+    """An item of a record that had no effect; `reason` is a value of `VoidReason`."""
 
     task: TaskKey
     attempt: int
@@ -86,30 +87,28 @@
 
 
 class FoldResult(NamedTuple):
-    """The verdict on one record.
+    """The result of folding one record.
 
     Attributes
     ----------
     type : str
-        The record's type; empty where it has none.
+        The record's type; empty if it has none.
     offset : int
-        Its offset.
+        The record's offset.
     applied : bool
-        True where the record, or at least one item of it, took effect.
+        True if the record, or at least one item of it, took effect.
     reason : str
-        Why it is void, a name in `VoidReason`; empty where it is not.
+        Why the record is void, a value of `VoidReason`; empty if it is not void.
     winner : int
-        For a void record, the offset that prevailed, -1 for none.
+        For a void record, the offset of the record that prevailed, -1 for none.
     void : tuple of VoidItem
         Items of ``assign``, ``results`` and ``move`` that had no effect.
-    parts : tuple of Change
-        The verdicts on the records of a ``group``.
-    earlier : Verdict or None
-        For a repeated request id, the verdict that stands.
-    earlier : Verdict or None
-        For a repeated request id, the verdict that stands.
+    parts : tuple of FoldResult
+        The results of the records of a ``group``.
+    earlier : RequestDecision or None
+        For a repeated request id, the decision that remains in force.
     detail : str
-        Text for people.
+        Human-readable explanation.
     """
 
     type: str
--- a/plantainyard/state/folding.py
+++ b/plantainyard/state/folding.py
@@ -1,22 +1,22 @@
 """Folding of a failure domain's records into its state.
 
-The log accepts every append, so conditions are judged here, by every reader in
-the same way: the first record that stands in the log wins, and a later one that
-builds on a past state is void and names the record that prevailed. Each condition
-makes a record that arrives late or twice harmless.
+The log accepts every append, so the records' conditions are checked here, with the
+same result at every reader: the first record in the log wins, and a later one that
+builds on an outdated state is void and names the record that prevailed. The
+conditions ensure that a delayed or repeated record has no effect.
 """
 
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from plantainyard.state.changes import (
+from plantainyard.state.checks import Validity, check_record
+from plantainyard.state.domain import Claim, DomainState
+from plantainyard.state.fold_results import (
     FoldResult,
     RequestDecision,
     RequestKind,
     VoidReason,
 )
-from plantainyard.state.checks import Validity, check_record
-from plantainyard.state.domain import Claim, DomainState
 from plantainyard.state.jobs import JobState, allot_tasks, count_waiting
 from plantainyard.state.records import RecordType
 from plantainyard.state.requests import check_request, record_decision
@@ -38,16 +38,16 @@
     Parameters
     ----------
     state : DomainState
-        Changed in place.
+        Modified in place.
     offset : int
-        The record's offset; one that was folded before is ignored.
+        The record's offset; an offset that was folded before is ignored.
     data : JSON value
-        The record, well formed or not.
+        The record, which may be malformed.
 
     Returns
     -------
-    Change
-        Whether it took effect, and if not, why and which offset prevailed.
+    FoldResult
+        Whether the record took effect, and if not, why and which offset prevailed.
 
     Raises
     ------
@@ -57,8 +57,8 @@
 
     Notes
     -----
-    Costs time in the number of items, for an ``accept`` in the number of racks, for
-    a ``cancel`` in the number of its jobs' tried tasks.
+    Takes time linear in the number of items; for an ``accept``, in the number of
+    racks; for a ``cancel``, in the number of attempted tasks of its jobs.
     """
     if offset < state.next_offset:
         return FoldResult(_get_type(data), offset, False, VoidReason.STALE)
@@ -71,7 +71,7 @@
 def _apply_one(state: DomainState, offset: int, data: Any) -> FoldResult:
     check = check_record(data)
     if check.kind == Validity.UNKNOWN:
-        # An instance of a newer version runs beside this one: its records pass.
+        # Written by an instance of a newer version; it is skipped.
         state.skipped += 1
         return FoldResult(check.detail, offset, False, VoidReason.UNKNOWN)
     if check.kind == Validity.MALFORMED:
@@ -179,8 +179,8 @@
 ) -> FoldResult:
     present = state.claims.get(data["rack"])
     term = present.term if present else -1
-    # Two rivals build on the same claim; the second one in the log must lose, and
-    # so must a claim that was held back until after another owner's.
+    # If two instances build on the same claim, the second one in the log must lose,
+    # and so must a claim that arrives after a claim of another owner.
     if data["base"] != term:
         return FoldResult(RecordType.CLAIM, offset, False, VoidReason.BASE, term)
     workers = tuple(data.get("workers", ()))
@@ -198,8 +198,8 @@
 ) -> tuple[tuple[str, ...], ...]:
     """Return the worker sets of all claims whose holders may still have authority.
 
-    A holder that never gained authority never fenced the workers of the one before
-    it; a claim on top of it must therefore still count with both.
+    A holder that never gained authority never fenced the workers of its predecessor;
+    a claim on top of it must therefore take both holders into account.
     """
     if present is None:
         return ()
--- a/plantainyard/state/jobs.py
+++ b/plantainyard/state/jobs.py
@@ -1,8 +1,9 @@
-"""The folded state of one job, kept compact whatever its number of tasks.
+"""Folded state of one job, stored compactly for any number of tasks.
 
-A task is in one of five places: waiting and never tried (in a range), waiting
-for another attempt, assigned, done, or cancelled. Only tried and assigned tasks
-cost memory each; done and cancelled ones are counted.
+A task is in one of five states: waiting and never attempted (stored in a range),
+waiting for another attempt, assigned, done, or cancelled. Only tasks that are
+assigned or wait for another attempt take memory individually; done and cancelled
+tasks are only counted.
 """
 
 from collections.abc import Iterator, Mapping
@@ -28,19 +29,19 @@
 
 
 class Assignment(NamedTuple):
-    """An attempt given to a worker; it may run there, and nowhere else.
+    """An attempt assigned to a worker, the only one that may run it.
 
     Attributes
     ----------
     attempt : int
-        Number of the attempt, from one.
+        Number of the attempt, starting at one.
     worker : str
         Id of the worker.
     checkpoint : str
         Checkpoint that this attempt resumes from; empty for none.
     incarnation : int
-        The worker's when the attempt was assigned, -1 for not known. After a restart
-        the worker can't tell whether the attempt ran.
+        The worker's incarnation when the attempt was assigned, -1 if it was not known.
+        After a restart the worker does not know whether the attempt ran.
     """
 
     attempt: int
@@ -52,7 +53,7 @@
 class Retry(NamedTuple):
     """A task that waits for another attempt after `attempts` of them ended.
 
-    `failed` tells that the last one failed.
+    `failed` is true if the last attempt failed.
     """
 
     attempts: int
@@ -61,7 +62,7 @@
 
 
 class Failure(NamedTuple):
-    """How often a task failed, and the last error."""
+    """The number of failed attempts of a task, and the last error."""
 
     failures: int
     error: str
@@ -75,7 +76,7 @@
     task : TaskKey
         The task.
     attempt : int
-        Number of the next attempt, from one.
+        Number of the next attempt, starting at one.
     checkpoint : str
         Checkpoint to resume from; empty for none.
     error : str
@@ -92,9 +93,9 @@
 
 
 class TaskCounts(NamedTuple):
-    """Where the tasks of a job are; the five sum to its task count.
+    """Numbers of a job's tasks in each state; the five sum to its task count.
 
-    `failed` counts those whose last attempt failed and that wait for another.
+    `failed` counts the tasks whose last attempt failed and that wait for another.
     """
 
     waiting: int
@@ -105,18 +106,18 @@
 
 
 class JobSummary(NamedTuple):
-    """What is kept of a completed job.
+    """The information that is kept about a completed job.
 
     Attributes
     ----------
     id, name, team : str
-        As declared.
+        Id, name and team of the job as declared.
     task_count, done, cancelled : int
-        Numbers of tasks.
+        Numbers of all tasks, of done tasks and of cancelled tasks.
     accepted, completed : int
-        Offsets of the accepting and of the completing record.
+        Offsets of the records that accepted and that completed the job.
     latency_critical : bool
-        Whether it was a service.
+        Whether the job was a service.
     """
 
     id: str
@@ -136,19 +137,19 @@
     Attributes
     ----------
     job : Job
-        As declared.
+        The job as declared.
     offset : int
-        Offset of the accepting record.
-    fresh : dict of str to Ranges
-        For each rack, the waiting tasks that were never assigned.
+        Offset of the record that accepted the job.
+    unattempted : dict of str to Ranges
+        For each rack, the numbers of the waiting tasks that were never assigned.
     retries : dict of str to dict of int to Retry
-        For each rack, the tasks that wait for another attempt.
+        For each rack, the tasks that wait for another attempt, by task number.
     failures : dict of int to Failure
-        For the tasks that failed at least once and are not done.
-    assigned, done, dropped : int
+        Failures of the tasks that failed at least once and are not done, by number.
+    assigned_count, done_count, cancelled_count : int
         Numbers of assigned, done and cancelled tasks.
     cancelled : bool
-        True once the job was cancelled.
+        True once the job has been cancelled.
     """
 
     __slots__ = (
@@ -204,13 +205,13 @@
 
 
 def remove_waiting(state: JobState, rack: str, number: int) -> Retry | None:
-    """Take a waiting task out of `rack`.
+    """Remove a waiting task from `rack` and return its retry information.
 
     Returns
     -------
     Retry or None
-        The task's attempts so far and its checkpoint; None where the task does not
-        wait in this rack.
+        The task's attempts so far and its checkpoint; None if the task does not wait
+        in this rack.
     """
     unattempted = state.unattempted.get(rack)
     if unattempted is not None and remove_number(unattempted, number):
@@ -227,7 +228,7 @@
 
 
 def iter_job_waiting(state: JobState, rack: str) -> Iterator[WaitingTask]:
-    """Yield the tasks of the job that wait in `rack`, retries first, lazily."""
+    """Lazily yield the tasks of the job that wait in `rack`, retries first."""
     for number, retry in state.retries.get(rack, {}).items():
         failure = state.failures.get(number, Failure(0, ""))
         yield WaitingTask(
--- a/plantainyard/state/ranges.py
+++ b/plantainyard/state/ranges.py
@@ -1,7 +1,7 @@
-"""Sets of task numbers kept as ranges.
+"""Sets of task numbers stored as ranges.
 
-A job of many tasks has few distinct stretches of waiting ones, so a set costs
-memory for each stretch and not for each number.
+The waiting tasks of a large job form few contiguous ranges, so a set takes memory
+for each range and not for each number.
 """
 
 from bisect import bisect_right
@@ -24,12 +24,12 @@
     Parameters
     ----------
     pairs : iterable of (int, int)
-        Sorted, disjoint ranges, the stop not included.
+        Sorted, disjoint ranges; the stop of each is excluded.
 
     Attributes
     ----------
     starts, stops : list of int
-        Bounds of the ranges.
+        Bounds of the ranges, in ascending order.
     count : int
         Number of integers in the set.
     """
@@ -44,13 +44,13 @@
 
 
 def has_number(ranges: Ranges, number: int) -> bool:
-    """Tell whether `number` is in `ranges`, in time logarithmic in its length."""
+    """Return whether `number` is in `ranges`, in logarithmic time."""
     index = bisect_right(ranges.starts, number) - 1
     return index >= 0 and number < ranges.stops[index]
 
 
 def remove_number(ranges: Ranges, number: int) -> bool:
-    """Take `number` out of `ranges`; tell whether it was there.
+    """Remove `number` from `ranges`; return whether it was contained.
 
     Examples
     --------
@@ -70,7 +70,7 @@
 
 
 def add_number(ranges: Ranges, number: int) -> bool:
-    """Put `number` into `ranges`; tell whether it was new.
+    """Add `number` to `ranges`; return whether it was new.
 
     Examples
     --------
@@ -94,7 +94,7 @@
 
 
 def iter_numbers(ranges: Ranges) -> Iterator[int]:
-    """Yield the numbers in ascending order, lazily."""
+    """Lazily yield the numbers in ascending order."""
     return chain.from_iterable(map(range, ranges.starts, ranges.stops))
 
 
--- a/plantainyard/state/reader.py
+++ b/plantainyard/state/reader.py
@@ -1,8 +1,8 @@
-"""Deciding part of the reading of one stream.
+"""State machine that reads one stream of the log.
 
-Tells which offset to ask for, notices records that the log no longer keeps, and
-knows whether what was read so far is current. It never skips a record: past a gap
-it starts over from a snapshot that covers everything before it.
+It decides which offset to fetch next, detects records that the log no longer keeps,
+and knows whether the records read so far are current. It never skips a record: after
+a gap it restarts from a snapshot that covers everything before the snapshot.
 """
 
 import random
@@ -34,7 +34,7 @@
 
 
 class LogRecord(NamedTuple):
-    """A record with its offset and the log's time of writing."""
+    """A record with its offset and the time at which the log wrote it."""
 
     offset: int
     time_s: float
@@ -42,7 +42,7 @@
 
 
 class ReadTick(NamedTuple):
-    """Time has passed; the first one starts the reading."""
+    """A periodic tick; the first one starts the reading."""
 
 
 class Fetched(NamedTuple):
@@ -64,19 +64,19 @@
 
 
 class FetchFailed(NamedTuple):
-    """A `Fetch` failed; `retry_after_s` is the log's wish, zero for none."""
+    """A `Fetch` failed; the log asks for `retry_after_s` of pause, zero for none."""
 
     retry_after_s: float = 0.0
 
 
 class EndReported(NamedTuple):
-    """A peer told that it holds everything below `next`."""
+    """A peer reported that it holds all records below `next`."""
 
     next: int
 
 
 class Relayed(NamedTuple):
-    """A peer handed on records; they may overlap with what was read."""
+    """A peer relayed records, which may overlap with those already read."""
 
     next: int
     records: Sequence[LogRecord]
@@ -86,7 +86,7 @@
 
 
 class Fetch(NamedTuple):
-    """Ask the log for at most `limit` records from `offset`, waiting `wait_ms`."""
+    """Request at most `limit` records from `offset`, waiting up to `wait_ms`."""
 
     offset: int
     limit: int
@@ -94,26 +94,26 @@
 
 
 class Apply(NamedTuple):
-    """Fold `record`; its offset is the next one."""
+    """Fold `record`, which directly follows the records folded before."""
 
     record: LogRecord
 
 
 class Restore(NamedTuple):
-    """Replace the folded state by the snapshot in `record`."""
+    """Replace the folded state with the snapshot in `record`."""
 
     record: LogRecord
 
 
 class ReadRestarted(NamedTuple):
-    """Records from `wanted` to below `first` are gone; reading starts over."""
+    """Reading restarts because the records from `wanted` to `first` - 1 are lost."""
 
     wanted: int
     first: int
 
 
 class LogRegressed(NamedTuple):
-    """The log says that it ends at `next`, below what was read from it before."""
+    """The log reports an end at `next`, below the offset read from it before."""
 
     wanted: int
     next: int
@@ -123,20 +123,21 @@
 
 
 class ReaderSettings(NamedTuple):
-    """How a stream is read.
+    """Settings for reading a stream.
 
     Attributes
     ----------
     snapshot_type : str
         Type of the stream's snapshot records.
     limit : int
-        Records to ask for at once.
+        Maximum number of records in one fetch.
     wait_ms : int
-        Milliseconds that the log may wait for a record.
+        Milliseconds that the log may wait for a new record.
     pause_s : float
-        Seconds between two questions once everything is read.
+        Seconds between two fetches once all records have been read.
     retry_s, retry_max_s : float
-        First and greatest pause after a failure; it doubles in between.
+        Initial and maximum pause in seconds after a failure; the pause doubles with
+        each failure.
     """
 
     snapshot_type: str = RecordType.SNAPSHOT
@@ -148,30 +149,30 @@
 
 
 class ReaderState:
-    """How far one stream is read.
+    """The progress of reading one stream.
 
     Attributes
     ----------
     settings : ReaderSettings
-        How it is read.
+        Settings of the reader.
     rng : random.Random
-        Spreads retries.
+        Source of the jitter of retries.
     next_offset : int
-        The next record to fold, or, while seeking, to look at.
-    seeking : bool
-        True while a gap is not yet closed by a snapshot; nothing is folded then.
-    end : int
-        Greatest end of the stream that the log or a peer told.
-    heard : bool
-        True once the log or a peer told an end.
+        Offset of the next record to fold, or, while seeking a snapshot, to examine.
+    seeking_snapshot : bool
+        True from a gap until a snapshot that covers it; nothing is folded meanwhile.
+    known_end : int
+        Greatest end of the stream that the log or a peer has reported.
+    end_known : bool
+        True once the log or a peer has reported an end.
     current_at : float
-        Time at which everything that was known to exist was last folded.
-    fetching : bool
-        True while a question is under way.
-    ask_at : float
-        Time of the next question.
+        Last time at which all records that were known to exist had been folded.
+    fetch_in_flight : bool
+        True while a fetch is in flight.
+    fetch_at : float
+        Earliest time of the next fetch.
     failures : int
-        Failed questions in a row.
+        Number of consecutive failed fetches.
     """
 
     def __init__(self, settings: ReaderSettings, rng: random.Random) -> None:
@@ -188,12 +189,13 @@
 
 
 def is_current(state: ReaderState) -> bool:
-    """Tell whether all records that are known to exist are folded.
+    """Return whether all records that are known to exist have been folded.
 
     Notes
     -----
-    False for a fresh instance until the log or a peer told where the stream ends:
-    it can't know what it misses. See `get_staleness` for how old that knowledge is.
+    False for a newly started instance until the log or a peer has reported the end of
+    the stream, because the instance can't know which records it lacks. See
+    `get_staleness` for the age of that information.
     """
     return (
         state.end_known
@@ -203,27 +205,27 @@
 
 
 def get_staleness(state: ReaderState, now: float) -> float:
-    """Return the seconds since the state was last known to be current."""
+    """Return the seconds since the folded state was last known to be current."""
     return now - state.current_at
 
 
 def step_reader(state: ReaderState, event: ReadEvent, now: float) -> list[ReaderAction]:
-    """Take `event` in and return what to do, in order.
+    """Process `event` and return the actions to perform, in order.
 
     Parameters
     ----------
     state : ReaderState
-        Changed in place.
+        Modified in place.
     event : ReadEvent
-        What happened. Each `Fetch` is answered by one `Fetched` or `FetchFailed`.
+        The event. Each `Fetch` is answered by exactly one `Fetched` or `FetchFailed`.
     now : float
-        Seconds on the instance's clock; for answers, the time of asking is safer
-        than that of the answer and may be given instead.
+        Seconds on the instance's clock. For a `Fetched`, the time of the request may
+        be given instead, which is safer than the time of the response.
 
     Returns
     -------
     list of ReaderAction
-        At most one `Fetch`, as the last one.
+        Contains at most one `Fetch`, as its last item.
     """
     actions: list[ReaderAction] = []
     match event:
@@ -255,8 +257,8 @@
     state.fetch_in_flight = False
     pause = min(settings.retry_max_s, settings.retry_s * 2**state.failures)
     state.failures = min(state.failures + 1, 30)
-    # All instances lose the log at the same moment; without the jitter they would
-    # all come back at the same moment too.
+    # All instances lose the log at the same time; without jitter they would also all
+    # retry at the same time.
     state.fetch_at = now + max(event.retry_after_s, pause) * state.rng.uniform(1.0, 1.5)
 
 
@@ -266,8 +268,8 @@
     state.fetch_in_flight = False
     state.failures = 0
     if not state.seeking_snapshot and event.next < state.next_offset:
-        # The log was set back, by a restore from an old copy. What was accepted must
-        # not revert, so nothing is taken back and the instance is not current.
+        # The log was restored from an old copy. Accepted records must not be reverted,
+        # so the folded state is kept, and the instance is no longer current.
         actions.append(LogRegressed(state.next_offset, event.next))
         state.end_known = False
         state.fetch_at = now + state.settings.retry_s
@@ -283,9 +285,10 @@
 
 
 def _restart_at(state: ReaderState, first: int, actions: list[ReaderAction]) -> None:
-    # Retention passed this reader by, because it or the log was away too long. The
-    # log answers with later records; folding them would skip the lost ones without
-    # a sign, so nothing is folded before a snapshot that covers them.
+    # Records expired before they were read, because this reader or the log was
+    # unavailable for longer than the retention period. The log responds with later
+    # records; folding them would silently skip the lost ones, so nothing is folded
+    # until a snapshot that covers the lost records is found.
     if state.next_offset > 0 and not state.seeking_snapshot:
         actions.append(ReadRestarted(state.next_offset, first))
     state.seeking_snapshot = True
@@ -295,7 +298,7 @@
 def _handle_record(
     state: ReaderState, first: int, record: LogRecord, actions: list[ReaderAction]
 ) -> bool:
-    """Take one record of the log in; tell whether to go on with the next one."""
+    """Process one record of the log; return whether to continue with the next one."""
     if record.offset < state.next_offset:
         return True
     if record.offset > state.next_offset:
@@ -305,8 +308,8 @@
         state.next_offset = record.offset + 1
         return True
     covers = _get_covers(state, record)
-    # The records between what a snapshot covers and the snapshot itself were read
-    # already; they are asked for again, so they must still be kept.
+    # The records between the last one that a snapshot covers and the snapshot itself
+    # have been passed already and are fetched again, so the log must still keep them.
     if covers is None or covers + 1 < first:
         state.next_offset = record.offset + 1
         return True
@@ -329,10 +332,11 @@
 def _handle_relayed(
     state: ReaderState, event: Relayed, actions: list[ReaderAction]
 ) -> None:
-    """Fold what a peer handed on, as far as it follows without a gap.
+    """Fold the relayed records that follow the folded ones without a gap.
 
-    The log is out and this instance is fresh: a peer's snapshot lets it start. A
-    gap in a peer's records says nothing about the log's, so nothing starts over.
+    If the log is out and this instance has just started, a peer's snapshot lets it
+    start. A gap in a peer's records doesn't imply one in the log, so it doesn't restart
+    the reading.
     """
     for record in event.records:
         covers = _get_covers(state, record)
--- a/plantainyard/state/records.py
+++ b/plantainyard/state/records.py
@@ -1,9 +1,10 @@
-"""Records of the log's streams: their shapes and functions that make them.
+"""Types of the records in the log's streams and functions that create them.
 
-A record is one JSON object in a stream, told apart by its ``type``. Every record
-may carry an ``append_id``, unique for each submitted record, by which a writer
-whose answer was lost finds it again, and an ``as_of``, the next offset that the
-writer knew when it submitted the record.
+A record is one JSON object in a stream; its ``type`` determines its other fields.
+Every record may carry an ``append_id``, which is unique for each submitted record
+and lets a writer find its record in the log after the answer to the append was
+lost, and an ``as_of``, the next offset that the writer knew when it submitted the
+record.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -58,17 +59,18 @@
 
 
 class Outcome:
-    """How an attempt ended, as a ``results`` record tells it.
+    """Values of an attempt's outcome in a ``results`` record.
 
     Notes
     -----
     ``EVICTED``
-        Stopped by a command; the detail is the checkpoint, empty where there is
-        none. An attempt that provably never started also ends so, and gives back
-        the checkpoint that it was assigned with.
+        The attempt was stopped by a command. The detail is the checkpoint, empty if
+        there is none. An attempt that provably never started has this outcome too,
+        with the checkpoint that it was assigned with as the detail.
     ``LAPSED``
-        The lease is over for certain and the worker said nothing; the checkpoint
-        that the attempt was assigned with is lost, for it may have been resumed.
+        The lease has certainly expired and the worker reported no result. The
+        checkpoint that the attempt was assigned with is lost, because the attempt
+        may have resumed from it.
     """
 
     DONE = "done"
@@ -78,14 +80,14 @@
 
 
 class AssignItem(NamedTuple):
-    """One task's attempt given to a worker.
+    """The assignment of one attempt of a task to a worker.
 
     Attributes
     ----------
     attempt : int
-        Attempts are numbered from one.
+        Number of the attempt, starting at one.
     incarnation : int
-        The worker's present incarnation; -1 where it is not known.
+        The worker's current incarnation, -1 if it is not known.
     """
 
     task: TaskKey
@@ -95,7 +97,7 @@
 
 
 class ResultItem(NamedTuple):
-    """How one attempt ended; `outcome` is a name in `Outcome`."""
+    """The end of one attempt; `outcome` is one of the values of `Outcome`."""
 
     task: TaskKey
     attempt: int
@@ -109,7 +111,7 @@
 
 
 class AcceptRecord(_Common):
-    """An accepted job; `allotment` counts its tasks for each rack."""
+    """Accepts a job; `allotment` maps each rack to its number of tasks."""
 
     type: Literal["accept"]
     request_id: str
@@ -118,14 +120,14 @@
 
 
 class AbandonRecord(_Common):
-    """Makes a later record with the same request id void."""
+    """Makes any later record with the same request id void."""
 
     type: Literal["abandon"]
     request_id: str
 
 
 class CancelRecord(_Common):
-    """Stops jobs: no further starts, running tasks are stopped."""
+    """Cancels jobs: no more tasks are started, and running tasks are stopped."""
 
     type: Literal["cancel"]
     request_id: str
@@ -133,7 +135,7 @@
 
 
 class ClaimRecord(_Common):
-    """Claims a rack on top of the claim at `base`; an empty holder gives it up."""
+    """Claims a rack, replacing the claim at `base`; an empty holder releases it."""
 
     type: Literal["claim"]
     rack: str
@@ -144,7 +146,7 @@
 
 
 class AssignRecord(_Common):
-    """Attempts that the rack's owner is about to start."""
+    """Assigns attempts that the rack's owner is about to start."""
 
     type: Literal["assign"]
     rack: str
@@ -153,7 +155,7 @@
 
 
 class ResultsRecord(_Common):
-    """Ended attempts, as the rack's owner knows them in its `term`."""
+    """Ends attempts, as recorded by the rack's owner in its `term`."""
 
     type: Literal["results"]
     rack: str
@@ -162,7 +164,7 @@
 
 
 class MoveRecord(_Common):
-    """Unassigned tasks that the rack's owner gives to another rack."""
+    """Moves unassigned tasks from the owner's rack to another rack."""
 
     type: Literal["move"]
     rack: str
@@ -172,7 +174,7 @@
 
 
 class ConfigRecord(_Common):
-    """A change of configuration on top of version `base`; null deletes a key."""
+    """Changes configuration on top of version `base`; null deletes a key."""
 
     type: Literal["config"]
     request_id: str
@@ -181,7 +183,7 @@
 
 
 class SnapshotRecord(_Common):
-    """The folded state up to and including offset `covers`."""
+    """Holds the folded state up to and including offset `covers`."""
 
     type: Literal["snapshot", "config_snapshot"]
     covers: int
@@ -189,7 +191,7 @@
 
 
 class GroupRecord(_Common):
-    """Several records in one append, folded in order at the same offset."""
+    """Holds several records of one append, folded in order at the same offset."""
 
     type: Literal["group"]
     records: list[dict[str, Any]]
@@ -217,12 +219,12 @@
     Parameters
     ----------
     request_id : str
-        Id of the accepting call; the same id is accepted once.
+        Id of the call that submitted the job; an id is accepted only once.
     job : Job
-        The accepted job.
+        The job to accept.
     allotment : Mapping of str to int
-        Number of tasks for each rack; the sum is the job's task count. Racks get
-        contiguous ranges of task numbers in the order of their sorted names.
+        Number of tasks for each rack; the sum must be the job's task count. Racks
+        get contiguous ranges of task numbers in the order of their sorted names.
     """
     return {
         "type": "accept",
@@ -233,7 +235,7 @@
 
 
 def make_abandon(request_id: str) -> AbandonRecord:
-    """Return the record that makes a later one with `request_id` void."""
+    """Return the record that makes later records with `request_id` void."""
     return {"type": "abandon", "request_id": request_id}
 
 
@@ -254,14 +256,14 @@
     Parameters
     ----------
     rack, holder : str
-        The rack, and the claiming instance; an empty holder gives the rack up.
+        The rack and the claiming instance; an empty holder releases the rack.
     base : int
-        Offset of the rack's present claim, -1 for none.
+        Offset of the rack's current claim, -1 if it has none.
     workers : iterable of str
-        Workers on whose acceptance the authority is to rest.
+        Workers whose acceptance gives the holder its authority over the rack.
     established : bool
-        Whether the writer holds the claim at `base`, has had authority under it, and
-        has stopped acting under it: nobody before it can have authority any more.
+        Whether the writer holds the claim at `base`, had authority under it, and no
+        longer acts under it. No earlier holder can then have authority any more.
     """
     return {
         "type": "claim",
@@ -274,7 +276,7 @@
 
 
 def make_assign(rack: str, term: int, items: Iterable[AssignItem]) -> AssignRecord:
-    """Return the record that assigns `items` under the rack's `term`."""
+    """Return the record that assigns `items` in the rack's `term`."""
     return {
         "type": "assign",
         "rack": rack,
@@ -284,7 +286,7 @@
 
 
 def parse_assign_item(item: Sequence[Any]) -> AssignItem:
-    """Return the item that `make_assign` wrote; later fields are passed over."""
+    """Return an item written by `make_assign`; ignore fields of later versions."""
     text, attempt, worker, *rest = item
     return AssignItem(parse_task(text), attempt, worker, *rest[:1])
 
@@ -295,10 +297,10 @@
     Parameters
     ----------
     rack : str
-        The rack to which the attempts were assigned.
+        The rack in which the attempts were assigned.
     term : int
-        The writer's term; the record is void in another one. A worker repeats what it
-        told to the next owner.
+        The writer's term. The record is void in any other term; the workers then
+        report the results again to the next owner.
     items : iterable of ResultItem
         The ended attempts.
     """
@@ -313,7 +315,7 @@
 def make_move(
     rack: str, term: int, tasks: Iterable[TaskKey], to_rack: str
 ) -> MoveRecord:
-    """Return the record by which the owner of `rack` gives `tasks` to `to_rack`."""
+    """Return the record by which the owner of `rack` moves `tasks` to `to_rack`."""
     return {
         "type": "move",
         "rack": rack,
@@ -329,9 +331,9 @@
     Parameters
     ----------
     request_id : str
-        Id of the changing call; the same id is applied once.
+        Id of the call that requests the change; an id is applied only once.
     base : int
-        Version that the operator saw, -1 for none.
+        Version that the operator has read, -1 for none.
     changes : Mapping of str to JSON value
         New values; None deletes a key.
     """
@@ -346,10 +348,10 @@
 def make_snapshot(
     covers: int, state: Mapping[str, Any], type: str = RecordType.SNAPSHOT
 ) -> SnapshotRecord:
-    """Return the record that holds an encoded `state` up to offset `covers`."""
+    """Return the record that holds the encoded `state` up to offset `covers`."""
     return {"type": type, "covers": covers, "state": dict(state)}  # type: ignore[typeddict-item]
 
 
 def make_group(records: Sequence[Mapping[str, Any]]) -> GroupRecord:
-    """Return one record that carries `records`."""
+    """Return one record that contains all of `records`."""
     return {"type": "group", "records": [dict(record) for record in records]}
--- a/plantainyard/state/requests.py
+++ b/plantainyard/state/requests.py
@@ -1,14 +1,14 @@
-"""Memory of decided request ids, bounded in number.
+"""Bounded collection of decided request ids, for idempotent requests.
 
-The first record with a request id decides; a later one is void. What is forgotten
-is covered by the writer's ``as_of``: a record written before the newest forgotten
-verdict may be a repeat and is void too.
+The first record with a request id decides the request, and later records with the
+same id are void. Old decisions are forgotten. A record whose ``as_of`` shows that it
+was written before the newest forgotten decision may be a repeat and is void too.
 """
 
 from collections.abc import Mapping
 from typing import Any
 
-from plantainyard.state.changes import (
+from plantainyard.state.fold_results import (
     FoldResult,
     RequestDecision,
     RequestKind,
@@ -17,20 +17,20 @@
 
 __all__ = ["MAX_DECISIONS", "DecidedRequests", "check_request", "record_decision"]
 
-# A constant and not a setting: what is forgotten decides verdicts, and every reader
-# must reach the same one.
+# Not a setting: which decisions are forgotten affects whether later records are void,
+# and every reader must reach the same result.
 MAX_DECISIONS = 4096
 
 
 class DecidedRequests:
-    """Decided request ids.
+    """The newest decisions on request ids.
 
     Attributes
     ----------
-    verdicts : dict of str to Verdict
-        The oldest first, at most `MAX_DECISIONS`.
-    forgotten : int
-        Offset of the newest forgotten verdict, -1 for none.
+    decisions : dict of str to RequestDecision
+        For each request id, its decision; oldest first, at most `MAX_DECISIONS`.
+    newest_forgotten : int
+        Offset of the newest forgotten decision, -1 for none.
     """
 
     def __init__(self) -> None:
@@ -41,12 +41,12 @@
 def check_request(
     decided: DecidedRequests, offset: int, data: Mapping[str, Any]
 ) -> FoldResult | None:
-    """Return the verdict on a record that must be void, None for a new request.
+    """Return the result of a record that must be void, None for a new request.
 
     Parameters
     ----------
-    memory : RequestMemory
-        What was decided before `offset`.
+    decided : DecidedRequests
+        Requests that were decided before `offset`.
     offset : int
         Offset of the record.
     data : Mapping
@@ -58,9 +58,9 @@
         reason = VoidReason.ABANDONED if abandoned else VoidReason.DUPLICATE
         winner = earlier.offset
         return FoldResult(data["type"], offset, False, reason, winner, earlier=earlier)
-    # Guards against an append that the network held back for so long that the
-    # verdict on its request id is forgotten: a job would be accepted twice. Such a
-    # record was written before the forgotten verdict, as its as_of shows.
+    # Guards against an append that the network delays for so long that the decision
+    # on its request id is forgotten, by which a job would be accepted twice. The as_of
+    # of such a record shows that it was written before the forgotten decision.
     if data.get("as_of", offset) <= decided.newest_forgotten:
         return FoldResult(
             data["type"], offset, False, VoidReason.FORGOTTEN, decided.newest_forgotten
@@ -71,7 +71,7 @@
 def record_decision(
     decided: DecidedRequests, request_id: str, decision: RequestDecision
 ) -> None:
-    """Keep `decision`, forgetting the oldest one past the bound."""
+    """Store `decision` and drop the oldest one if there are too many."""
     decided.decisions[request_id] = decision
     if len(decided.decisions) > MAX_DECISIONS:
         oldest = decided.decisions.pop(next(iter(decided.decisions)))
--- a/plantainyard/state/snapshots.py
+++ b/plantainyard/state/snapshots.py
@@ -1,18 +1,19 @@
-"""Snapshots of folded states, and when one has to be written.
+"""Snapshots of folded states, and the schedule for writing them.
 
-The log forgets records after a time, so the state up to an offset goes into the
-stream itself. Folding a prefix, encoding, decoding and folding the rest gives the
-same state as folding everything, memories of forgotten things included, since
-these decide verdicts too.
+The log deletes records after the retention period, so the state up to an offset is
+written to the stream itself. Folding a prefix, encoding and decoding the state, and
+folding the rest gives the same state as folding all records. This includes the
+offsets of the newest forgotten decisions and deletions, because these affect whether
+later records are void.
 """
 
 import random
 from collections.abc import Mapping, Sequence
 from typing import Any, NamedTuple, TypeVar
 
-from plantainyard.state.changes import RequestDecision
 from plantainyard.state.configuration import ConfigState, ConfigValue, HistoryEntry
 from plantainyard.state.domain import Claim, DomainState
+from plantainyard.state.fold_results import RequestDecision
 from plantainyard.state.jobs import (
     Assignment,
     Failure,
@@ -45,8 +46,8 @@
 
     Notes
     -----
-    The size goes with the assigned and the tried tasks; waiting and done ones cost
-    nothing each.
+    The size grows with the number of tasks that are assigned or wait for another
+    attempt. Other waiting tasks and done tasks don't add to it individually.
     """
     return {
         "next": state.next_offset,
@@ -63,12 +64,12 @@
 
 
 def decode_domain(data: Mapping[str, Any]) -> DomainState:
-    """Return the state that `encode_domain` wrote.
+    """Return the state encoded by `encode_domain`.
 
     Raises
     ------
     KeyError, TypeError, ValueError
-        If `data` is not such a state.
+        If `data` is not an encoded state.
     """
     state = DomainState()
     state.next_offset = data["next"]
@@ -93,7 +94,7 @@
 
 
 def _make(kind: type[_Tuple], fields: Sequence[Any]) -> _Tuple:
-    # A newer version may have appended fields; an older one reads what it knows.
+    # A newer version may have appended fields; ignore those that are not known here.
     return kind(*fields[: len(kind._fields)])  # type: ignore[attr-defined]
 
 
@@ -168,12 +169,12 @@
 
 
 def decode_config(data: Mapping[str, Any]) -> ConfigState:
-    """Return the state that `encode_config` wrote.
+    """Return the state encoded by `encode_config`.
 
     Raises
     ------
     KeyError, TypeError, ValueError
-        If `data` is not such a state.
+        If `data` is not an encoded state.
     """
     state = ConfigState()
     state.next_offset = data["next"]
@@ -190,19 +191,20 @@
 
 
 class SnapshotSettings(NamedTuple):
-    """When snapshots are written.
+    """Settings that determine when snapshots are written.
 
     Attributes
     ----------
     retention_s : float
-        Seconds that the log keeps a record at least.
+        Minimum seconds for which the log keeps a record.
     max_records : int
-        Records after which a snapshot is due whatever its age.
+        Number of records after which a snapshot is due whatever its age.
     low, high : float
-        An instance draws the age at which it writes between these fractions of the
-        retention. `high` leaves the rest of the retention to an outage of the log.
+        Each instance draws the age at which it writes a snapshot between these
+        fractions of the retention. The rest of the retention after `high` allows for
+        an outage of the log.
     retry_s : float
-        Seconds after a try before the next one.
+        Minimum seconds between two attempts to write a snapshot.
     """
 
     retention_s: float
@@ -213,26 +215,27 @@
 
 
 class SnapshotSchedule:
-    """Watches the age of one stream's newest snapshot.
+    """The age of one stream's newest snapshot and the time for the next one.
 
     Attributes
     ----------
     settings : SnapshotSettings
-        When snapshots are written.
+        Settings that determine when snapshots are written.
     rng : random.Random
-        Draws this instance's moments, so that not all instances write at once.
+        Randomizes the time of writing, so that not all instances write at once.
     base_offset : int
-        Records below are covered by the newest snapshot.
+        The newest snapshot covers the records below this offset.
     base_time_s : float or None
         The log's time of the oldest record that the snapshot doesn't cover, or of
-        the snapshot itself; None before any record was seen.
+        the snapshot itself; None before any record was read.
     skew_s : float
-        Greatest seen difference of a record's time from the time of reading it;
-        added to the own clock, it estimates the log's.
+        Greatest observed difference between a record's time and the time of reading
+        it; added to the instance's clock, it gives an estimate of the log's clock.
     factor : float
-        This instance's draw between the settings' `low` and `high`, over one.
-    tried_at : float
-        Time of the last try.
+        Random fraction between the settings' `low` and `high`, drawn anew for each
+        snapshot.
+    attempted_at : float
+        Time of the last attempt to write a snapshot.
     """
 
     def __init__(self, settings: SnapshotSettings, rng: random.Random) -> None:
@@ -245,37 +248,42 @@
         self.attempted_at = float("-inf")
 
 
-def observe_record(watch: SnapshotSchedule, time_s: float, now: float) -> None:
-    """Note that a record written at the log's `time_s` was read at `now`."""
-    watch.skew_s = max(watch.skew_s, time_s - now)
-    if watch.base_time_s is None:
-        watch.base_time_s = time_s
+def observe_record(schedule: SnapshotSchedule, time_s: float, now: float) -> None:
+    """Update the schedule for a record written at the log's `time_s`, read at `now`."""
+    schedule.skew_s = max(schedule.skew_s, time_s - now)
+    if schedule.base_time_s is None:
+        schedule.base_time_s = time_s
 
 
 def observe_snapshot(
-    watch: SnapshotSchedule, covers: int, time_s: float, now: float
+    schedule: SnapshotSchedule, covers: int, time_s: float, now: float
 ) -> None:
-    """Note a snapshot, whoever wrote it; call it for restored ones too."""
-    observe_record(watch, time_s, now)
-    if covers + 1 < watch.base_offset:
+    """Update the schedule for a snapshot that was read or restored.
+
+    It must be called for the snapshots of all instances.
+    """
+    observe_record(schedule, time_s, now)
+    if covers + 1 < schedule.base_offset:
         return
-    watch.base_offset = covers + 1
-    watch.base_time_s = time_s
-    watch.factor = watch.rng.uniform(watch.settings.low, watch.settings.high)
+    schedule.base_offset = covers + 1
+    schedule.base_time_s = time_s
+    schedule.factor = schedule.rng.uniform(
+        schedule.settings.low, schedule.settings.high
+    )
 
 
-def record_snapshot_attempt(watch: SnapshotSchedule, now: float) -> None:
-    """Note that this instance submitted a snapshot."""
-    watch.attempted_at = now
+def record_snapshot_attempt(schedule: SnapshotSchedule, now: float) -> None:
+    """Record that this instance submitted a snapshot."""
+    schedule.attempted_at = now
 
 
-def is_snapshot_due(watch: SnapshotSchedule, next_offset: int, now: float) -> bool:
-    """Tell whether this instance should write a snapshot now.
+def is_snapshot_due(schedule: SnapshotSchedule, next_offset: int, now: float) -> bool:
+    """Return whether this instance should write a snapshot now.
 
     Parameters
     ----------
-    watch : SnapshotWatch
-        The stream's watch.
+    schedule : SnapshotSchedule
+        The stream's snapshot schedule.
     next_offset : int
         The folded state's next offset.
     now : float
@@ -283,15 +291,15 @@
 
     Notes
     -----
-    An idle stream needs one too: its only snapshot would be forgotten with age.
-    Two instances that write at once do no harm. An instance that is not current
-    must not ask.
+    An idle stream needs new snapshots too, because its only snapshot would expire.
+    It is harmless if two instances write a snapshot at the same time. This must not be
+    called by an instance that is not current.
     """
-    settings = watch.settings
-    if watch.base_time_s is None or now - watch.attempted_at < settings.retry_s:
+    settings = schedule.settings
+    if schedule.base_time_s is None or now - schedule.attempted_at < settings.retry_s:
         return False
-    age = now + watch.skew_s - watch.base_time_s
-    if age >= watch.factor * settings.retention_s:
+    age = now + schedule.skew_s - schedule.base_time_s
+    if age >= schedule.factor * settings.retention_s:
         return True
-    portion = watch.factor / settings.high
-    return next_offset - watch.base_offset >= portion * settings.max_records
+    portion = schedule.factor / settings.high
+    return next_offset - schedule.base_offset >= portion * settings.max_records
--- a/plantainyard/state/tasks.py
+++ b/plantainyard/state/tasks.py
@@ -1,10 +1,10 @@
-"""Folding of records about tasks: assigned, ended and moved."""
+"""Folding of records that assign, end or move tasks."""
 
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from plantainyard.state.changes import FoldResult, VoidItem, VoidReason
 from plantainyard.state.domain import MAX_COMPLETED, DomainState
+from plantainyard.state.fold_results import FoldResult, VoidItem, VoidReason
 from plantainyard.state.jobs import (
     Assignment,
     Failure,
@@ -33,7 +33,7 @@
 
 
 def remove_waiting_job(state: DomainState, rack: str, job: str) -> None:
-    """Take `job` out of the rack's index of jobs with waiting tasks."""
+    """Remove `job` from the rack's index of jobs with waiting tasks."""
     jobs = state.waiting.get(rack, set())
     jobs.discard(job)
     if not jobs:
@@ -41,7 +41,7 @@
 
 
 def complete_job(state: DomainState, offset: int, entry: JobState) -> None:
-    """Keep only a summary of the job once all its tasks are done or cancelled."""
+    """Replace the job by its summary if all its tasks are done or cancelled."""
     job = entry.job
     if entry.done_count + entry.cancelled_count < job.task_count:
         return
@@ -65,10 +65,10 @@
 def _check_term(
     state: DomainState, offset: int, data: Mapping[str, Any]
 ) -> FoldResult | None:
-    """Return the verdict on a record of a past owner, None for the present one's.
+    """Return the result of a former owner's void record, None for the current owner's.
 
-    A paused owner's records may arrive after its rack was claimed by another, which
-    has already read where every task is. They must not change that.
+    Records of a paused owner may arrive after another owner has claimed its rack and
+    has read the state of every task. They must not change that state.
     """
     claim = state.claims.get(data["rack"])
     if claim is not None and claim.holder and claim.term == data.get("term"):
@@ -80,7 +80,7 @@
 def apply_assign(
     state: DomainState, offset: int, data: Mapping[str, Any]
 ) -> FoldResult:
-    """Fold an ``assign`` record; each item is judged alone."""
+    """Fold an ``assign`` record; each item is applied or void independently."""
     void_result = _check_term(state, offset, data)
     if void_result is not None:
         return void_result
@@ -97,9 +97,9 @@
 def _apply_items(
     kind: str, offset: int, items: Iterable[tuple[TaskKey, int, str]]
 ) -> FoldResult:
-    judged_items = list(items)
-    void = tuple(VoidItem(*item) for item in judged_items if item[2])
-    applied = len(void) < len(judged_items)
+    checked_items = list(items)
+    void = tuple(VoidItem(*item) for item in checked_items if item[2])
+    applied = len(void) < len(checked_items)
     reason = "" if applied or not void else void[0].reason
     return FoldResult(kind, offset, applied, reason, void=void)
 
@@ -112,8 +112,8 @@
     retry = remove_waiting(entry, rack, task.number)
     if retry is None:
         return VoidReason.NOT_WAITING
-    # A record of an earlier attempt that arrives late must not be taken for a new
-    # decision: the owner that wrote it has long known that the attempt ended.
+    # A delayed record of an earlier attempt must not be taken for a new assignment:
+    # the owner that wrote it has since learned that the attempt ended.
     if retry.attempts + 1 != item.attempt:
         _add_waiting(state, entry, rack, task.number, retry)
         return VoidReason.ATTEMPT
@@ -140,11 +140,11 @@
 def apply_results(
     state: DomainState, offset: int, data: Mapping[str, Any]
 ) -> FoldResult:
-    """Fold a ``results`` record of the present term; each item is judged alone."""
-    # A past owner concludes from what it knew that a lease lapsed or that an attempt
-    # never started; its successor may have renewed or started it since, and the next
-    # attempt would run beside it. What a worker told is not lost: it repeats it to the
-    # successor.
+    """Fold a ``results`` record of the rack's current term, item by item."""
+    # A former owner may conclude from outdated information that a lease lapsed or that
+    # an attempt never started. Its successor may have renewed or started it since, and
+    # the next attempt would run at the same time. Results reported by a worker aren't
+    # lost, because the worker reports them again to the successor.
     void_result = _check_term(state, offset, data)
     if void_result is not None:
         return void_result
@@ -170,8 +170,8 @@
     task, rack = parse_task(text), data["rack"]
     assigned = state.assigned.get(rack, {})
     assignment = assigned.get(task)
-    # A worker repeats a finished attempt until it is acknowledged, so its result
-    # may be written twice, the second time while the next attempt is running.
+    # A worker reports a finished attempt until it is acknowledged, so its result may
+    # be written twice, the second time while the next attempt is running.
     if assignment is None or assignment.attempt != attempt:
         return VoidReason.ATTEMPT
     del assigned[task]
@@ -204,7 +204,7 @@
 
 
 def apply_move(state: DomainState, offset: int, data: Mapping[str, Any]) -> FoldResult:
-    """Fold a ``move`` record; each task is judged alone."""
+    """Fold a ``move`` record; each task is moved or void independently."""
     void_result = _check_term(state, offset, data)
     if void_result is not None:
         return void_result
