--- a/plantainyard/state/checks.py
+++ b/plantainyard/state/checks.py
@@ -99,11 +99,7 @@
     counts = data["allotment"].values()
     if not all(_is_number(count, 0) for count in counts):
         return "invalid count in the allotment"
-    return (
-        ""
-        if sum(counts) == job.task_count
-        else "allotment does not sum to the task count"
-    )
+    return "" if sum(counts) == job.task_count else "allotment sum is not task_count"
 
 
 def _check_cancel(data: Mapping[str, Any]) -> str:
@@ -112,9 +108,7 @@
 
 
 def _check_strings(values: list[Any]) -> str:
-    return (
-        "" if all(isinstance(v, str) for v in values) else "not all entries are strings"
-    )
+    return "" if all(isinstance(v, str) for v in values) else "not only strings"
 
 
 def _check_claim(data: Mapping[str, Any]) -> str:
