--- a/plantainyard/dispatch/tests/test_dispatcher.py
+++ b/plantainyard/dispatch/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Runs of whole jobs in virtual time."""
+"""Tests of the dispatcher with whole jobs, in virtual time."""
 
 from plantainyard.dispatch.tests.world import World, make_step
 
@@ -7,40 +7,40 @@
     world = World()
     world.submit("a", make_step(3), make_step(2, after=(0,)))
     world.run(1.0)
-    assert len(world.starts("a")) == 3
+    assert len(world.list_starts("a")) == 3
     world.run(2.5)
-    assert len(world.starts("a")) == 5
-    assert world.ended("a") == "completed"
+    assert len(world.list_starts("a")) == 5
+    assert world.final_state("a") == "completed"
 
 
 def test_a_submission_that_comes_twice_runs_once():
-    # A caller lost the answer and sends the job again, at another instance; the copy
-    # is read after the job has ended.
+    # Guards against a job that runs again because a caller that didn't get the answer
+    # resubmits it at another instance, whose copy is read after the job has ended.
     world = World()
     world.submit("a", make_step(2))
     world.submit("a", make_step(2))
     world.run(3.0)
     world.submit("a", make_step(2))
     world.run(2.0)
-    assert len(world.starts("a")) == 2
+    assert len(world.list_starts("a")) == 2
 
 
 def test_a_start_is_stored_before_it_is_sent():
-    # The store is down when a job's turn comes. A runner must not hear of it: an owner
-    # that follows could not know where the task runs.
+    # Guards against a start that is sent while the store is down: a successor couldn't
+    # know where the task runs.
     world = World()
     world.store_down = True
     world.submit("a", make_step())
     world.run(1.0)
-    assert world.starts("a") == []
+    assert world.list_starts("a") == []
     world.store_down = False
     world.run(0.5)
-    assert len(world.starts("a")) == 1
+    assert len(world.list_starts("a")) == 1
 
 
 def test_an_end_is_acknowledged_only_once_it_is_stored():
-    # The store goes down while a task runs. Its end is listed by the runner until the
-    # store has it; acknowledged earlier it would be known to nobody after a crash.
+    # Guards against an end that nobody knows after a crash, because it was acknowledged
+    # while the store was down. Until it is stored the runner must list it.
     world = World(runners=1)
     world.submit("a", make_step(2))
     world.run(0.5)
@@ -50,7 +50,7 @@
     world.store_down = False
     world.run(0.5)
     assert world.runners["r0"].ends == []
-    assert world.ended("a") == "completed"
+    assert world.final_state("a") == "completed"
 
 
 def test_a_cancelled_job_stops_and_starts_nothing():
@@ -59,9 +59,9 @@
     world.run(0.5)
     world.cancel("a")
     world.run(2.0)
-    assert world.at_work("a") == []
-    assert len(world.starts("a")) == 2
-    assert world.ended("a") == "cancelled"
+    assert world.list_running("a") == []
+    assert len(world.list_starts("a")) == 2
+    assert world.final_state("a") == "cancelled"
 
 
 def test_a_task_that_fails_too_often_fails_its_job():
@@ -70,33 +70,33 @@
         runner.faults.fails_all = True
     world.submit("a", make_step(), max_attempts=3)
     world.run(20.0)
-    assert len(world.starts("a")) == 3
-    assert world.ended("a") == "failed"
+    assert len(world.list_starts("a")) == 3
+    assert world.final_state("a") == "failed"
 
 
-def test_a_bad_runner_does_not_use_a_task_s_attempts_up():
-    # One runner fails whatever it starts and is always free. The task must succeed
-    # elsewhere before its attempts are spent.
+def test_a_failing_runner_does_not_use_up_the_attempts_of_tasks():
+    # Guards against a runner that fails every task and is therefore always free: tasks
+    # must succeed elsewhere before their attempts are used up.
     world = World()
     world.runners["r0"].faults.fails_all = True
     for number in range(6):
         world.submit(f"a{number}", make_step(2), max_attempts=2)
     world.run(15.0)
-    assert {world.ended(f"a{n}") for n in range(6)} == {"completed"}
+    assert {world.final_state(f"a{n}") for n in range(6)} == {"completed"}
 
 
-def test_long_running_tasks_come_back_however_they_end():
+def test_long_running_tasks_restart_however_they_end():
     world = World()
     for runner in world.runners.values():
         runner.durations = {"a": 0.7}
     world.submit("a", make_step(2, long_running=True), max_attempts=1)
     world.run(6.0)
-    assert len(world.starts("a")) > 8
-    assert world.ended("a") == ""
+    assert len(world.list_starts("a")) > 8
+    assert world.final_state("a") == ""
 
 
-def test_no_runner_gets_more_than_it_holds():
-    # Runners of this service start whatever they are told to, also beyond their room.
+def test_no_runner_gets_more_than_its_capacity():
+    # Stand-in runners accept every start, even beyond their capacity.
     world = World(runners=2)
     world.submit("a", make_step(20, cpu=10_000))
     for _ in range(40):
@@ -104,10 +104,10 @@
         for runner in world.runners.values():
             assert len(runner.running) <= 6
     world.run(5.0)
-    assert world.ended("a") == "completed"
+    assert world.final_state("a") == "completed"
 
 
-def test_what_is_being_stopped_still_takes_room():
+def test_stopping_tasks_still_occupy_capacity():
     world = World(runners=1)
     world.runners["r0"].stop_s = 1.0
     world.submit("a", make_step(6, cpu=10_000))
@@ -115,9 +115,9 @@
     world.cancel("a")
     world.submit("b", make_step(6, cpu=10_000))
     world.run(0.5)
-    assert world.starts("b") == []
+    assert world.list_starts("b") == []
     world.run(1.5)
-    assert len(world.starts("b")) == 6
+    assert len(world.list_starts("b")) == 6
 
 
 def test_a_gang_starts_together_or_not_at_all():
@@ -126,35 +126,35 @@
     world.run(0.2)
     world.submit("a", make_step(4, cpu=30_000, gang=True))
     world.run(0.5)
-    assert world.starts("a") == []
+    assert world.list_starts("a") == []
     world.run(3.0)
-    times = {round(time, 1) for time, _, _ in world.starts("a")}
-    assert len(world.starts("a")) == 4
+    times = {round(time, 1) for time, _, _ in world.list_starts("a")}
+    assert len(world.list_starts("a")) == 4
     assert len(times) == 1
 
 
-def test_tasks_of_a_step_keep_their_distance():
+def test_tasks_of_a_step_are_limited_per_runner():
     world = World(runners=3)
     world.submit("a", make_step(5, max_per_runner=1))
     world.run(0.5)
     assert sorted(len(r.running) for r in world.runners.values()) == [1, 1, 1]
     world.run(3.0)
-    assert world.ended("a") == "completed"
+    assert world.final_state("a") == "completed"
 
 
-def test_a_task_starts_only_where_its_label_is():
+def test_a_task_starts_only_on_a_runner_with_the_required_label():
     world = World(runners=3)
     world.runners["r2"].labels = ("b", "r1-1")
-    world.announce()
+    world.publish_entries()
     world.submit("a", make_step(4, requires="b"))
     world.run(0.5)
     assert len(world.runners["r2"].running) == 4
 
 
-def test_a_task_starts_near_its_data():
+def test_a_task_starts_in_its_preferred_rack():
     world = World(runners=3, remote_factor=3.0)
     world.runners["r1"].labels = ("a", "r1-2")
-    world.announce()
+    world.publish_entries()
     world.submit("a", make_step(4, preferred_rack="r1-2"))
     world.run(0.5)
     assert len(world.runners["r1"].running) == 4
@@ -163,7 +163,7 @@
 def test_nothing_starts_on_a_draining_runner():
     world = World(runners=2)
     world.runners["r0"].draining = True
-    world.announce()
+    world.publish_entries()
     world.submit("a", make_step(4))
     world.run(0.5)
     assert world.runners["r0"].started == []
@@ -174,16 +174,16 @@
     start_ms = round(world.now * 1000) + 1000
     world.submit("a", make_step(), times=2, start_at_ms=start_ms, interval_ms=2000)
     world.run(0.8)
-    assert world.starts("a") == []
+    assert world.list_starts("a") == []
     world.run(5.0)
-    times = [time for time, _, _ in world.starts("a")]
+    times = [time for time, _, _ in world.list_starts("a")]
     assert [round(t * 10) for t in times] == [1012, 1032]
-    assert world.ended("a") == "completed"
+    assert world.final_state("a") == "completed"
 
 
 def test_long_running_tasks_leave_a_draining_runner():
-    # A runner reports that it is draining and leaves seconds later, with everything
-    # on it. The service would be without its tasks until somebody notices.
+    # Guards against a service without its tasks until a drained runner is found to be
+    # lost: it leaves seconds after it started to drain, with everything on it.
     world = World(runners=2)
     for runner in world.runners.values():
         runner.durations = {"a": 0.0}
@@ -191,14 +191,14 @@
     world.run(1.0)
     (home,) = {n for n, r in world.runners.items() if r.running}
     world.runners[home].draining = True
-    world.announce()
+    world.publish_entries()
     world.run(1.5)
     assert not world.runners[home].running
-    assert len(world.at_work("a")) == 2
+    assert len(world.list_running("a")) == 2
 
 
-def test_a_task_that_stands_still_is_started_elsewhere():
-    # Tasks on one runner make no progress, and the runner reports nothing wrong.
+def test_a_stalled_task_is_started_elsewhere():
+    # Guards against tasks that stall forever on a runner that reports no fault.
     world = World(runners=2)
     for runner in world.runners.values():
         runner.faults.stands_still = True
@@ -208,12 +208,12 @@
     for name, runner in world.runners.items():
         runner.faults.stands_still = name == home
     world.run(6.0)
-    assert world.ended("a") == "completed"
+    assert world.final_state("a") == "completed"
 
 
-def test_a_gap_that_short_jobs_use_by_turns_isnt_given_away_for_good():
-    # One runner is full but for a gap in which short jobs run one after the other. A
-    # long-running task that waits for room would close it at the first pause.
+def test_a_gap_in_use_by_short_jobs_is_not_given_to_a_long_running_task():
+    # Guards against a long-running task that occupies the last gap of a runner in the
+    # first pause between the short jobs that use it one after the other.
     world = World(runners=1)
     world.runners["r0"].durations = {"full": 0.0, "lasting": 0.0}
     world.submit("full", make_step(cpu=60_000, long_running=True))
@@ -223,15 +223,16 @@
         if number == 0:
             world.submit("lasting", make_step(cpu=4_000, long_running=True))
         world.run(1.5)
-        assert world.ended(f"short{number}") == "completed"
-        assert world.starts("lasting") == []
+        assert world.final_state(f"short{number}") == "completed"
+        assert world.list_starts("lasting") == []
     world.run(1.6)
-    assert len(world.at_work("lasting")) == 1
+    assert len(world.list_running("lasting")) == 1
 
 
-def test_a_gang_that_finds_no_room_counts_as_waiting():
-    # How long its tasks have waited decides which places will do. Taken to have waited
-    # for ever, a backfilling gang went at once where its neighbours stop it.
+def test_a_gang_without_capacity_counts_as_waiting():
+    # The time that tasks have waited determines which places are acceptable. Guards
+    # against a backfill gang without that time, which was placed at once on runners
+    # whose serving tasks force it to stop.
     world = World(runners=1)
     world.submit("a", make_step(4, gang=True, backfill=True, max_per_runner=1))
     world.run(0.5)
