--- a/bench/cost.py
+++ b/bench/cost.py
@@ -91,7 +91,7 @@
     source = random.Random(seed)
     state = _create_busy_state(workers, source)
     now = 500.0
-    running = sum(len(worker.placed) for worker in state.ring)
+    running = sum(len(worker.placed) for worker in state.active_workers)
     begun = time.process_time()
     for _ in range(rounds):
         step(state, Tick(), now)
@@ -110,11 +110,11 @@
 
 
 def _measure_reports(state: PlacementState, now: float, source: random.Random) -> float:
-    placements = [p for worker in state.ring for p in worker.placed.values()]
+    placements = [p for worker in state.active_workers for p in worker.placed.values()]
     chosen = source.sample(placements, min(300, len(placements)))
     begun = time.process_time()
     for p in chosen:
-        latency = 10.0 if p.owner.job.latency_critical else 0.0
+        latency = 10.0 if p.job_state.job.latency_critical else 0.0
         event = UsageReported(p.worker, p.key, now - 3.0, 6.0, 12.0, latency)
         step(state, event, now)
     return (time.process_time() - begun) / len(chosen)
@@ -124,12 +124,12 @@
     state: PlacementState, now: float, number: int, source: random.Random
 ) -> int:
     """End a share of the tasks, let as many jobs arrive, and decide."""
-    count = max(4, len(state.ring) // 5)
+    count = max(4, len(state.active_workers) // 5)
     batch = [
         (p.key, p.attempt, p.worker)
-        for worker in state.ring
+        for worker in state.active_workers
         for p in worker.placed.values()
-        if not p.owner.job.latency_critical
+        if not p.job_state.job.latency_critical
     ]
     for key, attempt, worker in source.sample(batch, min(count, len(batch))):
         step(state, TaskEnded(TaskKey(*key), attempt, worker, Outcome.DONE), now)
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -23,21 +23,21 @@
 
 
 def _first_fit(
-    state: PlacementState, owner: JobState, worker: WorkerState, now: float
+    state: PlacementState, job_state: JobState, worker: WorkerState, now: float
 ) -> float:
-    return float(state.ring.index(worker))
+    return float(state.active_workers.index(worker))
 
 
 def _least_loaded(
-    state: PlacementState, owner: JobState, worker: WorkerState, now: float
+    state: PlacementState, job_state: JobState, worker: WorkerState, now: float
 ) -> float:
-    return worker.used[0] / worker.info.capacity.cores
+    return worker.allocated[0] / worker.info.capacity.cores
 
 
 def _best_fit(
-    state: PlacementState, owner: JobState, worker: WorkerState, now: float
+    state: PlacementState, job_state: JobState, worker: WorkerState, now: float
 ) -> float:
-    return 1.0 - worker.used[0] / worker.info.capacity.cores
+    return 1.0 - worker.allocated[0] / worker.info.capacity.cores
 
 
 def _make_baseline(cost: Callable[..., float]) -> Policy:
@@ -45,16 +45,16 @@
         Rules(
             cost,
             learns_sizes=False,
-            learns_harm=False,
-            acts=False,
-            judges_workers=False,
+            learns_interference=False,
+            mitigates_interference=False,
+            quarantines_workers=False,
         )
     )
 
 
 POLICIES = {
     "own": Policy(Rules(compute_cost)),
-    "own-no-harm": Policy(Rules(compute_cost, learns_harm=False)),
+    "own-no-harm": Policy(Rules(compute_cost, learns_interference=False)),
     "own-no-hysteresis": Policy(Rules(compute_cost, hysteresis=False)),
     "first-fit": _make_baseline(_first_fit),
     "least-loaded": _make_baseline(_least_loaded),
@@ -72,4 +72,4 @@
     def predict(victim: str, aggressor: str) -> float:
         return harm.get((victim, aggressor), 0.0)
 
-    return policy.rules._replace(predict_harm=predict)
+    return policy.rules._replace(predict_slowdown=predict)
--- a/plantainyard/placement/accounting.py
+++ b/plantainyard/placement/accounting.py
@@ -5,7 +5,7 @@
     Placement,
     PlacementState,
     Span,
-    Waiting,
+    WaitingTask,
     WorkerState,
 )
 from plantainyard.work import Job, Size, TaskKey
@@ -14,10 +14,10 @@
     "drop_idle_job",
     "find_placement",
     "get_job",
-    "list_residents",
+    "list_occupants",
     "occupy",
-    "rebuild_ring",
-    "set_reserved",
+    "rebuild_active_workers",
+    "update_task_sizes",
     "vacate",
 ]
 
@@ -31,24 +31,24 @@
 
 
 def occupy(
-    state: PlacementState, owner: JobState, task: Waiting, worker: WorkerState
+    state: PlacementState, job_state: JobState, task: WaitingTask, worker: WorkerState
 ) -> Placement:
     """Let `task` occupy `worker` from now on, before any answer is known."""
-    placement = Placement(owner, task, worker.info.id, state.now)
-    owner.placed[task.number] = placement
+    placement = Placement(job_state, task, worker.info.id, state.now)
+    job_state.placed[task.number] = placement
     worker.placed[placement.key] = placement
-    worker.services += owner.job.latency_critical
+    worker.service_count += job_state.job.latency_critical
     for i in range(3):
-        worker.used[i] += owner.reserved[i]
-    worker.expected += owner.expected.cores
+        worker.allocated[i] += job_state.reserved[i]
+    worker.expected_cores += job_state.expected.cores
     worker.profile = None
     rack = worker.info.rack
-    owner.racks[rack] = owner.racks.get(rack, 0) + 1
-    worker.spans[placement.key] = Span(state.now, placement.key, owner.workload)
-    _charge_team(state, owner, 1)
-    if worker.probing and worker.probe is None:
-        worker.probe = placement.key
-    if worker.reserved_for == owner.job.id:
+    job_state.racks[rack] = job_state.racks.get(rack, 0) + 1
+    worker.spans[placement.key] = Span(state.now, placement.key, job_state.workload)
+    _charge_team(state, job_state, 1)
+    if worker.probing and worker.probe_task is None:
+        worker.probe_task = placement.key
+    if worker.reserved_for == job_state.job.id:
         worker.reserved_tasks -= 1
         if worker.reserved_tasks <= 0:
             worker.reserved_for = ""
@@ -57,63 +57,66 @@
 
 def vacate(state: PlacementState, placement: Placement) -> None:
     """Free what `placement` occupies."""
-    owner = placement.owner
-    del owner.placed[placement.number]
-    _charge_team(state, owner, -1)
-    state.room_version += 1
+    job_state = placement.job_state
+    del job_state.placed[placement.number]
+    _charge_team(state, job_state, -1)
+    state.capacity_version += 1
     worker = state.workers.get(placement.worker)
     if worker is None or worker.placed.pop(placement.key, None) is None:
         return
     worker.profile = None
-    owner.racks[worker.info.rack] = owner.racks.get(worker.info.rack, 1) - 1
-    worker.services -= owner.job.latency_critical
-    worker.pressure.pop(placement.key, None)
+    job_state.racks[worker.info.rack] = job_state.racks.get(worker.info.rack, 1) - 1
+    worker.service_count -= job_state.job.latency_critical
+    worker.latency_ratios.pop(placement.key, None)
     worker.recount()
-    if worker.probe == placement.key:
-        worker.probe = None
+    if worker.probe_task == placement.key:
+        worker.probe_task = None
     span = worker.spans.pop(placement.key, None)
     if span is not None:
-        worker.past.append((state.now, span))
-    while worker.past and worker.past[0][0] < state.now - state.settings.history_s:
-        worker.past.popleft()
+        worker.past_spans.append((state.now, span))
+    while (
+        worker.past_spans
+        and worker.past_spans[0][0] < state.now - state.settings.history_s
+    ):
+        worker.past_spans.popleft()
     if not worker.listed and not worker.placed:
         del state.workers[worker.info.id]
-        rebuild_ring(state)
+        rebuild_active_workers(state)
 
 
-def _charge_team(state: PlacementState, owner: JobState, sign: int) -> None:
-    used = state.team_used.setdefault(owner.job.team, [0.0, 0.0, 0.0])
+def _charge_team(state: PlacementState, job_state: JobState, sign: int) -> None:
+    used = state.team_used.setdefault(job_state.job.team, [0.0, 0.0, 0.0])
     for i in range(3):
-        used[i] += sign * owner.job.size[i]
+        used[i] += sign * job_state.job.size[i]
 
 
-def set_reserved(
-    state: PlacementState, owner: JobState, reserved: Size, expected: Size
+def update_task_sizes(
+    state: PlacementState, job_state: JobState, reserved: Size, expected: Size
 ) -> None:
     """Reckon with new sizes for each task of a job, on its workers too."""
-    owner.reserved = reserved
-    owner.expected = expected
-    state.room_version += 1
-    hosts = {placement.worker for placement in owner.placed.values()}
+    job_state.reserved = reserved
+    job_state.expected = expected
+    state.capacity_version += 1
+    hosts = {placement.worker for placement in job_state.placed.values()}
     for worker in filter(None, map(state.workers.get, hosts)):
         worker.recount()
 
 
-def drop_idle_job(state: PlacementState, owner: JobState) -> None:
+def drop_idle_job(state: PlacementState, job_state: JobState) -> None:
     """Forget a job that neither waits nor runs, and is not given up."""
-    if owner.waiting or owner.placed or owner.given_up:
+    if job_state.waiting or job_state.placed or job_state.given_up:
         return
-    state.jobs.pop(owner.job.id, None)
+    state.jobs.pop(job_state.job.id, None)
     for worker in state.workers.values():
-        if worker.reserved_for == owner.job.id:
+        if worker.reserved_for == job_state.job.id:
             worker.reserved_for = ""
 
 
-def rebuild_ring(state: PlacementState) -> None:
+def rebuild_active_workers(state: PlacementState) -> None:
     """Renew the list of workers that may take tasks."""
-    state.ring = [w for _, w in sorted(state.workers.items()) if w.listed]
-    state.room_version += 1
-    sizes = [worker.info.capacity for worker in state.ring]
+    state.active_workers = [w for _, w in sorted(state.workers.items()) if w.listed]
+    state.capacity_version += 1
+    sizes = [worker.info.capacity for worker in state.active_workers]
     state.capacity = Size(
         sum(size.cores for size in sizes),
         sum(size.memory_gb for size in sizes),
@@ -121,14 +124,16 @@
     )
 
 
-def list_residents(worker: WorkerState, time_s: float) -> list[Span]:
+def list_occupants(worker: WorkerState, time_s: float) -> list[Span]:
     """Return what occupied `worker` at `time_s`, as far back as remembered."""
     present = [span for span in worker.spans.values() if span.start <= time_s]
-    past = [span for ended, span in worker.past if span.start <= time_s < ended]
-    return present + past
+    past_spans = [
+        span for ended, span in worker.past_spans if span.start <= time_s < ended
+    ]
+    return present + past_spans
 
 
 def find_placement(state: PlacementState, task: TaskKey) -> Placement | None:
     """Return the placement of `task`, or None."""
-    owner = state.jobs.get(task.job)
-    return owner.placed.get(task.number) if owner else None
+    job_state = state.jobs.get(task.job)
+    return job_state.placed.get(task.number) if job_state else None
--- a/plantainyard/placement/eviction.py
+++ b/plantainyard/placement/eviction.py
@@ -7,7 +7,7 @@
 
 from plantainyard.placement.actions import Action, Checkpoint, Throttle
 from plantainyard.placement.filters import check_worker
-from plantainyard.placement.harm import predict_harm
+from plantainyard.placement.interference import predict_slowdown
 from plantainyard.placement.quotas import get_excess
 from plantainyard.placement.state import (
     JobState,
@@ -17,24 +17,24 @@
 )
 
 __all__ = [
-    "act_on_harm",
+    "mitigate_interference",
     "compute_loss",
     "evict",
-    "get_ratio_limit",
-    "hold_worker",
-    "make_room",
+    "get_latency_ratio_limit",
+    "reserve_worker",
+    "evict_for_urgent",
 ]
 
-_LEAST_SHARE = 0.25
-_HOLD_S = 15.0
-_SLACK = 1e-6
-_ROUNDS = 16
+_MIN_CORE_SHARE = 0.25
+_RESERVATION_S = 15.0
+_EPSILON = 1e-6
+_MAX_TASKS_PER_CALL = 16
 
 
 def compute_loss(placement: Placement, now: float) -> float:
     """Return what an eviction costs: cores times the time that a resume repeats."""
     return (
-        placement.owner.job.size.cores
+        placement.job_state.job.size.cores
         * (1.0 + placement.evictions)
         * (10.0 + 0.1 * (now - placement.placed_at))
     )
@@ -52,86 +52,93 @@
         for placement in worker.placed.values()
         if not placement.ending
         and placement.started_at is not None
-        and not placement.owner.job.latency_critical
-        and not placement.owner.job.urgent
+        and not placement.job_state.job.latency_critical
+        and not placement.job_state.job.urgent
     ]
 
 
-def _get_harm(
+def _estimate_caused_slowdown(
     state: PlacementState, worker: WorkerState, placement: Placement
 ) -> float:
     victims = (
-        other.owner.workload
+        other.job_state.workload
         for other in worker.placed.values()
-        if other.owner.job.latency_critical
+        if other.job_state.job.latency_critical
     )
     share = placement.cores / worker.info.capacity.cores
     rates = (
-        predict_harm(state.harm, victim, placement.owner.workload) for victim in victims
+        predict_slowdown(state.interference, victim, placement.job_state.workload)
+        for victim in victims
     )
     return share * sum(rates)
 
 
-def act_on_harm(state: PlacementState, now: float) -> list[Action]:
+def mitigate_interference(state: PlacementState, now: float) -> list[Action]:
     """Return the steps against harm on all workers."""
-    if not state.rules.acts:
+    if not state.rules.mitigates_interference:
         return []
     actions: list[Action] = []
-    for worker in state.ring:
-        if worker.services and worker.pressure:
-            actions += _act_on_worker(state, worker, now)
-        elif not worker.services:
+    for worker in state.active_workers:
+        if worker.service_count and worker.latency_ratios:
+            actions += _mitigate_on_worker(state, worker, now)
+        elif not worker.service_count:
             actions += _lift_limits(worker, now)
     return actions
 
 
-def get_ratio_limit(state: PlacementState) -> float:
+def get_latency_ratio_limit(state: PlacementState) -> float:
     """Return the relative latency above which harm is acted upon, by the weights."""
     weights = state.weights
-    favour = weights.throughput / max(weights.tail, 1e-9)
-    return 1.0 + max(0.3, min(5.0, state.settings.tolerance * favour))
+    weight_ratio = weights.throughput / max(weights.tail, 1e-9)
+    return 1.0 + max(0.3, min(5.0, state.settings.tolerance * weight_ratio))
 
 
-def _act_on_worker(
+def _mitigate_on_worker(
     state: PlacementState, worker: WorkerState, now: float
 ) -> list[Action]:
     settings = state.settings
-    limit = get_ratio_limit(state)
-    patience = settings.patience_s if state.rules.hysteresis else 0.0
-    if now - worker.acted_at < patience:
+    limit = get_latency_ratio_limit(state)
+    min_interval_s = settings.patience_s if state.rules.hysteresis else 0.0
+    if now - worker.mitigated_at < min_interval_s:
         return []
-    ratio = max(worker.pressure.values())
-    calm = 1.0 + (limit - 1.0) * (0.5 if state.rules.hysteresis else 1.0)
+    ratio = max(worker.latency_ratios.values())
+    lift_limit = 1.0 + (limit - 1.0) * (0.5 if state.rules.hysteresis else 1.0)
     if ratio > limit:
-        return _relieve(state, worker, now)
-    if ratio < calm:
+        return _reduce_interference(state, worker, now)
+    if ratio < lift_limit:
         return _lift_limits(worker, now)
     return []
 
 
-def _relieve(state: PlacementState, worker: WorkerState, now: float) -> list[Action]:
+def _reduce_interference(
+    state: PlacementState, worker: WorkerState, now: float
+) -> list[Action]:
     ranked = sorted(
         (
-            (_get_harm(state, worker, p) / compute_loss(p, now), p.key, p)
+            (
+                _estimate_caused_slowdown(state, worker, p) / compute_loss(p, now),
+                p.key,
+                p,
+            )
             for p in _list_evictable(worker)
         ),
         key=lambda item: (-item[0], item[1]),
     )
     if not ranked:
         return []
-    worker.acted_at = now
+    worker.mitigated_at = now
     for _, key, placement in ranked:
-        if placement.share > _LEAST_SHARE:
-            placement.share = max(_LEAST_SHARE, placement.share / 2.0)
-            placement.limited_at = now
+        if placement.share > _MIN_CORE_SHARE:
+            placement.share = max(_MIN_CORE_SHARE, placement.share / 2.0)
+            placement.throttled_at = now
             worker.profile = None
             return [Throttle(key, placement.attempt, placement.worker, placement.share)]
     pause = state.settings.evict_pause_s if state.rules.hysteresis else 0.0
     if now - worker.evicted_at < pause:
         return []
     for _, _, placement in ranked:
-        many = placement.evictions >= state.settings.evictions_max
-        if not (many and state.rules.hysteresis):
+        limit_reached = placement.evictions >= state.settings.evictions_max
+        if not (limit_reached and state.rules.hysteresis):
             worker.evicted_at = now
             return [evict(placement, "harms a service")]
     return []
@@ -148,13 +155,15 @@
     placement = min(limited, key=lambda p: (p.share, p.key))
     placement.share = min(1.0, placement.share * 2.0)
     worker.profile = None
-    worker.acted_at = now
+    worker.mitigated_at = now
     return [
         Throttle(placement.key, placement.attempt, placement.worker, placement.share)
     ]
 
 
-def make_room(state: PlacementState, owner: JobState, now: float) -> list[Action]:
+def evict_for_urgent(
+    state: PlacementState, job_state: JobState, now: float
+) -> list[Action]:
     """Evict the cheapest batch tasks that let the waiting urgent tasks of a job in.
 
     Notes
@@ -163,13 +172,18 @@
     can't slip into the room and cause a second round of evictions. Where the team's
     quota is what lacks, only tasks of the team are evicted.
     """
-    held = [worker for worker in state.ring if worker.reserved_for == owner.job.id]
+    held = [
+        worker
+        for worker in state.active_workers
+        if worker.reserved_for == job_state.job.id
+    ]
     promised = sum(worker.reserved_tasks for worker in held)
     actions: list[Action] = []
-    for _ in range(min(owner.waiting - promised, _ROUNDS)):
-        excess = _get_pending_excess(state, owner, promised + 1)
+    for _ in range(min(job_state.waiting - promised, _MAX_TASKS_PER_CALL)):
+        excess = _get_pending_excess(state, job_state, promised + 1)
         choices = (
-            _price_room(state, owner, worker, excess, now) for worker in state.ring
+            _price_evictions(state, job_state, worker, excess, now)
+            for worker in state.active_workers
         )
         cheapest = min(
             (choice for choice in choices if choice is not None),
@@ -179,43 +193,45 @@
         if cheapest is None:
             break
         _, _, worker, victims = cheapest
-        hold_worker(owner, worker, now + _HOLD_S, worker.reserved_tasks + 1)
+        reserve_worker(
+            job_state, worker, now + _RESERVATION_S, worker.reserved_tasks + 1
+        )
         promised += 1
-        actions += [evict(p, f"room for urgent {owner.job.id}") for p in victims]
+        actions += [evict(p, f"room for urgent {job_state.job.id}") for p in victims]
     return actions
 
 
 def _get_pending_excess(
-    state: PlacementState, owner: JobState, tasks: int
+    state: PlacementState, job_state: JobState, tasks: int
 ) -> list[float]:
     """Return what the quota lacks once the tasks that are ending have ended."""
-    excess = get_excess(state, owner, tasks)
+    excess = get_excess(state, job_state, tasks)
     if max(excess) <= 0.0:
         return excess
-    team = owner.job.team
+    team = job_state.job.team
     ending = [
-        placement.owner.job.size
-        for worker in state.ring
+        placement.job_state.job.size
+        for worker in state.active_workers
         for placement in worker.placed.values()
-        if placement.ending and placement.owner.job.team == team
+        if placement.ending and placement.job_state.job.team == team
     ]
     return [lack - sum(size[i] for size in ending) for i, lack in enumerate(excess)]
 
 
-def hold_worker(
-    owner: JobState, worker: WorkerState, until: float, tasks: int = 1
+def reserve_worker(
+    job_state: JobState, worker: WorkerState, until: float, tasks: int = 1
 ) -> None:
     """Keep a worker's room for `tasks` of one job until a given time."""
-    worker.reserved_for = owner.job.id
+    worker.reserved_for = job_state.job.id
     worker.reserved_tasks = tasks
-    worker.reserved_size = owner.reserved
+    worker.reserved_size = job_state.reserved
     worker.reserved_until = until
-    owner.holds += 1
+    job_state.reserved_workers += 1
 
 
-def _price_room(
+def _price_evictions(
     state: PlacementState,
-    owner: JobState,
+    job_state: JobState,
     worker: WorkerState,
     excess: list[float],
     now: float,
@@ -224,43 +240,45 @@
         worker.suspect
         or worker.info.leaving
         or worker.quarantined_until is not None
-        or worker.reserved_for not in ("", owner.job.id)
-        or check_worker(owner.job, worker.info) is not None
+        or worker.reserved_for not in ("", job_state.job.id)
+        or check_worker(job_state.job, worker.info) is not None
     )
     if blocked:
         return None
     capacity = worker.info.capacity
     tasks = 1 + (worker.reserved_tasks if worker.reserved_for else 0)
-    ending = [p.owner for p in worker.placed.values() if p.ending]
+    ending = [p.job_state for p in worker.placed.values() if p.ending]
     lacking = [
         *(
-            worker.used[i]
+            worker.allocated[i]
             - sum(other.reserved[i] for other in ending)
-            + tasks * owner.reserved[i]
+            + tasks * job_state.reserved[i]
             - capacity[i]
             for i in range(3)
         ),
-        worker.expected
+        worker.expected_cores
         - sum(other.expected.cores for other in ending)
-        + tasks * owner.expected.cores
+        + tasks * job_state.expected.cores
         - capacity.cores * state.settings.crowd_max,
         *excess,
     ]
-    own_team = max(excess) > _SLACK
+    own_team = max(excess) > _EPSILON
     victims: list[Placement] = []
     price = 0.0
     for loss, placement in _list_losses(worker, now):
-        other = placement.owner
-        if max(lacking) <= _SLACK:
+        other = placement.job_state
+        if max(lacking) <= _EPSILON:
             break
-        if own_team and other.job.team != owner.job.team:
+        if own_team and other.job.team != job_state.job.team:
             continue
         freed = (*other.reserved, other.expected.cores, *other.job.size)
-        if any(lack > _SLACK < size for lack, size in zip(lacking, freed, strict=True)):
+        if any(
+            lack > _EPSILON < size for lack, size in zip(lacking, freed, strict=True)
+        ):
             victims.append(placement)
             price += loss
             lacking = [a - b for a, b in zip(lacking, freed, strict=True)]
-    if max(lacking) > _SLACK:
+    if max(lacking) > _EPSILON:
         return None
     return price, worker.info.id, worker, victims
 
--- a/plantainyard/placement/explanation.py
+++ b/plantainyard/placement/explanation.py
@@ -64,53 +64,56 @@
     -----
     Costs a look at every worker; meant for operators' questions, not for decisions.
     """
-    owner = state.jobs.get(task.job)
-    if owner is None:
+    job_state = state.jobs.get(task.job)
+    if job_state is None:
         return Explanation("unknown", "", "no such job here", 0, ())
     verdicts = tuple(
         sorted(
-            (_judge(state, owner, worker) for worker in state.ring),
+            (
+                _assess_worker(state, job_state, worker)
+                for worker in state.active_workers
+            ),
             key=lambda verdict: (bool(verdict.failing), verdict.cost, verdict.worker),
         )
     )
-    placement = owner.placed.get(task.number)
+    placement = job_state.placed.get(task.number)
     if placement is not None:
         phase = "running" if placement.started_at is not None else "being started"
         return Explanation("placed", placement.worker, phase, 0, verdicts)
-    if owner.given_up:
-        return Explanation("given up", "", owner.last_error, 0, verdicts)
-    if not owner.knows(task.number):
+    if job_state.given_up:
+        return Explanation("given up", "", job_state.last_error, 0, verdicts)
+    if not job_state.has_task(task.number):
         return Explanation(
             "unknown", "", "neither waiting nor placed here", 0, verdicts
         )
-    infos = [worker.info for worker in state.ring]
-    never = check_possible(owner.job, infos, state.shares.get(owner.job.team))
+    infos = [worker.info for worker in state.active_workers]
+    never = check_possible(job_state.job, infos, state.quotas.get(job_state.job.team))
     if never is not None:
         return Explanation("impossible", "", never, 0, verdicts)
-    place = _find_place(state, owner)
-    reason = owner.reason or _find_reason(state, owner, verdicts)
+    place = _find_queue_position(state, job_state)
+    reason = job_state.reason or _find_reason(state, job_state, verdicts)
     return Explanation("waiting", "", reason, place, verdicts)
 
 
-def _judge(
-    state: PlacementState, owner: JobState, worker: WorkerState
+def _assess_worker(
+    state: PlacementState, job_state: JobState, worker: WorkerState
 ) -> WorkerVerdict:
-    parts = compute_parts(state, owner, worker, state.now)
-    failing = check_now(owner, worker, state.settings.crowd_max) or ""
+    parts = compute_parts(state, job_state, worker, state.now)
+    failing = check_now(job_state, worker, state.settings.crowd_max) or ""
     return WorkerVerdict(worker.info.id, failing, sum(parts), parts._asdict())
 
 
-def _find_place(state: PlacementState, owner: JobState) -> int:
+def _find_queue_position(state: PlacementState, job_state: JobState) -> int:
     order = list_order(state, state.now)
-    return next((i for i, other in enumerate(order, 1) if other is owner), 0)
+    return next((i for i, other in enumerate(order, 1) if other is job_state), 0)
 
 
 def _find_reason(
-    state: PlacementState, owner: JobState, verdicts: tuple[WorkerVerdict, ...]
+    state: PlacementState, job_state: JobState, verdicts: tuple[WorkerVerdict, ...]
 ) -> str:
-    if not check_quota(state, owner):
+    if not check_quota(state, job_state):
         return "team quota"
-    if owner.next_waiting(state.now) is None:
+    if job_state.peek_waiting(state.now) is None:
         return "backing off"
     if all(verdict.failing for verdict in verdicts):
         return "no room"
--- a/plantainyard/placement/filters.py
+++ b/plantainyard/placement/filters.py
@@ -13,8 +13,8 @@
     "find_candidates",
 ]
 
-_SLACK = 1e-6
-_URGENT_CROWD = 0.2
+_EPSILON = 1e-6
+_URGENT_OVERCOMMIT = 0.2
 
 
 def check_worker(job: Job, worker: WorkerInfo) -> str | None:
@@ -28,9 +28,9 @@
         return "accelerator"
     if job.size.accelerators > worker.capacity.accelerators:
         return "accelerator count"
-    if job.size.cores > worker.capacity.cores + _SLACK:
+    if job.size.cores > worker.capacity.cores + _EPSILON:
         return "cores"
-    if job.size.memory_gb > worker.capacity.memory_gb + _SLACK:
+    if job.size.memory_gb > worker.capacity.memory_gb + _EPSILON:
         return "memory"
     return None
 
@@ -83,7 +83,7 @@
         failing = {check_worker(job, worker) or "" for worker in known}
         return max(failing, key=lambda name: ranks[name]) if failing else "no workers"
     tasks = job.task_count if job.gang else 1
-    if share is not None and not _is_within(_scale(job.size, tasks), share):
+    if share is not None and not _fits_within(_scale(job.size, tasks), share):
         return "team quota"
     if sum(count_fits(job.size, worker.capacity) for worker in fitting) < tasks:
         return "gang size"
@@ -94,8 +94,8 @@
     return Size(size.cores * count, size.memory_gb * count, size.accelerators * count)
 
 
-def _is_within(need: Size, room: Size) -> bool:
-    return all(n <= r + _SLACK for n, r in zip(need, room, strict=True))
+def _fits_within(need: Size, room: Size) -> bool:
+    return all(n <= r + _EPSILON for n, r in zip(need, room, strict=True))
 
 
 def count_fits(size: Size, capacity: Size) -> int:
@@ -103,7 +103,7 @@
     return int(
         min(
             (
-                (room + _SLACK) // need
+                (room + _EPSILON) // need
                 for need, room in zip(size, capacity, strict=True)
                 if need > 0
             ),
@@ -112,7 +112,9 @@
     )
 
 
-def check_now(owner: JobState, worker: WorkerState, crowd: float = 1.0) -> str | None:
+def check_now(
+    job_state: JobState, worker: WorkerState, crowd: float = 1.0
+) -> str | None:
     """Return why a task of the job can't start on `worker` now, or None.
 
     Notes
@@ -126,31 +128,31 @@
     if worker.suspect:
         return "not answering"
     if worker.quarantined_until is not None and not (
-        worker.probing and worker.probe is None
+        worker.probing and worker.probe_task is None
     ):
         return "quarantined"
-    need = owner.reserved
-    used = worker.used
-    if worker.reserved_for and worker.reserved_for != owner.job.id:
+    need = job_state.reserved
+    used = worker.allocated
+    if worker.reserved_for and worker.reserved_for != job_state.job.id:
         held, tasks = worker.reserved_size, worker.reserved_tasks
         if any(
-            used[i] + need[i] + tasks * held[i] > info.capacity[i] + _SLACK
+            used[i] + need[i] + tasks * held[i] > info.capacity[i] + _EPSILON
             for i in range(3)
         ):
             return "held for a job that waited long"
     room = (
-        used[0] + need[0] <= info.capacity[0] + _SLACK
-        and used[1] + need[1] <= info.capacity[1] + _SLACK
+        used[0] + need[0] <= info.capacity[0] + _EPSILON
+        and used[1] + need[1] <= info.capacity[1] + _EPSILON
         and used[2] + need[2] <= info.capacity[2]
-        and worker.expected + owner.expected.cores <= info.capacity[0] * crowd
+        and worker.expected_cores + job_state.expected.cores <= info.capacity[0] * crowd
     )
-    if not room and (worker.placed or check_worker(owner.job, info)):
+    if not room and (worker.placed or check_worker(job_state.job, info)):
         return "no room"
-    return check_worker(owner.job, info)
+    return check_worker(job_state.job, info)
 
 
 def find_candidates(
-    state: PlacementState, owner: JobState, most: int = 0
+    state: PlacementState, job_state: JobState, most: int = 0
 ) -> list[WorkerState]:
     """Return workers on which a task of the job can start now.
 
@@ -165,24 +167,29 @@
     made.
     """
     shape = (
-        owner.reserved,
-        owner.expected.cores,
-        owner.job.size,
-        owner.job.constraints,
+        job_state.reserved,
+        job_state.expected.cores,
+        job_state.job.size,
+        job_state.job.constraints,
     )
-    if not owner.holds and state.full.get(shape) == state.room_version:
+    if (
+        not job_state.reserved_workers
+        and state.unplaceable_shapes.get(shape) == state.capacity_version
+    ):
         return []
     limit = most or state.settings.candidates_max
-    crowd = state.settings.crowd_max + (_URGENT_CROWD if owner.job.urgent else 0.0)
+    crowd = state.settings.crowd_max + (
+        _URGENT_OVERCOMMIT if job_state.job.urgent else 0.0
+    )
     found: list[WorkerState] = []
-    count = len(state.ring)
+    count = len(state.active_workers)
     for offset in range(count):
-        worker = state.ring[(state.cursor + offset) % count]
-        if check_now(owner, worker, crowd) is None:
+        worker = state.active_workers[(state.scan_position + offset) % count]
+        if check_now(job_state, worker, crowd) is None:
             found.append(worker)
             if len(found) == limit:
-                state.cursor = (state.cursor + offset + 1) % count
+                state.scan_position = (state.scan_position + offset + 1) % count
                 break
-    if not found and not owner.holds:
-        state.full[shape] = state.room_version
+    if not found and not job_state.reserved_workers:
+        state.unplaceable_shapes[shape] = state.capacity_version
     return found
--- a/plantainyard/placement/gangs.py
+++ b/plantainyard/placement/gangs.py
@@ -2,23 +2,23 @@
 
 from plantainyard.placement.accounting import occupy, vacate
 from plantainyard.placement.actions import Action, Place
-from plantainyard.placement.eviction import evict, hold_worker
+from plantainyard.placement.eviction import evict, reserve_worker
 from plantainyard.placement.filters import check_worker, count_fits, find_candidates
 from plantainyard.placement.quotas import check_quota
 from plantainyard.placement.state import (
     JobState,
     Placement,
     PlacementState,
-    Waiting,
+    WaitingTask,
 )
 
 __all__ = ["place_gang", "roll_back_gangs"]
 
-_HOLD_S = 120.0
+_RESERVATION_S = 120.0
 
 
 def place_gang(
-    state: PlacementState, owner: JobState, now: float
+    state: PlacementState, job_state: JobState, now: float
 ) -> tuple[list[Action], str]:
     """Place every waiting task of a gang, or none.
 
@@ -32,66 +32,74 @@
     Tasks are placed one after the other; where one finds no room, all are taken back
     before anybody hears of them, so a gang never holds part of its room while it waits.
     """
-    count = owner.waiting
-    if not check_quota(state, owner, count):
+    count = job_state.waiting
+    if not check_quota(state, job_state, count):
         return [], "team quota"
-    since = owner.waits_since()
+    since = job_state.get_waiting_since()
     made: list[Placement] = []
-    tasks: list[Waiting] = []
+    tasks: list[WaitingTask] = []
     for _ in range(count):
-        task = owner.next_waiting(now)
-        candidates = find_candidates(state, owner) if task else []
+        task = job_state.peek_waiting(now)
+        candidates = find_candidates(state, job_state) if task else []
         if task is None or not candidates:
             for placement in reversed(made):
                 vacate(state, placement)
             for taken in tasks:
-                owner.add_again(taken, now)
-            _hold_room(state, owner, since, now)
+                job_state.add_retry(taken, now)
+            _reserve_for_gang(state, job_state, since, now)
             return [], "no room for the whole gang" if task else "backing off"
         best = min(
             candidates,
             key=lambda worker: (
-                state.rules.cost(state, owner, worker, now),
+                state.rules.cost(state, job_state, worker, now),
                 worker.info.id,
             ),
         )
-        owner.take(task)
+        job_state.take_waiting(task)
         tasks.append(task)
-        made.append(occupy(state, owner, task, best))
-    owner.placed_last = now
-    owner.reason = ""
+        made.append(occupy(state, job_state, task, best))
+    job_state.last_placed_at = now
+    job_state.reason = ""
     return [
         Place(placement.key, placement.attempt, placement.worker, "gang")
         for placement in made
     ], ""
 
 
-def _hold_room(
-    state: PlacementState, owner: JobState, since: float, now: float
+def _reserve_for_gang(
+    state: PlacementState, job_state: JobState, since: float, now: float
 ) -> None:
     """Hold workers for a gang that waited long, until its tasks would fit."""
     if now - since <= state.settings.starve_s:
         return
-    held = [worker for worker in state.ring if worker.reserved_for]
-    if any(worker.reserved_for != owner.job.id for worker in held):
+    held = [worker for worker in state.active_workers if worker.reserved_for]
+    if any(worker.reserved_for != job_state.job.id for worker in held):
         return
-    room = sum(count_fits(owner.reserved, worker.info.capacity) for worker in held)
+    room = sum(count_fits(job_state.reserved, worker.info.capacity) for worker in held)
     free = sorted(
         (
             worker
-            for worker in state.ring
+            for worker in state.active_workers
             if not worker.reserved_for
             and not worker.suspect
             and worker.quarantined_until is None
-            and check_worker(owner.job, worker.info) is None
+            and check_worker(job_state.job, worker.info) is None
+        ),
+        key=lambda worker: (
+            worker.allocated[0] / worker.info.capacity[0],
+            worker.info.id,
         ),
-        key=lambda worker: (worker.used[0] / worker.info.capacity[0], worker.info.id),
     )
     for worker in free:
-        if room >= owner.waiting:
+        if room >= job_state.waiting:
             return
-        fitting = count_fits(owner.reserved, worker.info.capacity)
-        hold_worker(owner, worker, now + _HOLD_S, min(fitting, owner.waiting - room))
+        fitting = count_fits(job_state.reserved, worker.info.capacity)
+        reserve_worker(
+            job_state,
+            worker,
+            now + _RESERVATION_S,
+            min(fitting, job_state.waiting - room),
+        )
         room += fitting
 
 
@@ -105,18 +113,18 @@
     after ``gang_s``, then waits as a whole.
     """
     actions: list[Action] = []
-    for owner in state.jobs.values():
-        if not owner.job.gang:
+    for job_state in state.jobs.values():
+        if not job_state.job.gang:
             continue
-        broken = owner.placed and owner.waiting and not owner.given_up
+        broken = job_state.placed and job_state.waiting and not job_state.given_up
         if not broken:
-            owner.broken_at = None
-        elif owner.broken_at is None:
-            owner.broken_at = now
-        elif now - owner.broken_at > state.settings.gang_s:
+            job_state.incomplete_since = None
+        elif job_state.incomplete_since is None:
+            job_state.incomplete_since = now
+        elif now - job_state.incomplete_since > state.settings.gang_s:
             actions += [
                 evict(placement, "gang is not whole")
-                for placement in owner.placed.values()
+                for placement in job_state.placed.values()
                 if not placement.ending
             ]
     return actions
--- a/plantainyard/placement/harm.py
+++ b/plantainyard/placement/interference.py
@@ -18,18 +18,18 @@
 from plantainyard.placement.settings import PlacementSettings
 
 __all__ = [
-    "HarmModel",
+    "InterferenceModel",
     "Victim",
-    "fade_harm",
-    "learn_harm",
-    "predict_harm",
-    "predict_risk",
-    "predict_time",
+    "decay_interference",
+    "update_interference",
+    "predict_slowdown",
+    "predict_pessimistic_slowdown",
+    "predict_base_time",
 ]
 
-_LEAST_BASE = 0.05
-_CLIP = 4.0
-_BASE = 0
+_MIN_BASE_TIME = 0.05
+_INNOVATION_LIMIT = 4.0
+_BASE_INDEX = 0
 
 
 class Victim:
@@ -49,34 +49,36 @@
     """
 
     def __init__(self, base: float, deviation: float):
-        self.names: dict[str, int] = {}
+        self.indices: dict[str, int] = {}
         self.mean = np.array([base])
-        self.spread = np.array([[deviation**2]])
-        self.harm: dict[str, float] = {}
-        self.doubt: dict[str, float] = {}
+        self.covariance = np.array([[deviation**2]])
+        self.slowdown: dict[str, float] = {}
+        self.slowdown_deviation: dict[str, float] = {}
 
 
-class HarmModel:
+class InterferenceModel:
     """Estimates of all victims."""
 
     def __init__(self, settings: PlacementSettings):
         self.settings = settings
         self.victims: dict[str, Victim] = {}
-        self.faded_at = 0.0
+        self.decayed_at = 0.0
 
 
-def _compute_prior(model: HarmModel, aggressor: str) -> float:
+def _compute_prior(model: InterferenceModel, aggressor: str) -> float:
     total, weight = model.settings.prior_harm, 1.0
     for victim in model.victims.values():
-        if aggressor in victim.harm:
-            doubt = victim.doubt[aggressor] / model.settings.prior_deviation
-            known = max(0.0, 1.0 - doubt * doubt)
-            total += known * victim.harm[aggressor]
+        if aggressor in victim.slowdown:
+            slowdown_deviation = (
+                victim.slowdown_deviation[aggressor] / model.settings.prior_deviation
+            )
+            known = max(0.0, 1.0 - slowdown_deviation * slowdown_deviation)
+            total += known * victim.slowdown[aggressor]
             weight += known
     return total / weight
 
 
-def _get_victim(model: HarmModel, name: str) -> Victim:
+def _get_victim(model: InterferenceModel, name: str) -> Victim:
     victim = model.victims.get(name)
     if victim is None:
         victim = Victim(1.0, model.settings.base_deviation)
@@ -84,21 +86,21 @@
     return victim
 
 
-def _add_aggressor(model: HarmModel, victim: Victim, aggressor: str) -> None:
-    base = max(_LEAST_BASE, float(victim.mean[_BASE]))
+def _add_aggressor(model: InterferenceModel, victim: Victim, aggressor: str) -> None:
+    base = max(_MIN_BASE_TIME, float(victim.mean[_BASE_INDEX]))
     size = len(victim.mean)
-    victim.names[aggressor] = size
+    victim.indices[aggressor] = size
     prior = _compute_prior(model, aggressor)
     victim.mean = np.append(victim.mean, prior * base)
-    spread = np.zeros((size + 1, size + 1))
-    spread[:size, :size] = victim.spread
-    spread[size, size] = (model.settings.prior_deviation * base) ** 2
-    victim.spread = spread
-    victim.harm[aggressor] = prior
-    victim.doubt[aggressor] = model.settings.prior_deviation
+    covariance = np.zeros((size + 1, size + 1))
+    covariance[:size, :size] = victim.covariance
+    covariance[size, size] = (model.settings.prior_deviation * base) ** 2
+    victim.covariance = covariance
+    victim.slowdown[aggressor] = prior
+    victim.slowdown_deviation[aggressor] = model.settings.prior_deviation
 
 
-def predict_harm(model: HarmModel, victim: str, aggressor: str) -> float:
+def predict_slowdown(model: InterferenceModel, victim: str, aggressor: str) -> float:
     """Return the expected relative slow-down of `victim` by `aggressor`.
 
     Returns
@@ -108,27 +110,27 @@
         that it uses.
     """
     known = model.victims.get(victim)
-    if known is None or aggressor not in known.harm:
+    if known is None or aggressor not in known.slowdown:
         known = known or _get_victim(model, victim)
         _add_aggressor(model, known, aggressor)
-    return known.harm[aggressor]
+    return known.slowdown[aggressor]
 
 
-def predict_risk(
-    model: HarmModel, victim: str, aggressor: str, caution: float
+def predict_pessimistic_slowdown(
+    model: InterferenceModel, victim: str, aggressor: str, caution: float
 ) -> float:
     """Return the expected slow-down plus `caution` standard deviations."""
-    harm = predict_harm(model, victim, aggressor)
-    return harm + caution * model.victims[victim].doubt[aggressor]
+    slowdown = predict_slowdown(model, victim, aggressor)
+    return slowdown + caution * model.victims[victim].slowdown_deviation[aggressor]
 
 
-def predict_time(model: HarmModel, victim: str) -> float:
+def predict_base_time(model: InterferenceModel, victim: str) -> float:
     """Return the undisturbed time of a workload, in the unit of its measurements."""
-    return max(_LEAST_BASE, float(_get_victim(model, victim).mean[_BASE]))
+    return max(_MIN_BASE_TIME, float(_get_victim(model, victim).mean[_BASE_INDEX]))
 
 
-def learn_harm(
-    model: HarmModel,
+def update_interference(
+    model: InterferenceModel,
     name: str,
     time: float,
     exposures: dict[str, float],
@@ -163,34 +165,38 @@
     """
     victim = _get_victim(model, name)
     for aggressor in exposures:
-        if aggressor not in victim.names:
+        if aggressor not in victim.indices:
             _add_aggressor(model, victim, aggressor)
     features = np.zeros(len(victim.mean))
-    features[_BASE] = 1.0
+    features[_BASE_INDEX] = 1.0
     for aggressor, share in exposures.items():
-        features[victim.names[aggressor]] = share
+        features[victim.indices[aggressor]] = share
     expected = float(features @ victim.mean)
-    noise = model.settings.report_noise * max(expected, _LEAST_BASE)
-    across = victim.spread @ features
+    noise = model.settings.report_noise * max(expected, _MIN_BASE_TIME)
+    across = victim.covariance @ features
     total = float(features @ across) + noise * noise + extra_variance
-    limit = _CLIP * sqrt(total)
+    limit = _INNOVATION_LIMIT * sqrt(total)
     error = max(-limit, min(limit, time - expected))
     victim.mean = np.maximum(victim.mean + across * (error / total), 0.0)
-    victim.mean[_BASE] = max(victim.mean[_BASE], _LEAST_BASE)
-    victim.spread = victim.spread - np.outer(across, across) / total
-    _summarise(victim)
+    victim.mean[_BASE_INDEX] = max(victim.mean[_BASE_INDEX], _MIN_BASE_TIME)
+    victim.covariance = victim.covariance - np.outer(across, across) / total
+    _update_relative_estimates(victim)
     return time - expected
 
 
-def _summarise(victim: Victim) -> None:
-    base = victim.mean[_BASE]
-    harm = (victim.mean / base).tolist()
-    doubt = (np.sqrt(np.maximum(victim.spread.diagonal(), 0.0)) / base).tolist()
-    victim.harm = {name: harm[i] for name, i in victim.names.items()}
-    victim.doubt = {name: doubt[i] for name, i in victim.names.items()}
+def _update_relative_estimates(victim: Victim) -> None:
+    base = victim.mean[_BASE_INDEX]
+    slowdown = (victim.mean / base).tolist()
+    slowdown_deviation = (
+        np.sqrt(np.maximum(victim.covariance.diagonal(), 0.0)) / base
+    ).tolist()
+    victim.slowdown = {name: slowdown[i] for name, i in victim.indices.items()}
+    victim.slowdown_deviation = {
+        name: slowdown_deviation[i] for name, i in victim.indices.items()
+    }
 
 
-def fade_harm(model: HarmModel, now: float) -> None:
+def decay_interference(model: InterferenceModel, now: float) -> None:
     """Let old knowledge fade; call it at any interval.
 
     Notes
@@ -199,17 +205,17 @@
     the time constant ``fade_s``, so that a workload that changed is learnt anew.
     """
     settings = model.settings
-    elapsed = now - model.faded_at
+    elapsed = now - model.decayed_at
     if elapsed < settings.fade_s / 100.0:
         return
-    model.faded_at = now
+    model.decayed_at = now
     kept = exp(-elapsed / settings.fade_s)
     for victim in model.victims.values():
-        base = victim.mean[_BASE]
-        for name, i in victim.names.items():
+        base = victim.mean[_BASE_INDEX]
+        for name, i in victim.indices.items():
             prior = _compute_prior(model, name) * base
             victim.mean[i] = prior + (victim.mean[i] - prior) * kept
         first = np.full(len(victim.mean), (settings.prior_deviation * base) ** 2)
-        first[_BASE] = (settings.base_deviation * base) ** 2
-        victim.spread = victim.spread * kept + np.diag(first) * (1.0 - kept)
-        _summarise(victim)
+        first[_BASE_INDEX] = (settings.base_deviation * base) ** 2
+        victim.covariance = victim.covariance * kept + np.diag(first) * (1.0 - kept)
+        _update_relative_estimates(victim)
--- a/plantainyard/placement/order.py
+++ b/plantainyard/placement/order.py
@@ -6,12 +6,12 @@
 from typing import NamedTuple
 
 from plantainyard.placement.filters import check_worker
-from plantainyard.placement.quotas import get_team_load
+from plantainyard.placement.quotas import get_dominant_share
 from plantainyard.placement.state import (
     JobState,
     PlacementState,
     Profile,
-    Waiting,
+    WaitingTask,
     WorkerState,
 )
 
@@ -20,13 +20,13 @@
     "Order",
     "get_rank",
     "list_order",
-    "return_job",
-    "start_order",
-    "take_turn",
+    "requeue_job",
+    "build_order",
+    "select_next_jobs",
 ]
 
-NO_ROOM = "no room"
-_RANKS = 3
+NO_CAPACITY = "no room"
+_RANK_COUNT = 3
 
 
 class _Entry(NamedTuple):
@@ -53,8 +53,8 @@
     """
 
     value: float
-    owner: JobState
-    task: Waiting
+    job_state: JobState
+    task: WaitingTask
     worker: WorkerState
     profile: Profile | None
 
@@ -63,64 +63,69 @@
     """Waiting jobs by rank, team and workload, for the length of one step."""
 
     def __init__(self) -> None:
-        self.aged: list[tuple[float, str]] = []
-        self.teams: list[dict[str, float]] = [{} for _ in range(_RANKS)]
+        self.starving: list[tuple[float, str]] = []
+        self.teams: list[dict[str, float]] = [{} for _ in range(_RANK_COUNT)]
         self.jobs: dict[tuple[int, str], dict[str, list[_Entry]]] = {}
-        self.dropped: set[str] = set()
-        self.eldest: set[str] = set()
+        self.skipped: set[str] = set()
+        self.longest_waiting: set[str] = set()
         self.choices: dict[str, Choice] = {}
 
 
-def get_rank(owner: JobState) -> int:
+def get_rank(job_state: JobState) -> int:
     """Return 0 for urgent jobs, 1 for services, 2 for the rest."""
-    if owner.job.urgent:
+    if job_state.job.urgent:
         return 0
-    return 1 if owner.job.latency_critical else 2
+    return 1 if job_state.job.latency_critical else 2
 
 
-def _enter(order: Order, owner: JobState) -> None:
-    key = (get_rank(owner), owner.job.team)
+def _push_job(order: Order, job_state: JobState) -> None:
+    key = (get_rank(job_state), job_state.job.team)
     entry = _Entry(
-        len(owner.placed) * owner.job.size.cores, owner.waits_since(), owner.job.id
+        len(job_state.placed) * job_state.job.size.cores,
+        job_state.get_waiting_since(),
+        job_state.job.id,
     )
     heaps = order.jobs.setdefault(key, {})
-    heapq.heappush(heaps.setdefault(owner.workload, []), entry)
+    heapq.heappush(heaps.setdefault(job_state.workload, []), entry)
 
 
-def start_order(state: PlacementState, now: float) -> Order:
+def build_order(state: PlacementState, now: float) -> Order:
     """Return the order of all jobs that have a task to place now."""
     order = Order()
     starve_s = state.settings.starve_s
-    for owner in state.jobs.values():
-        if owner.waiting and not owner.given_up and owner.next_waiting(now):
-            _enter(order, owner)
-            since = max(owner.waits_since(), owner.placed_last)
+    for job_state in state.jobs.values():
+        if job_state.waiting and not job_state.given_up and job_state.peek_waiting(now):
+            _push_job(order, job_state)
+            since = max(job_state.get_waiting_since(), job_state.last_placed_at)
             if now - since > starve_s:
-                order.aged.append((since, owner.job.id))
-    order.aged.sort()
-    order.eldest = _find_eldest(state, order)
+                order.starving.append((since, job_state.job.id))
+    order.starving.sort()
+    order.longest_waiting = _find_longest_waiting(state, order)
     for rank, team in order.jobs:
-        order.teams[rank][team] = get_team_load(state, team)
+        order.teams[rank][team] = get_dominant_share(state, team)
     return order
 
 
-def _find_eldest(state: PlacementState, order: Order) -> set[str]:
+def _find_longest_waiting(state: PlacementState, order: Order) -> set[str]:
     """Return the longest waiting jobs that lack just room; they may hold workers."""
-    most = max(1, int(state.settings.reserve_share * len(state.ring)))
+    most = max(1, int(state.settings.reserve_share * len(state.active_workers)))
     blocked = (
         state.jobs[job_id]
-        for _, job_id in order.aged
-        if state.jobs[job_id].reason == NO_ROOM
+        for _, job_id in order.starving
+        if state.jobs[job_id].reason == NO_CAPACITY
     )
     possible = (
-        owner.job.id
-        for owner in blocked
-        if any(check_worker(owner.job, worker.info) is None for worker in state.ring)
+        job_state.job.id
+        for job_state in blocked
+        if any(
+            check_worker(job_state.job, worker.info) is None
+            for worker in state.active_workers
+        )
     )
     return set(islice(possible, most))
 
 
-def take_turn(state: PlacementState, order: Order) -> list[JobState]:
+def select_next_jobs(state: PlacementState, order: Order) -> list[JobState]:
     """Return the jobs of which one may place a task now; none when all had their turn.
 
     Notes
@@ -135,13 +140,13 @@
     never starts under a steady stream of others; its wait is bounded since its turn
     comes whatever arrives.
     """
-    state.turn += 1
-    if state.turn % state.settings.aged_turn == 0:
-        while order.aged:
-            _, job_id = heapq.heappop(order.aged)
-            if job_id not in order.dropped:
+    state.turn_count += 1
+    if state.turn_count % state.settings.aged_turn == 0:
+        while order.starving:
+            _, job_id = heapq.heappop(order.starving)
+            if job_id not in order.skipped:
                 return [state.jobs[job_id]]
-    for rank in range(_RANKS):
+    for rank in range(_RANK_COUNT):
         while order.teams[rank]:
             heads = _list_fair_heads(state, order, rank)
             if heads:
@@ -170,7 +175,7 @@
     heaps = order.jobs[rank, team]
     for workload in list(heaps):
         entries = heaps[workload]
-        while entries and entries[0].id in order.dropped:
+        while entries and entries[0].id in order.skipped:
             heapq.heappop(entries)
         if entries:
             heads.append(state.jobs[entries[0].id])
@@ -179,33 +184,33 @@
     return heads
 
 
-def return_job(
-    state: PlacementState, order: Order, owner: JobState, now: float, placed: bool
+def requeue_job(
+    state: PlacementState, order: Order, job_state: JobState, now: float, placed: bool
 ) -> None:
     """Put a job back after its turn, or leave it out until the next step."""
-    if not placed or not owner.waiting or owner.next_waiting(now) is None:
-        order.dropped.add(owner.job.id)
-    rank, team = get_rank(owner), owner.job.team
-    entries = order.jobs[rank, team].get(owner.workload)
-    if entries and entries[0].id == owner.job.id:
+    if not placed or not job_state.waiting or job_state.peek_waiting(now) is None:
+        order.skipped.add(job_state.job.id)
+    rank, team = get_rank(job_state), job_state.job.team
+    entries = order.jobs[rank, team].get(job_state.workload)
+    if entries and entries[0].id == job_state.job.id:
         heapq.heappop(entries)
-        if owner.job.id not in order.dropped:
-            _enter(order, owner)
+        if job_state.job.id not in order.skipped:
+            _push_job(order, job_state)
     if placed and team in order.teams[rank]:
-        order.teams[rank][team] = get_team_load(state, team)
+        order.teams[rank][team] = get_dominant_share(state, team)
 
 
 def list_order(state: PlacementState, now: float) -> Iterator[JobState]:
     """Yield the waiting jobs, first the one whose turn comes first."""
     keys = (
         (
-            get_rank(owner),
-            get_team_load(state, owner.job.team),
-            len(owner.placed) * owner.job.size.cores,
-            owner.waits_since(),
-            owner.job.id,
+            get_rank(job_state),
+            get_dominant_share(state, job_state.job.team),
+            len(job_state.placed) * job_state.job.size.cores,
+            job_state.get_waiting_since(),
+            job_state.job.id,
         )
-        for owner in state.jobs.values()
-        if owner.waiting and not owner.given_up
+        for job_state in state.jobs.values()
+        if job_state.waiting and not job_state.given_up
     )
     return (state.jobs[key[-1]] for key in sorted(keys))
--- a/plantainyard/placement/policy.py
+++ b/plantainyard/placement/policy.py
@@ -26,7 +26,7 @@
     find_placement,
     get_job,
     occupy,
-    rebuild_ring,
+    rebuild_active_workers,
     vacate,
 )
 from plantainyard.placement.actions import Action, Stop
@@ -47,12 +47,12 @@
     WorkersChanged,
     WorkerSuspect,
 )
-from plantainyard.placement.harm import fade_harm
+from plantainyard.placement.interference import decay_interference
 from plantainyard.placement.observation import observe_run, observe_usage
 from plantainyard.placement.quarantine import (
     compute_backoff,
-    judge_failure,
-    judge_success,
+    record_failure,
+    record_success,
 )
 from plantainyard.placement.scores import compute_cost
 from plantainyard.placement.settings import PlacementSettings, Weights
@@ -60,7 +60,7 @@
     Placement,
     PlacementState,
     Rules,
-    Waiting,
+    WaitingTask,
     WorkerState,
 )
 from plantainyard.work import Size, WorkerInfo
@@ -120,78 +120,83 @@
         worker.listed = False
         if not worker.placed:
             del state.workers[worker_id]
-    rebuild_ring(state)
+    rebuild_active_workers(state)
     return []
 
 
 def _add_waiting(
     state: PlacementState, event: TasksWaiting, now: float
 ) -> list[Action]:
-    owner = get_job(state, event.job)
-    if owner.cancelled:
+    job_state = get_job(state, event.job)
+    if job_state.cancelled:
         return []
-    owner.add_range(event.first, event.stop, event.attempt, event.since, event.failures)
+    job_state.add_range(
+        event.first, event.stop, event.attempt, event.since, event.failures
+    )
     return []
 
 
 def _remove_waiting(
     state: PlacementState, event: TasksGone, now: float
 ) -> list[Action]:
-    owner = state.jobs.get(event.job)
-    if owner is not None:
-        owner.remove_range(event.first, event.stop)
-        drop_idle_job(state, owner)
+    job_state = state.jobs.get(event.job)
+    if job_state is not None:
+        job_state.remove_range(event.first, event.stop)
+        drop_idle_job(state, job_state)
     return []
 
 
 def _start_task(state: PlacementState, event: TaskStarted, now: float) -> list[Action]:
-    owner = get_job(state, event.job)
-    placement = owner.placed.get(event.number)
+    job_state = get_job(state, event.job)
+    placement = job_state.placed.get(event.number)
     if placement is None:
-        placement = _adopt(state, event)
+        placement = _adopt_running_task(state, event)
     if placement is not None and placement.attempt == event.attempt:
         placement.started_at = now
     return []
 
 
-def _adopt(state: PlacementState, event: TaskStarted) -> Placement | None:
-    owner = state.jobs[event.job.id]
-    owner.remove_range(event.number, event.number + 1)
+def _adopt_running_task(state: PlacementState, event: TaskStarted) -> Placement | None:
+    job_state = state.jobs[event.job.id]
+    job_state.remove_range(event.number, event.number + 1)
     worker = state.workers.get(event.worker)
     if worker is None:
         info = WorkerInfo(event.worker, "", "", "", "", Size(0.0, 0.0))
         worker = state.workers[event.worker] = WorkerState(info, state.now)
         worker.listed = False
-    task = Waiting(event.number, event.attempt, state.now)
-    return occupy(state, owner, task, worker)
+    task = WaitingTask(event.number, event.attempt, state.now)
+    return occupy(state, job_state, task, worker)
 
 
 def _end_task(state: PlacementState, event: TaskEnded, now: float) -> list[Action]:
     placement = find_placement(state, event.task)
     if placement is None or placement.attempt != event.attempt:
         return []
-    owner = placement.owner
+    job_state = placement.job_state
     worker = state.workers.get(placement.worker)
     if event.outcome == Outcome.DONE:
         observe_run(state, placement, now)
-    probe = worker is not None and worker.probe == placement.key
+    probe = worker is not None and worker.probe_task == placement.key
     vacate(state, placement)
     actions: list[Action] = []
     if event.outcome == Outcome.DONE:
-        actions = judge_success(state, owner, worker, probe)
+        actions = record_success(state, job_state, worker, probe)
     elif event.outcome == Outcome.FAILED:
-        actions = judge_failure(state, owner, worker, event.detail, now, probe)
-    if event.outcome not in (Outcome.DONE, Outcome.CANCELLED) and not owner.cancelled:
-        _wait_again(state, placement, event.outcome, now)
-    drop_idle_job(state, owner)
+        actions = record_failure(state, job_state, worker, event.detail, now, probe)
+    if (
+        event.outcome not in (Outcome.DONE, Outcome.CANCELLED)
+        and not job_state.cancelled
+    ):
+        _requeue_task(state, placement, event.outcome, now)
+    drop_idle_job(state, job_state)
     return actions
 
 
-def _wait_again(
+def _requeue_task(
     state: PlacementState, placement: Placement, outcome: str, now: float
 ) -> None:
     failed = outcome == Outcome.FAILED
-    task = Waiting(
+    task = WaitingTask(
         placement.number,
         placement.attempt + (outcome != Outcome.UNPLACED),
         placement.since if outcome == Outcome.UNPLACED else now,
@@ -199,35 +204,39 @@
         placement.evictions + (outcome == Outcome.EVICTED),
     )
     pause = compute_backoff(state, task.failures - 1) if failed else 0.0
-    placement.owner.add_again(task, now + pause)
+    placement.job_state.add_retry(task, now + pause)
 
 
-def _observe(state: PlacementState, event: UsageReported, now: float) -> list[Action]:
+def _observe_usage(
+    state: PlacementState, event: UsageReported, now: float
+) -> list[Action]:
     observe_usage(state, event)
     return []
 
 
-def _suspect(state: PlacementState, event: WorkerSuspect, now: float) -> list[Action]:
+def _mark_suspect(
+    state: PlacementState, event: WorkerSuspect, now: float
+) -> list[Action]:
     worker = state.workers.get(event.worker)
     if worker is not None:
         worker.suspect = True
     return []
 
 
-def _return_worker(
+def _clear_suspect(
     state: PlacementState, event: WorkerBack, now: float
 ) -> list[Action]:
     worker = state.workers.get(event.worker)
     if worker is not None and worker.suspect:
         worker.suspect = False
-        state.room_version += 1
+        state.capacity_version += 1
     return []
 
 
 def _change_quotas(
     state: PlacementState, event: QuotasChanged, now: float
 ) -> list[Action]:
-    state.shares = dict(event.shares)
+    state.quotas = dict(event.shares)
     return []
 
 
@@ -239,21 +248,21 @@
 
 
 def _cancel(state: PlacementState, event: Cancelled, now: float) -> list[Action]:
-    owners = [state.jobs[job] for job in event.jobs if job in state.jobs]
+    job_states = [state.jobs[job] for job in event.jobs if job in state.jobs]
     stops: list[Action] = []
-    for owner in owners:
-        owner.cancelled = True
-        owner.clear_waiting()
-        for placement in owner.placed.values():
+    for job_state in job_states:
+        job_state.cancelled = True
+        job_state.clear_waiting()
+        for placement in job_state.placed.values():
             placement.ending = True
             stops.append(Stop(placement.key, placement.attempt, placement.worker))
-        owner.given_up = False
-        drop_idle_job(state, owner)
+        job_state.given_up = False
+        drop_idle_job(state, job_state)
     return stops
 
 
 def _tick(state: PlacementState, event: Tick, now: float) -> list[Action]:
-    fade_harm(state.harm, now)
+    decay_interference(state.interference, now)
     return decide(state, now)
 
 
@@ -263,9 +272,9 @@
     TasksGone: _remove_waiting,
     TaskStarted: _start_task,
     TaskEnded: _end_task,
-    UsageReported: _observe,
-    WorkerSuspect: _suspect,
-    WorkerBack: _return_worker,
+    UsageReported: _observe_usage,
+    WorkerSuspect: _mark_suspect,
+    WorkerBack: _clear_suspect,
     QuotasChanged: _change_quotas,
     WeightsChanged: _change_weights,
     Cancelled: _cancel,
--- a/plantainyard/placement/quarantine.py
+++ b/plantainyard/placement/quarantine.py
@@ -14,10 +14,10 @@
 )
 from plantainyard.placement.state import JobState, PlacementState, WorkerState
 
-__all__ = ["compute_backoff", "judge_failure", "judge_success", "open_probes"]
+__all__ = ["compute_backoff", "record_failure", "record_success", "start_probes"]
 
-_MEMORY_S = 900.0
-_UNPROVEN = 0.5
+_FAILURE_WINDOW_S = 900.0
+_UNPROVEN_JOB_WEIGHT = 0.5
 
 
 def compute_backoff(state: PlacementState, failures: int) -> float:
@@ -26,9 +26,9 @@
     return min(settings.backoff_max_s, settings.backoff_s * 2.0 ** min(failures, 20))
 
 
-def judge_success(
+def record_success(
     state: PlacementState,
-    owner: JobState,
+    job_state: JobState,
     worker: WorkerState | None,
     probe: bool = False,
 ) -> list[Action]:
@@ -37,8 +37,8 @@
     A quarantined worker is released only by its probe; what it began before, and still
     ends well, says nothing about what it starts now.
     """
-    owner.successes += 1
-    owner.failed_on.clear()
+    job_state.successes += 1
+    job_state.failed_on.clear()
     if worker is None:
         return []
     worker.failed_jobs.clear()
@@ -50,15 +50,15 @@
 def _release(state: PlacementState, worker: WorkerState) -> Release:
     worker.quarantined_until = None
     worker.probing = False
-    worker.probe = None
-    worker.quarantines = 0
-    state.room_version += 1
+    worker.probe_task = None
+    worker.quarantine_count = 0
+    state.capacity_version += 1
     return Release(worker.info.id)
 
 
-def judge_failure(
+def record_failure(
     state: PlacementState,
-    owner: JobState,
+    job_state: JobState,
     worker: WorkerState | None,
     detail: str,
     now: float,
@@ -73,99 +73,103 @@
     blamed count towards giving a job up; only failures of jobs that are
     not themselves blamed count towards a quarantine.
     """
-    owner.failures += 1
-    owner.last_error = detail or owner.last_error
+    job_state.failures += 1
+    job_state.last_error = detail or job_state.last_error
     if worker is None:
         return []
-    if not state.rules.judges_workers:
-        _note_failure(owner, worker, detail)
-        return _give_up(state, owner)
+    if not state.rules.quarantines_workers:
+        _record_failed_worker(job_state, worker, detail)
+        return _give_up(state, job_state)
     if worker.quarantined_until is not None:
         if not probe:
             return []
         return [_quarantine(state, worker, now, f"probe failed: {detail}")]
     for job_id, when in list(worker.failed_jobs.items()):
-        if now - when > _MEMORY_S:
+        if now - when > _FAILURE_WINDOW_S:
             del worker.failed_jobs[job_id]
-    _note_failure(owner, worker, detail)
-    if not _is_bad_job(state, owner):
-        worker.failed_jobs[owner.job.id] = now
-    if _count_accusers(state, worker) >= state.settings.quarantine_jobs:
+    _record_failed_worker(job_state, worker, detail)
+    if not _is_bad_job(state, job_state):
+        worker.failed_jobs[job_state.job.id] = now
+    if _weigh_failed_jobs(state, worker) >= state.settings.quarantine_jobs:
         actions: list[Action] = [
             _quarantine(state, worker, now, f"fails everything: {detail}")
         ]
-        _acquit_jobs(state, worker)
+        _clear_job_failures(state, worker)
         return actions
-    return _give_up(state, owner)
+    return _give_up(state, job_state)
 
 
-def _note_failure(owner: JobState, worker: WorkerState, detail: str) -> None:
-    owner.failed_on.pop(worker.info.id, None)
-    owner.failed_on[worker.info.id] = detail
+def _record_failed_worker(
+    job_state: JobState, worker: WorkerState, detail: str
+) -> None:
+    job_state.failed_on.pop(worker.info.id, None)
+    job_state.failed_on[worker.info.id] = detail
 
 
-def _count_accusers(state: PlacementState, worker: WorkerState) -> float:
+def _weigh_failed_jobs(state: PlacementState, worker: WorkerState) -> float:
     """Weigh the jobs that failed on the worker and have not failed elsewhere since.
 
     A job that never succeeded anywhere counts less: several broken jobs that begin
     together would look like a broken worker.
     """
-    owners = map(state.jobs.get, worker.failed_jobs)
+    job_states = map(state.jobs.get, worker.failed_jobs)
     weights = (
         0.0
-        if owner is None or _is_bad_job(state, owner)
+        if job_state is None or _is_bad_job(state, job_state)
         else 1.0
-        if owner.successes
-        else _UNPROVEN
-        for owner in owners
+        if job_state.successes
+        else _UNPROVEN_JOB_WEIGHT
+        for job_state in job_states
     )
     return sum(weights)
 
 
-def _is_bad_job(state: PlacementState, owner: JobState) -> bool:
-    return len(owner.failed_on) >= 2 and not any(
+def _is_bad_job(state: PlacementState, job_state: JobState) -> bool:
+    return len(job_state.failed_on) >= 2 and not any(
         len(worker.failed_jobs) > 1
-        for worker in map(state.workers.get, owner.failed_on)
+        for worker in map(state.workers.get, job_state.failed_on)
         if worker is not None
     )
 
 
-def _acquit_jobs(state: PlacementState, worker: WorkerState) -> None:
+def _clear_job_failures(state: PlacementState, worker: WorkerState) -> None:
     for job_id in worker.failed_jobs:
-        owner = state.jobs.get(job_id)
-        if owner is not None:
-            owner.failed_on.pop(worker.info.id, None)
+        job_state = state.jobs.get(job_id)
+        if job_state is not None:
+            job_state.failed_on.pop(worker.info.id, None)
     worker.failed_jobs.clear()
 
 
-def _give_up(state: PlacementState, owner: JobState) -> list[Action]:
+def _give_up(state: PlacementState, job_state: JobState) -> list[Action]:
     sound = [
         worker_id
-        for worker_id in owner.failed_on
+        for worker_id in job_state.failed_on
         if worker_id in state.workers
         and state.workers[worker_id].quarantined_until is None
     ]
-    enough = min(state.settings.give_up_workers, max(1, len(state.ring)))
-    tries = owner.failures >= state.settings.give_up_workers
-    if owner.given_up or len(sound) < enough or not tries:
+    enough = min(state.settings.give_up_workers, max(1, len(state.active_workers)))
+    tries = job_state.failures >= state.settings.give_up_workers
+    if job_state.given_up or len(sound) < enough or not tries:
         return []
-    owner.given_up = True
-    owner.last_error = owner.failed_on[sound[-1]] or owner.last_error
-    return [GiveUp(owner.job.id, owner.last_error)]
+    job_state.given_up = True
+    job_state.last_error = job_state.failed_on[sound[-1]] or job_state.last_error
+    return [GiveUp(job_state.job.id, job_state.last_error)]
 
 
 def _quarantine(
     state: PlacementState, worker: WorkerState, now: float, reason: str
 ) -> Quarantine:
     settings = state.settings
-    wait = min(settings.quarantine_max_s, settings.quarantine_s * 2**worker.quarantines)
-    worker.quarantines += 1
+    wait = min(
+        settings.quarantine_max_s, settings.quarantine_s * 2**worker.quarantine_count
+    )
+    worker.quarantine_count += 1
     worker.quarantined_until = now + wait
     worker.probing = False
     return Quarantine(worker.info.id, reason)
 
 
-def open_probes(state: PlacementState, now: float) -> list[Action]:
+def start_probes(state: PlacementState, now: float) -> list[Action]:
     """Open workers whose quarantine has passed to one probing task.
 
     A probe that still runs after ``quarantine_s`` has passed too, since a service's
@@ -173,7 +177,7 @@
     """
     ready = [
         worker
-        for worker in state.ring
+        for worker in state.active_workers
         if worker.quarantined_until is not None
         and not worker.probing
         and now >= worker.quarantined_until
@@ -181,14 +185,18 @@
     ]
     for worker in ready:
         worker.probing = True
-        state.room_version += 1
-    passed = [worker for worker in state.ring if _has_passed(state, worker, now)]
+        state.capacity_version += 1
+    passed = [
+        worker
+        for worker in state.active_workers
+        if _has_passed_probe(state, worker, now)
+    ]
     probes: list[Action] = [Probe(worker.info.id) for worker in ready]
     return probes + [_release(state, worker) for worker in passed]
 
 
-def _has_passed(state: PlacementState, worker: WorkerState, now: float) -> bool:
-    probe = worker.placed.get(worker.probe) if worker.probe else None
+def _has_passed_probe(state: PlacementState, worker: WorkerState, now: float) -> bool:
+    probe = worker.placed.get(worker.probe_task) if worker.probe_task else None
     if probe is None or probe.started_at is None:
         return False
     return now - probe.started_at > state.settings.quarantine_s
--- a/plantainyard/placement/quotas.py
+++ b/plantainyard/placement/quotas.py
@@ -2,41 +2,43 @@
 
 from plantainyard.placement.state import JobState, PlacementState
 
-__all__ = ["check_quota", "get_excess", "get_team_load"]
+__all__ = ["check_quota", "get_excess", "get_dominant_share"]
 
-_SLACK = 1e-6
+_EPSILON = 1e-6
 
 
-def check_quota(state: PlacementState, owner: JobState, tasks: int = 1) -> bool:
+def check_quota(state: PlacementState, job_state: JobState, tasks: int = 1) -> bool:
     """Return whether the job's team may start `tasks` more of its tasks.
 
     Notes
     -----
     Declared sizes are charged: what a team may hold does not depend on what is learnt.
     """
-    share = state.shares.get(owner.job.team)
+    share = state.quotas.get(job_state.job.team)
     if share is None:
         return True
-    used = state.team_used.get(owner.job.team, (0.0, 0.0, 0.0))
+    used = state.team_used.get(job_state.job.team, (0.0, 0.0, 0.0))
     return all(
-        u + need * tasks <= limit + _SLACK
-        for u, need, limit in zip(used, owner.job.size, share, strict=True)
+        u + need * tasks <= limit + _EPSILON
+        for u, need, limit in zip(used, job_state.job.size, share, strict=True)
     )
 
 
-def get_excess(state: PlacementState, owner: JobState, tasks: int = 1) -> list[float]:
+def get_excess(
+    state: PlacementState, job_state: JobState, tasks: int = 1
+) -> list[float]:
     """Return by how much `tasks` more of the job would exceed its team's quota."""
-    share = state.shares.get(owner.job.team)
+    share = state.quotas.get(job_state.job.team)
     if share is None:
         return [0.0, 0.0, 0.0]
-    used = state.team_used.get(owner.job.team, [0.0, 0.0, 0.0])
+    used = state.team_used.get(job_state.job.team, [0.0, 0.0, 0.0])
     return [
         max(0.0, u + need * tasks - limit)
-        for u, need, limit in zip(used, owner.job.size, share, strict=True)
+        for u, need, limit in zip(used, job_state.job.size, share, strict=True)
     ]
 
 
-def get_team_load(state: PlacementState, team: str) -> float:
+def get_dominant_share(state: PlacementState, team: str) -> float:
     """Return the team's dominant share: use by its quota, or by the capacity.
 
     References
@@ -47,6 +49,6 @@
     used = state.team_used.get(team)
     if used is None:
         return 0.0
-    whole = state.shares.get(team, state.capacity)
+    whole = state.quotas.get(team, state.capacity)
     loads = (u / limit for u, limit in zip(used, whole, strict=True) if limit > 0)
     return max(loads, default=0.0)
--- a/plantainyard/placement/scores.py
+++ b/plantainyard/placement/scores.py
@@ -7,19 +7,28 @@
 
 from typing import NamedTuple
 
-from plantainyard.placement.harm import predict_harm, predict_risk
+from plantainyard.placement.interference import (
+    predict_pessimistic_slowdown,
+    predict_slowdown,
+)
 from plantainyard.placement.state import JobState, PlacementState, Profile, WorkerState
 
-__all__ = ["Cost", "compute_cost", "compute_parts", "get_profile", "predict_pair"]
+__all__ = [
+    "Cost",
+    "compute_cost",
+    "compute_parts",
+    "get_profile",
+    "predict_pair_slowdown",
+]
 
-_TAIL_UNIT = 0.05
-_OPEN_COST = 0.3
-_CROWDED_COST = 10.0
-_RACK_COST = 3.0
-_NEEDLESS_COST = 0.5
-_SILENT_COST = 0.2
-_FAILING_COST = 0.1
-_FIT_COST = 0.02
+_TAIL_SCALE = 0.05
+_FIRST_SERVICE_COST = 0.3
+_SAME_WORKER_COST = 10.0
+_SAME_RACK_COST = 3.0
+_ACCELERATOR_WASTE_COST = 0.5
+_SILENT_WORKER_COST = 0.2
+_FAILED_JOB_COST = 0.1
+_POOR_FIT_COST = 0.02
 
 
 class Cost(NamedTuple):
@@ -53,8 +62,8 @@
     gain: float
 
 
-def predict_pair(
-    state: PlacementState, victim: str, aggressor: str, doubted: bool
+def predict_pair_slowdown(
+    state: PlacementState, victim: str, aggressor: str, include_uncertainty: bool
 ) -> float:
     """Return the harm to reckon with.
 
@@ -68,16 +77,16 @@
         Whether the doubt is added to the estimate, the more so the more the tail
         weighs; so it is for what batch work does to services.
     """
-    if state.rules.predict_harm is not None:
-        return state.rules.predict_harm(victim, aggressor)
-    if not state.rules.learns_harm:
+    if state.rules.predict_slowdown is not None:
+        return state.rules.predict_slowdown(victim, aggressor)
+    if not state.rules.learns_interference:
         return 0.0
-    if not doubted:
-        return predict_harm(state.harm, victim, aggressor)
+    if not include_uncertainty:
+        return predict_slowdown(state.interference, victim, aggressor)
     weights = state.weights
-    favour = weights.tail / max(weights.tail + weights.throughput, 1e-9)
-    caution = state.settings.caution * favour
-    return predict_risk(state.harm, victim, aggressor, caution)
+    weight_ratio = weights.tail / max(weights.tail + weights.throughput, 1e-9)
+    caution = state.settings.caution * weight_ratio
+    return predict_pessimistic_slowdown(state.interference, victim, aggressor, caution)
 
 
 def get_profile(state: PlacementState, worker: WorkerState, now: float) -> Profile:
@@ -89,7 +98,7 @@
     worker costs the number of its workloads, not of its tasks.
     """
     profile = worker.profile
-    if profile is not None and now - profile.at < state.settings.profile_s:
+    if profile is not None and now - profile.computed_at < state.settings.profile_s:
         return profile
     profile = _make_profile(state, worker, now)
     worker.profile = profile
@@ -102,61 +111,68 @@
     counts: dict[str, int] = {}
     services: dict[str, float] = {}
     for placement in worker.placed.values():
-        owner = placement.owner
-        name = owner.workload
-        share = owner.expected.cores * placement.share / capacity
+        job_state = placement.job_state
+        name = job_state.workload
+        share = job_state.expected.cores * placement.share / capacity
         shares[name] = shares.get(name, 0.0) + share
         counts[name] = counts.get(name, 0) + 1
-        if owner.job.latency_critical:
-            services[name] = owner.load
-    suffered = {
+        if job_state.job.latency_critical:
+            services[name] = job_state.utilization
+    slowdown = {
         name: sum(
-            predict_pair(state, name, other, name in services and other not in services)
+            predict_pair_slowdown(
+                state, name, other, name in services and other not in services
+            )
             * (share * (1.0 - 1.0 / counts[name]) if other == name else share)
             for other, share in shares.items()
         )
         for name in shares
     }
-    return Profile(now, shares, counts, services, suffered, sum(shares.values()))
+    return Profile(now, shares, counts, services, slowdown, sum(shares.values()))
 
 
 def compute_parts(
-    state: PlacementState, owner: JobState, worker: WorkerState, now: float
+    state: PlacementState, job_state: JobState, worker: WorkerState, now: float
 ) -> Cost:
     """Return the weighted parts of the cost of starting a task on `worker`."""
     weights = state.weights
     profile = get_profile(state, worker, now)
-    mine = owner.expected.cores / worker.info.capacity.cores
-    tail, throughput = _compute_harm_done(state, owner, profile, mine)
-    suffered = _compute_suffered(state, owner, profile)
-    if owner.job.latency_critical:
-        tail += (1.0 + owner.load * suffered) ** 2 - 1.0
+    own_share = job_state.expected.cores / worker.info.capacity.cores
+    tail, throughput = _compute_caused_cost(state, job_state, profile, own_share)
+    slowdown = _compute_own_slowdown(state, job_state, profile)
+    if job_state.job.latency_critical:
+        tail += (1.0 + job_state.utilization * slowdown) ** 2 - 1.0
         gain = 0.0
     else:
-        throughput += mine * (1.0 - 1.0 / (1.0 + suffered))
-        gain = -weights.throughput * mine
+        throughput += own_share * (1.0 - 1.0 / (1.0 + slowdown))
+        gain = -weights.throughput * own_share
     runners = sum(profile.counts[name] for name in profile.services)
-    over = max(0.0, profile.load + mine - 1.0) - max(0.0, profile.load - 1.0)
+    over = max(0.0, profile.utilization + own_share - 1.0) - max(
+        0.0, profile.utilization - 1.0
+    )
     return Cost(
-        tail=weights.tail * _TAIL_UNIT * tail,
+        tail=weights.tail * _TAIL_SCALE * tail,
         throughput=weights.throughput * throughput,
-        crowding=over * (weights.throughput + weights.tail * 3 * runners * _TAIL_UNIT),
-        spread=_compute_spread(state, owner, worker, profile),
-        waste=_compute_waste(owner, worker, profile),
-        doubt=weights.throughput * mine * _compute_doubt(state, worker, now),
+        crowding=over * (weights.throughput + weights.tail * 3 * runners * _TAIL_SCALE),
+        spread=_compute_spread(state, job_state, worker, profile),
+        waste=_compute_waste(job_state, worker, profile),
+        doubt=weights.throughput * own_share * _compute_doubt(state, worker, now),
         gain=gain,
     )
 
 
-def _compute_harm_done(
-    state: PlacementState, owner: JobState, profile: Profile, mine: float
+def _compute_caused_cost(
+    state: PlacementState, job_state: JobState, profile: Profile, own_share: float
 ) -> tuple[float, float]:
     tail = throughput = 0.0
     for name, share in profile.shares.items():
         load = profile.services.get(name)
-        doubted = load is not None and not owner.job.latency_critical
-        added = predict_pair(state, name, owner.workload, doubted) * mine
-        before = profile.suffered[name]
+        include_uncertainty = load is not None and not job_state.job.latency_critical
+        added = (
+            predict_pair_slowdown(state, name, job_state.workload, include_uncertainty)
+            * own_share
+        )
+        before = profile.slowdown[name]
         if load is not None:
             rise = (1 + load * (before + added)) ** 2 - (1 + load * before) ** 2
             tail += profile.counts[name] * rise
@@ -165,13 +181,13 @@
     return tail, throughput
 
 
-def _compute_suffered(
-    state: PlacementState, owner: JobState, profile: Profile
+def _compute_own_slowdown(
+    state: PlacementState, job_state: JobState, profile: Profile
 ) -> float:
-    service = owner.job.latency_critical
+    service = job_state.job.latency_critical
     return sum(
-        predict_pair(
-            state, owner.workload, other, service and other not in profile.services
+        predict_pair_slowdown(
+            state, job_state.workload, other, service and other not in profile.services
         )
         * share
         for other, share in profile.shares.items()
@@ -179,7 +195,7 @@
 
 
 def _compute_spread(
-    state: PlacementState, owner: JobState, worker: WorkerState, profile: Profile
+    state: PlacementState, job_state: JobState, worker: WorkerState, profile: Profile
 ) -> float:
     """Return the cost of having many runners of a service in one place.
 
@@ -188,34 +204,34 @@
     Up to a share of its runners may sit on one worker: services side by side leave
     whole workers to batch tasks that would harm them. Racks share them evenly.
     """
-    if not owner.job.latency_critical:
+    if not job_state.job.latency_critical:
         return 0.0
-    count = owner.job.task_count
-    cost = 0.0 if profile.services else state.weights.tail * _OPEN_COST
+    count = job_state.job.task_count
+    cost = 0.0 if profile.services else state.weights.tail * _FIRST_SERVICE_COST
     most = max(1.0, state.settings.runner_share * count)
-    if profile.counts.get(owner.workload, 0) + 1 > most:
-        cost += _CROWDED_COST
-    racks = {other.info.rack for other in state.ring}
-    here = owner.racks.get(worker.info.rack, 0)
+    if profile.counts.get(job_state.workload, 0) + 1 > most:
+        cost += _SAME_WORKER_COST
+    racks = {other.info.rack for other in state.active_workers}
+    here = job_state.racks.get(worker.info.rack, 0)
     if here + 1 > -(-count // max(1, len(racks))):
-        cost += _RACK_COST
+        cost += _SAME_RACK_COST
     return cost
 
 
-def _compute_waste(owner: JobState, worker: WorkerState, profile: Profile) -> float:
-    needless = worker.info.accelerator and not owner.job.constraints.accelerator
-    empty = max(0.0, 1.0 - profile.load)
-    return (_NEEDLESS_COST if needless else 0.0) + _FIT_COST * empty
+def _compute_waste(job_state: JobState, worker: WorkerState, profile: Profile) -> float:
+    needless = worker.info.accelerator and not job_state.job.constraints.accelerator
+    empty = max(0.0, 1.0 - profile.utilization)
+    return (_ACCELERATOR_WASTE_COST if needless else 0.0) + _POOR_FIT_COST * empty
 
 
 def _compute_doubt(state: PlacementState, worker: WorkerState, now: float) -> float:
     silent = worker.placed and now - worker.last_report > state.settings.silence_s
-    failing = _FAILING_COST * len(worker.failed_jobs)
-    return worker.distrust + failing + (_SILENT_COST if silent else 0.0)
+    failing = _FAILED_JOB_COST * len(worker.failed_jobs)
+    return worker.distrust + failing + (_SILENT_WORKER_COST if silent else 0.0)
 
 
 def compute_cost(
-    state: PlacementState, owner: JobState, worker: WorkerState, now: float
+    state: PlacementState, job_state: JobState, worker: WorkerState, now: float
 ) -> float:
     """Return the cost of starting a task of the job on `worker`."""
-    return sum(compute_parts(state, owner, worker, now))
+    return sum(compute_parts(state, job_state, worker, now))
--- a/plantainyard/placement/state.py
+++ b/plantainyard/placement/state.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Hashable
 from typing import Any, NamedTuple
 
-from plantainyard.placement.harm import HarmModel
+from plantainyard.placement.interference import InterferenceModel
 from plantainyard.placement.settings import PlacementSettings, Weights
 from plantainyard.work import Job, Size, TaskKey, WorkerInfo
 
@@ -21,15 +21,15 @@
     "Profile",
     "Rules",
     "Span",
-    "Waiting",
+    "WaitingTask",
     "WorkerState",
 ]
 
-_RUN_DEVIATION = 0.3
-_NOTHING = Size(0.0, 0.0, 0)
+_RUN_TIME_DEVIATION = 0.3
+_ZERO_SIZE = Size(0.0, 0.0, 0)
 
 
-class Waiting(NamedTuple):
+class WaitingTask(NamedTuple):
     """A task that waits, and what is known of its past."""
 
     number: int
@@ -66,12 +66,12 @@
         Share of the worker's cores in use by all.
     """
 
-    at: float
+    computed_at: float
     shares: dict[str, float]
     counts: dict[str, int]
     services: dict[str, float]
-    suffered: dict[str, float]
-    load: float
+    slowdown: dict[str, float]
+    utilization: float
 
 
 class Placement:
@@ -79,15 +79,15 @@
 
     __slots__ = (
         "attempt",
-        "cores_seen",
+        "reported_cores",
         "ending",
         "evictions",
         "exposures",
-        "samples",
+        "exposure_samples",
         "failures",
-        "limited_at",
+        "throttled_at",
         "number",
-        "owner",
+        "job_state",
         "placed_at",
         "share",
         "since",
@@ -95,8 +95,10 @@
         "worker",
     )
 
-    def __init__(self, owner: "JobState", task: Waiting, worker: str, now: float):
-        self.owner = owner
+    def __init__(
+        self, job_state: "JobState", task: WaitingTask, worker: str, now: float
+    ):
+        self.job_state = job_state
         self.number = task.number
         self.attempt = task.attempt
         self.since = task.since
@@ -106,23 +108,23 @@
         self.placed_at = now
         self.started_at: float | None = None
         self.share = 1.0
-        self.limited_at = now
+        self.throttled_at = now
         self.ending = False
-        self.cores_seen = -1.0
+        self.reported_cores = -1.0
         self.exposures: dict[str, float] = {}
-        self.samples = 0
+        self.exposure_samples = 0
 
     @property
     def key(self) -> TaskKey:
         """The task's key."""
-        return TaskKey(self.owner.job.id, self.number)
+        return TaskKey(self.job_state.job.id, self.number)
 
     @property
     def cores(self) -> float:
         """Cores in use as far as known: the last report, else the estimate."""
-        if self.cores_seen >= 0.0:
-            return self.cores_seen
-        return self.owner.expected.cores * self.share
+        if self.reported_cores >= 0.0:
+            return self.reported_cores
+        return self.job_state.expected.cores * self.share
 
 
 class JobState:
@@ -137,12 +139,12 @@
     def __init__(self, job: Job):
         self.job = job
         self.workload = job.workload or job.name or job.id
-        self.fresh: deque[tuple[int, int, int, float, int]] = deque()
-        self.again: dict[int, Waiting] = {}
-        self.due: list[tuple[float, int]] = []
+        self.untried_ranges: deque[tuple[int, int, int, float, int]] = deque()
+        self.retries: dict[int, WaitingTask] = {}
+        self.retry_heap: list[tuple[float, int]] = []
         self.waiting = 0
         self.placed: dict[int, Placement] = {}
-        self.placed_last = float("-inf")
+        self.last_placed_at = float("-inf")
         self.expected = job.size
         self.reserved = job.size
         self.failed_on: dict[str, str] = {}
@@ -152,29 +154,29 @@
         self.cancelled = False
         self.last_error = ""
         self.reason = ""
-        self.place = 0
-        self.holds = 0
-        self.broken_at: float | None = None
-        self.use_reports = 0.0
-        self.use_cores = 0.0
-        self.use_cores_square = 0.0
-        self.use_memory = 0.0
-        self.load = 1.0
-        self.idle = 0.0
+        self.queue_position = 0
+        self.reserved_workers = 0
+        self.incomplete_since: float | None = None
+        self.usage_reports = 0.0
+        self.usage_cores = 0.0
+        self.usage_cores_squared = 0.0
+        self.peak_memory_gb = 0.0
+        self.utilization = 1.0
+        self.idle_fraction = 0.0
         self.racks: dict[str, int] = {}
-        self.unit_ms = 0.0
-        self.run_offset = (0.0, _RUN_DEVIATION**2)
+        self.reference_latency_ms = 0.0
+        self.run_time_offset = (0.0, _RUN_TIME_DEVIATION**2)
 
     def key(self, number: int) -> TaskKey:
         """Return the key of one of the job's tasks."""
         return TaskKey(self.job.id, number)
 
-    def knows(self, number: int) -> bool:
+    def has_task(self, number: int) -> bool:
         """Return whether the task waits or is placed."""
         return (
             number in self.placed
-            or number in self.again
-            or any(first <= number < stop for first, stop, *_ in self.fresh)
+            or number in self.retries
+            or any(first <= number < stop for first, stop, *_ in self.untried_ranges)
         )
 
     def add_range(
@@ -182,8 +184,8 @@
     ) -> None:
         """Let the unknown ones of the tasks ``first`` to ``stop - 1`` wait."""
         taken = sorted(
-            [(n, n + 1) for n in (*self.placed, *self.again) if first <= n < stop]
-            + [(a, b) for a, b, *_ in self.fresh if a < stop and first < b]
+            [(n, n + 1) for n in (*self.placed, *self.retries) if first <= n < stop]
+            + [(a, b) for a, b, *_ in self.untried_ranges if a < stop and first < b]
         )
         for low, high in taken:
             if first < low:
@@ -195,62 +197,64 @@
     def _add_piece(
         self, first: int, stop: int, attempt: int, since: float, failures: int
     ) -> None:
-        self.fresh.append((first, stop, attempt, since, failures))
+        self.untried_ranges.append((first, stop, attempt, since, failures))
         self.waiting += stop - first
 
-    def add_again(self, task: Waiting, not_before: float) -> None:
+    def add_retry(self, task: WaitingTask, not_before: float) -> None:
         """Let a task wait again, from `not_before` on."""
-        self.again[task.number] = task
-        heapq.heappush(self.due, (not_before, task.number))
+        self.retries[task.number] = task
+        heapq.heappush(self.retry_heap, (not_before, task.number))
         self.waiting += 1
 
     def remove_range(self, first: int, stop: int) -> None:
         """Forget the waiting tasks from `first` to ``stop - 1``."""
         kept: deque[tuple[int, int, int, float, int]] = deque()
-        for low, high, *rest in self.fresh:
+        for low, high, *rest in self.untried_ranges:
             pieces = ((low, min(high, first)), (max(low, stop), high))
             kept.extend((a, b, *rest) for a, b in pieces if a < b)  # type: ignore[misc]
-        self.fresh = kept
-        for number in [n for n in self.again if first <= n < stop]:
-            del self.again[number]
-        self.waiting = len(self.again) + sum(b - a for a, b, *_ in kept)
+        self.untried_ranges = kept
+        for number in [n for n in self.retries if first <= n < stop]:
+            del self.retries[number]
+        self.waiting = len(self.retries) + sum(b - a for a, b, *_ in kept)
 
     def clear_waiting(self) -> None:
         """Forget all waiting tasks."""
-        self.fresh.clear()
-        self.again.clear()
-        self.due.clear()
+        self.untried_ranges.clear()
+        self.retries.clear()
+        self.retry_heap.clear()
         self.waiting = 0
 
-    def next_waiting(self, now: float) -> Waiting | None:
+    def peek_waiting(self, now: float) -> WaitingTask | None:
         """Return the task to place next, or None while all back off."""
-        while self.due and self.due[0][1] not in self.again:
-            heapq.heappop(self.due)
-        if self.due and self.due[0][0] <= now:
-            return self.again[self.due[0][1]]
-        if self.fresh:
-            first, _, attempt, since, failures = self.fresh[0]
-            return Waiting(first, attempt, since, failures)
+        while self.retry_heap and self.retry_heap[0][1] not in self.retries:
+            heapq.heappop(self.retry_heap)
+        if self.retry_heap and self.retry_heap[0][0] <= now:
+            return self.retries[self.retry_heap[0][1]]
+        if self.untried_ranges:
+            first, _, attempt, since, failures = self.untried_ranges[0]
+            return WaitingTask(first, attempt, since, failures)
         return None
 
-    def take(self, task: Waiting) -> None:
+    def take_waiting(self, task: WaitingTask) -> None:
         """Remove `task`, which `next_waiting` returned."""
         self.waiting -= 1
-        if task.number in self.again:
-            del self.again[task.number]
+        if task.number in self.retries:
+            del self.retries[task.number]
             return
-        first, stop, *rest = self.fresh.popleft()
+        first, stop, *rest = self.untried_ranges.popleft()
         if first + 1 < stop:
-            self.fresh.appendleft((first + 1, stop, *rest))  # type: ignore[arg-type]
+            self.untried_ranges.appendleft((first + 1, stop, *rest))  # type: ignore[arg-type]
 
-    def waits_since(self) -> float:
+    def get_waiting_since(self) -> float:
         """Return since when the longest waiting task waits."""
-        fresh = (since for _, _, _, since, _ in _head(self.fresh))
-        again = (task.since for task in _head(self.again.values()))
-        return min((*fresh, *again), default=float("inf"))
+        untried_ranges = (
+            since for _, _, _, since, _ in _take_first(self.untried_ranges)
+        )
+        retries = (task.since for task in _take_first(self.retries.values()))
+        return min((*untried_ranges, *retries), default=float("inf"))
 
 
-def _head(values: Any, count: int = 4) -> list[Any]:
+def _take_first(values: Any, count: int = 4) -> list[Any]:
     """Return the first few of `values`; enough for an estimate of the oldest."""
     return [value for value, _ in zip(values, range(count), strict=False)]
 
@@ -263,32 +267,34 @@
         self.listed = True
         self.suspect = False
         self.placed: dict[TaskKey, Placement] = {}
-        self.used = [0.0, 0.0, 0.0]
-        self.expected = 0.0
+        self.allocated = [0.0, 0.0, 0.0]
+        self.expected_cores = 0.0
         self.spans: dict[TaskKey, Span] = {}
-        self.past: deque[tuple[float, Span]] = deque()
+        self.past_spans: deque[tuple[float, Span]] = deque()
         self.last_report = now
-        self.services = 0
+        self.service_count = 0
         self.failed_jobs: dict[str, float] = {}
         self.quarantined_until: float | None = None
         self.probing = False
-        self.probe: TaskKey | None = None
-        self.quarantines = 0
+        self.probe_task: TaskKey | None = None
+        self.quarantine_count = 0
         self.reserved_for: str = ""
         self.reserved_until = 0.0
         self.reserved_tasks = 0
-        self.reserved_size = _NOTHING
-        self.pressure: dict[TaskKey, float] = {}
-        self.acted_at = float("-inf")
+        self.reserved_size = _ZERO_SIZE
+        self.latency_ratios: dict[TaskKey, float] = {}
+        self.mitigated_at = float("-inf")
         self.evicted_at = float("-inf")
         self.distrust = 0.0
         self.profile: Profile | None = None
 
     def recount(self) -> None:
         """Sum up the placed tasks' sizes anew."""
-        sizes = [placement.owner.reserved for placement in self.placed.values()]
-        self.used = [sum(size[i] for size in sizes) for i in range(3)]
-        self.expected = sum(p.owner.expected.cores for p in self.placed.values())
+        sizes = [placement.job_state.reserved for placement in self.placed.values()]
+        self.allocated = [sum(size[i] for size in sizes) for i in range(3)]
+        self.expected_cores = sum(
+            p.job_state.expected.cores for p in self.placed.values()
+        )
 
 
 class Rules(NamedTuple):
@@ -312,11 +318,11 @@
 
     cost: Callable[["PlacementState", JobState, WorkerState, float], float]
     learns_sizes: bool = True
-    learns_harm: bool = True
-    acts: bool = True
+    learns_interference: bool = True
+    mitigates_interference: bool = True
     hysteresis: bool = True
-    judges_workers: bool = True
-    predict_harm: Callable[[str, str], float] | None = None
+    quarantines_workers: bool = True
+    predict_slowdown: Callable[[str, str], float] | None = None
 
 
 class PlacementState:
@@ -338,13 +344,13 @@
         self.rules = rules
         self.workers: dict[str, WorkerState] = {}
         self.jobs: dict[str, JobState] = {}
-        self.shares: dict[str, Size] = {}
+        self.quotas: dict[str, Size] = {}
         self.team_used: dict[str, list[float]] = {}
-        self.harm = HarmModel(settings)
-        self.capacity = _NOTHING
-        self.cursor = 0
-        self.turn = 0
-        self.room_version = 0
-        self.full: dict[Hashable, int] = {}
-        self.ring: list[WorkerState] = []
+        self.interference = InterferenceModel(settings)
+        self.capacity = _ZERO_SIZE
+        self.scan_position = 0
+        self.turn_count = 0
+        self.capacity_version = 0
+        self.unplaceable_shapes: dict[Hashable, int] = {}
+        self.active_workers: list[WorkerState] = []
         self.now = 0.0
--- a/plantainyard/placement/tests/test_holding.py
+++ b/plantainyard/placement/tests/test_holding.py
@@ -39,4 +39,4 @@
     for second in range(60):
         report = UsageReported("w", TaskKey("s", 0), float(second), 8.0, 16.0, 0.0)
         step(state, report, second + 0.5)
-    assert state.jobs["s"].load < 0.05
+    assert state.jobs["s"].utilization < 0.05
--- a/plantainyard/placement/tests/test_outcomes.py
+++ b/plantainyard/placement/tests/test_outcomes.py
@@ -145,9 +145,9 @@
     job_of = {"svc": service, "wave": wave}
     seen = drive(state, job_of, lambda _: (Outcome.DONE, ""), 1, run_s=1e9)
     for second in range(5, 1505, 5):
-        for worker in state.ring:
+        for worker in state.active_workers:
             for p in list(worker.placed.values()):
-                noisy = second > 30 and len(worker.placed) > worker.services
+                noisy = second > 30 and len(worker.placed) > worker.service_count
                 latency = 100.0 if noisy else 10.0
                 report = UsageReported(
                     p.worker, p.key, second - 3.0, 2.0, 1.0, latency * (p.number >= 0)
@@ -161,7 +161,7 @@
     limits = [at for at, a in seen if isinstance(a, Throttle) and a.share < 1.0]
     evictions = [at for at, a in seen if isinstance(a, Checkpoint)]
     assert limits and (not evictions or limits[0] < evictions[0])
-    for worker in state.ring:
+    for worker in state.active_workers:
         steps = [at for at, a in seen if is_step(a, worker.info.id)]
         gaps = [later - earlier for earlier, later in pairwise(steps)]
         assert min(gaps, default=99.0) >= state.settings.patience_s
@@ -189,7 +189,7 @@
 
 def test_questions_are_answered_with_the_constraint_the_reason_and_the_place():
     state = make_state(2)
-    infos = [worker.info for worker in state.ring]
+    infos = [worker.info for worker in state.active_workers]
     never = make_job("never", 1, constraints=Constraints(accelerator="gpu"))
     assert check_possible(never, infos) == "accelerator"
     assert check_possible(make_job("big", 1, 9.0), infos) == "cores"
@@ -217,7 +217,7 @@
         service = Job("svc", "svc", "s", True, 1, Size(2, 2), workload="svc")
         step(state, TasksWaiting(service, 0, 1), 0.0)
         step(state, Tick(), 0.0)
-        state.rules = state.rules._replace(predict_harm=lambda _victim, _other: 3.0)
+        state.rules = state.rules._replace(predict_slowdown=lambda _victim, _other: 3.0)
         step(state, TasksWaiting(make_job("noisy", 1, 4.0), 0, 1, since=0.0), 0.0)
         return [a for a in step(state, Tick(), 1.0) if isinstance(a, Place)]
 
