--- a/plantainyard/state/tests/test_appender.py
+++ b/plantainyard/state/tests/test_appender.py
@@ -1,4 +1,4 @@
-"""Grouped appends to a log that loses answers, refuses, and delivers late."""
+"""Tests of grouped appends to a log that loses answers, refuses or is delayed."""
 
 import random
 from typing import Any
@@ -41,111 +41,113 @@
 
 
 class Appending(RuleBasedStateMachine):
-    """Two instances that append the same requests, and a network that holds back."""
+    """Two instances that append to one stream over a network that delays records."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
         self.log: list[Any] = []
-        self.held: list[Any] = []
+        self.delayed: list[Any] = []
         self.folded = [DomainState(), DomainState()]
         rng = random.Random(3)
         self.writers = [AppenderState(FAST, f"w{n}.", rng) for n in range(2)]
-        self.flying: list[Any] = [None, None]
+        self.in_flight: list[Any] = [None, None]
         self.reports: list[dict[str, list[AppendReport]]] = [{}, {}]
         self.submitted = 0
 
-    def step(self, who: int, event: Any) -> None:
-        for action in step_appender(self.writers[who], event, self.now):
+    def step(self, index: int, event: Any) -> None:
+        for action in step_appender(self.writers[index], event, self.now):
             match action:
                 case Append(record):
-                    assert self.flying[who] is None, "two appends in flight"
-                    self.flying[who] = record
+                    assert self.in_flight[index] is None, "two appends in flight"
+                    self.in_flight[index] = record
                 case AppendReport():
-                    self.take_report(who, action)
+                    self.collect_report(index, action)
 
-    def take_report(self, who: int, report: AppendReport) -> None:
-        reports = self.reports[who].setdefault(report.key, [])
+    def collect_report(self, index: int, report: AppendReport) -> None:
+        reports = self.reports[index].setdefault(report.key, [])
         final = [r for r in reports if r.status != AppendStatus.UNKNOWN]
         assert not final or report.key.startswith("again"), "reported twice"
         reports.append(report)
 
-    @rule(who=st.sampled_from([0, 1]), patience=st.sampled_from([1.0, 9.0, 1e9]))
-    def submit(self, who: int, patience: float) -> None:
+    @rule(index=st.sampled_from([0, 1]), valid_s=st.sampled_from([1.0, 9.0, 1e9]))
+    def submit(self, index: int, valid_s: float) -> None:
         self.submitted += 1
         name = f"a{self.submitted}"
-        submit = Submit(make_request(name), name, self.now + patience)
-        self.step(who, submit)
+        submit = Submit(make_request(name), name, self.now + valid_s)
+        self.step(index, submit)
 
-    @rule(who=st.sampled_from([0, 1]))
-    def tick(self, who: int) -> None:
+    @rule(index=st.sampled_from([0, 1]))
+    def tick(self, index: int) -> None:
         self.now += 0.7
-        self.step(who, AppendTick())
+        self.step(index, AppendTick())
 
     @rule(
-        who=st.sampled_from([0, 1]),
-        fate=st.sampled_from(["answer", "answer", "late", "lost", "held", "refused"]),
+        index=st.sampled_from([0, 1]),
+        outcome=st.sampled_from(
+            ["answer", "answer", "late", "lost", "delayed", "refused"]
+        ),
     )
-    def answer(self, who: int, fate: str) -> None:
-        record, self.flying[who] = self.flying[who], None
+    def answer(self, index: int, outcome: str) -> None:
+        record, self.in_flight[index] = self.in_flight[index], None
         if record is None:
             return
-        if fate == "held":
-            self.held.append(record)
-        if fate in ("answer", "late"):
+        if outcome == "delayed":
+            self.delayed.append(record)
+        if outcome in ("answer", "late"):
             self.log.append(record)
-        match fate:
+        match outcome:
             case "answer":
-                self.step(who, AppendSucceeded(len(self.log) - 1))
+                self.step(index, AppendSucceeded(len(self.log) - 1))
             case "refused":
-                self.step(who, AppendRefused(0.3))
+                self.step(index, AppendRefused(0.3))
             case _:
-                self.step(who, AppendUnconfirmed())
+                self.step(index, AppendUnconfirmed())
 
-    @precondition(lambda self: self.held)
+    @precondition(lambda self: self.delayed)
     @rule()
     def deliver(self) -> None:
-        self.log.append(self.held.pop(0))
+        self.log.append(self.delayed.pop(0))
 
-    @rule(who=st.sampled_from([0, 1]))
-    def read(self, who: int) -> None:
-        state = self.folded[who]
+    @rule(index=st.sampled_from([0, 1]))
+    def read(self, index: int) -> None:
+        state = self.folded[index]
         for offset in range(state.next_offset, len(self.log)):
-            change = apply_record(state, offset, self.log[offset])
-            self.step(who, RecordRead(offset, self.log[offset], change))
+            result = apply_record(state, offset, self.log[offset])
+            self.step(index, RecordRead(offset, self.log[offset], result))
 
-    @rule(who=st.sampled_from([0, 1]))
-    def skip(self, who: int) -> None:
-        state = self.folded[who]
+    @rule(index=st.sampled_from([0, 1]))
+    def skip(self, index: int) -> None:
+        state = self.folded[index]
         for offset in range(state.next_offset, len(self.log)):
             apply_record(state, offset, self.log[offset])
-        self.step(who, RecordsSkipped(state.next_offset))
+        self.step(index, RecordsSkipped(state.next_offset))
 
     def teardown(self) -> None:
         for _ in range(60):
-            for who in (0, 1):
+            for index in (0, 1):
                 self.now += 5.0
-                self.step(who, AppendTick())
-                self.answer(who, "answer")
-                self.read(who)
-        for record in self.held:
+                self.step(index, AppendTick())
+                self.answer(index, "answer")
+                self.read(index)
+        for record in self.delayed:
             self.log.append(record)
-        for who in (0, 1):
-            self.read(who)
-            assert count_backlog(self.writers[who]) == 0
-            self.check_truth(who)
-
-    def check_truth(self, who: int) -> None:
-        for name, reports in self.reports[who].items():
-            decision = find_decision(self.folded[who], name)
-            stands = decision is not None and bool(decision.job) and decision.applied
+        for index in (0, 1):
+            self.read(index)
+            assert count_backlog(self.writers[index]) == 0
+            self.check_reports(index)
+
+    def check_reports(self, index: int) -> None:
+        for name, reports in self.reports[index].items():
+            decision = find_decision(self.folded[index], name)
+            applied = decision is not None and bool(decision.job) and decision.applied
             last = reports[-1]
             assert last.status in (AppendStatus.APPLIED, AppendStatus.NOT_RUN)
-            assert (last.status == AppendStatus.APPLIED) == stands
-            if stands:
+            assert (last.status == AppendStatus.APPLIED) == applied
+            if applied:
                 assert decision is not None and last.offset == decision.offset
-        told = sum(len(names) for names in self.reports)
-        assert told == self.submitted
+        reported = sum(len(names) for names in self.reports)
+        assert reported == self.submitted
 
 
 TestAppending = Appending.TestCase
@@ -159,10 +161,10 @@
 
 
 def test_appends_do_not_grow_with_work() -> None:
-    """The log refuses everybody because the backlog of an outage hits it at once.
+    """Guards against overloading the log with a backlog after an outage.
 
-    The log is out for a minute while results gather; on its return every record
-    would go out in an append of its own.
+    The log is out for a minute while results accumulate. When it returns, they must
+    be sent in groups at the usual rate and not in one append for each record.
     """
     state = AppenderState(AppenderSettings(), "w.", random.Random(5))
     appends, now = 0, 0.0
@@ -177,23 +179,24 @@
         now += 0.01
         for action in collect(step_appender(state, AppendTick(), now), Append):
             starts.append(now)
-            change = apply_record(state_of(offset), offset, action.record)
+            result = apply_record(make_state(offset), offset, action.record)
             step_appender(state, AppendSucceeded(offset), now)
-            step_appender(state, RecordRead(offset, action.record, change), now)
+            step_appender(state, RecordRead(offset, action.record, result), now)
             offset += 1
     appends = len(starts)
     assert appends == -(-2000 // AppenderSettings().max_group)
-    gaps = [late - early for early, late in zip(starts, starts[1:], strict=False)]
+    gaps = [after - before for before, after in zip(starts, starts[1:], strict=False)]
     assert min(gaps) >= AppenderSettings().interval_s - 1e-9
 
 
-def state_of(next_offset: int) -> DomainState:
+def make_state(next_offset: int) -> DomainState:
     state = DomainState()
     state.next_offset = next_offset
     return state
 
 
-def test_full_backlog_refuses_truthfully_but_takes_urgent_records() -> None:
+def test_full_backlog_refuses_records_except_urgent_ones() -> None:
+    """Guards against claims that wait behind, or are refused by, a full backlog."""
     state = AppenderState(FAST, "w.", random.Random(5))
     for n in range(8):
         step_appender(state, Submit(make_request(f"a{n}"), f"a{n}"), 0.0)
@@ -206,24 +209,26 @@
     assert append.record["records"][0]["type"] == "claim"
 
 
-def test_snapshot_travels_alone() -> None:
+def test_snapshot_is_appended_alone() -> None:
+    """Guards against a snapshot in a group, where its record would be malformed."""
     state = AppenderState(FAST, "w.", random.Random(5))
     step_appender(state, Submit(make_abandon("a"), "a"), 0.0)
     step_appender(state, Submit(make_abandon("b"), "b"), 0.0)
     step_appender(state, Submit(make_snapshot(0, {}), "s"), 0.0)
     step_appender(state, Submit(make_abandon("c"), "c"), 0.0)
-    kinds = []
+    types = []
     for now in (1.0, 2.0, 3.0):
         (append,) = collect(step_appender(state, AppendSucceeded(0), now), Append)
-        kinds.append(append.record["type"])
-    assert kinds == ["abandon", "snapshot", "abandon"]
+        types.append(append.record["type"])
+    assert types == ["abandon", "snapshot", "abandon"]
 
 
-def test_refused_repeat_of_a_lost_record_stays_in_doubt() -> None:
-    """A caller is told "not run", comes back, and is charged twice.
+def test_refused_retry_of_an_unconfirmed_record_stays_unknown() -> None:
+    """Guards against reporting "not run" for a request that is carried out later.
 
-    The answer to an append is lost, and the network still holds the record. The log
-    goes out and refuses the repeat; the caller's patience ends.
+    The answer to an append is lost while the network still delays the record. The log
+    then fails and refuses the retry until the submission expires. After "not run" the
+    caller would submit the request again and be charged twice.
     """
     state = AppenderState(FAST, "w.", random.Random(5))
     step_appender(state, Submit(make_request("a"), "a", 9.0), 0.0)
--- a/plantainyard/state/tests/test_configuration.py
+++ b/plantainyard/state/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""The folding of the configuration stream."""
+"""Tests of folding the configuration stream."""
 
 import json
 from typing import Any
@@ -23,12 +23,12 @@
     requests,
 )
 
-CHANGES = st.dictionaries(st.sampled_from("xyz"), st.none() | st.integers(0, 3))
+KEY_CHANGES = st.dictionaries(st.sampled_from("xyz"), st.none() | st.integers(0, 3))
 CONFIGS = st.builds(
     make_config,
     st.sampled_from("abcdefghij"),
     st.integers(-1, 12),
-    CHANGES.filter(bool),
+    KEY_CHANGES.filter(bool),
 )
 RECORDS = st.one_of(
     CONFIGS,
@@ -41,45 +41,46 @@
 def fold(records: list[Any], state: ConfigState, start: int = 0) -> ConfigState:
     for offset, record in enumerate(records, start):
         before = {key: get_version(state, key) for key in "xyz"}
-        change = apply_config(state, offset, record)
+        result = apply_config(state, offset, record)
         after = {key: get_version(state, key) for key in "xyz"}
         assert all(before[key] <= after[key] for key in "xyz")
         if record["type"] == "config" and record["base"] >= offset:
-            assert not change.applied
-        if change.reason == VoidReason.BASE:
-            assert change.winner == max(before[key] for key in record["changes"])
+            assert not result.applied
+        if result.reason == VoidReason.BASE:
+            assert result.winner == max(before[key] for key in record["changes"])
     return state
 
 
 @settings(derandomize=True, deadline=None, max_examples=300)
-@given(records=st.lists(RECORDS, max_size=14), cut=st.integers(0, 14))
-def test_versions_only_grow_also_over_a_snapshot(records, cut) -> None:
-    """A setting jumps back to an old value on one instance after its restart.
+@given(records=st.lists(RECORDS, max_size=14), split=st.integers(0, 14))
+def test_versions_only_increase_also_across_a_snapshot(records, split) -> None:
+    """Guards against a setting that reverts on one instance after its restart.
 
-    Two instances fold the same stream, one of them from a snapshot and with a part
-    of the records delivered twice. Both must hold the same values and versions.
+    Two instances fold the same stream, one of them from a snapshot and with some of
+    the records delivered twice. Both must hold the same values and versions.
     """
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(configuration, "MAX_DELETED", 1)
         patch.setattr(requests, "MAX_DECISIONS", 3)
-        check_snapshot(json.loads(json.dumps(records)), cut)
+        check_snapshot(json.loads(json.dumps(records)), split)
 
 
-def check_snapshot(records: list[Any], cut: int) -> None:
-    whole = fold(records, ConfigState())
-    part = fold(records[:cut], ConfigState())
-    part = decode_config(json.loads(json.dumps(encode_config(part))))
-    for offset, record in enumerate(records[:cut]):
-        assert not apply_config(part, offset, record).applied
-    part = fold(records[cut:], part, min(cut, len(records)))
-    assert encode_config(part) == encode_config(whole)
+def check_snapshot(records: list[Any], split: int) -> None:
+    expected = fold(records, ConfigState())
+    restored = fold(records[:split], ConfigState())
+    restored = decode_config(json.loads(json.dumps(encode_config(restored))))
+    for offset, record in enumerate(records[:split]):
+        assert not apply_config(restored, offset, record).applied
+    restored = fold(records[split:], restored, min(split, len(records)))
+    assert encode_config(restored) == encode_config(expected)
 
 
-def test_of_two_racing_operators_one_wins() -> None:
-    """Two operators narrow and widen the same setting; both are told "accepted".
+def test_only_one_of_two_concurrent_changes_is_accepted() -> None:
+    """Guards against accepting conflicting changes of two operators.
 
-    Both read version 0 and append; the log takes both. Only the first one in the
-    log may be in force, and the second has to be told of it.
+    Both operators read version 0 and append a change of the same setting, and the log
+    stores both records. Only the first one in the log may take effect, and the second
+    must be refused with the version that won.
     """
     state = ConfigState()
     apply_config(state, 0, make_config("a", -1, {"x": 1, "y": 1}))
@@ -93,10 +94,10 @@
 
 
 def test_forgotten_deletion_still_conflicts(monkeypatch) -> None:
-    """A setting that an operator deleted comes back by itself.
+    """Guards against a delayed change that restores a deleted setting.
 
-    A change is held back by the network; the key is deleted meanwhile, and so many
-    others after it that the deletion is forgotten. Then the change arrives.
+    The network delays a change. Meanwhile the key is deleted, and then so many other
+    keys that the deletion is forgotten. Then the change arrives.
     """
     monkeypatch.setattr(configuration, "MAX_DELETED", 2)
     state = ConfigState()
--- a/plantainyard/state/tests/test_reader.py
+++ b/plantainyard/state/tests/test_reader.py
@@ -1,4 +1,4 @@
-"""The reading of a stream of which the log forgets the beginning."""
+"""Tests of reading a stream whose oldest records the log has deleted."""
 
 import random
 from typing import Any
@@ -32,7 +32,7 @@
 
 
 class FakeLog:
-    """A log that keeps its newest records only."""
+    """A log that keeps only its newest records."""
 
     def __init__(self) -> None:
         self.first = 0
@@ -52,8 +52,8 @@
     return ReaderState(ReaderSettings(limit=limit), random.Random(1))
 
 
-class Reading:
-    """A reader with the state that it folds: the list of the offsets it covers."""
+class ReaderHarness:
+    """A reader with a minimal folded state: the number of records that it covers."""
 
     def __init__(self, limit: int = 3) -> None:
         self.reader = make_reader(limit)
@@ -80,7 +80,7 @@
     st.one_of(
         st.just("append"),
         st.tuples(st.just("snapshot"), st.integers(0, 3)),
-        st.tuples(st.just("forget"), st.integers(1, 6)),
+        st.tuples(st.just("expire"), st.integers(1, 6)),
         st.just("read"),
         st.just("read"),
         st.just("fail"),
@@ -93,12 +93,12 @@
 @settings(derandomize=True, deadline=None, max_examples=400)
 @given(steps=STEPS, limit=st.integers(1, 5))
 def test_no_record_is_skipped(steps, limit) -> None:
-    """An instance that was cut off for long misses jobs, and never says so.
+    """Guards against silently missing jobs after a long disconnection.
 
-    The log forgets the records that the instance did not read yet. On its return
-    it reads on from the earliest one kept, as if nothing were missing.
+    The log deletes records that the instance has not read yet. When the connection
+    returns, the instance must not simply continue at the earliest remaining record.
     """
-    log, reading, peer = FakeLog(), Reading(limit), 0
+    log, harness, peer = FakeLog(), ReaderHarness(limit), 0
     for now, step in enumerate(steps):
         match step:
             case "append":
@@ -106,40 +106,40 @@
             case "snapshot", back if len(log.records) > back:
                 covers = len(log.records) - 1 - back
                 log.append({"type": "snapshot", "covers": covers, "state": {}})
-            case "forget", count:
+            case "expire", count:
                 log.first = min(log.first + count, len(log.records))
-            case "fail" if reading.fetch:
-                reading.step(FetchFailed(), now * 100.0)
+            case "fail" if harness.fetch:
+                harness.step(FetchFailed(), now * 100.0)
             case "relay":
                 newest = log.records[peer : peer + 4]
                 peer += len(newest)
-                reading.step(Relayed(peer, newest), now * 100.0)
+                harness.step(Relayed(peer, newest), now * 100.0)
             case "read":
-                if reading.fetch is None:
-                    reading.step(ReadTick(), now * 100.0)
+                if harness.fetch is None:
+                    harness.step(ReadTick(), now * 100.0)
                 else:
-                    asked, reading.fetch = reading.fetch, None
-                    answer = log.read(asked.offset, asked.limit)
-                    reading.step(answer, now * 100.0)
-        if is_current(reading.reader) and step == "read":
-            assert reading.folded >= reading.reader.known_end
+                    fetch, harness.fetch = harness.fetch, None
+                    answer = log.read(fetch.offset, fetch.limit)
+                    harness.step(answer, now * 100.0)
+        if is_current(harness.reader) and step == "read":
+            assert harness.folded >= harness.reader.known_end
     covers = len(log.records) - 1
     if covers >= 0:
         log.append({"type": "snapshot", "covers": covers, "state": {}})
-    while not is_current(reading.reader) or reading.folded < len(log.records):
-        if reading.fetch is None:
-            reading.step(ReadTick(), 1e9)
+    while not is_current(harness.reader) or harness.folded < len(log.records):
+        if harness.fetch is None:
+            harness.step(ReadTick(), 1e9)
             continue
-        asked, reading.fetch = reading.fetch, None
-        reading.step(log.read(asked.offset, asked.limit), 1e9)
-    assert reading.folded == len(log.records)
+        fetch, harness.fetch = harness.fetch, None
+        harness.step(log.read(fetch.offset, fetch.limit), 1e9)
+    assert harness.folded == len(log.records)
 
 
 def test_fresh_instance_is_not_current_before_it_knows_the_end() -> None:
-    """A restarted instance allows what an operator has just forbidden.
+    """Guards against a restarted instance that ignores a recent operator's change.
 
-    It starts while the log is out, holds no configuration and takes that for the
-    newest one. A peer that holds more is reachable.
+    It starts while the log is out, holds no configuration and must not take that for
+    the newest one. A peer that holds newer records is reachable.
     """
     reader = make_reader()
     assert step_reader(reader, ReadTick(), 0.0) == [Fetch(0, 3, 1000)]
@@ -154,7 +154,8 @@
     assert not is_current(reader) and get_staleness(reader, 7.0) == 4.0
 
 
-def test_log_set_back_reverts_nothing() -> None:
+def test_log_restored_from_an_old_copy_reverts_nothing() -> None:
+    """Guards against undoing accepted records when the log's end moves backwards."""
     reader = make_reader(9)
     step_reader(reader, ReadTick(), 0.0)
     records = [LogRecord(n, 0.0, {"type": "x"}) for n in range(4)]
@@ -164,7 +165,8 @@
     assert actions[0] == LogRegressed(4, 2) and not is_current(reader)
 
 
-def test_failures_are_spread_and_bounded() -> None:
+def test_retries_are_delayed_and_bounded() -> None:
+    """Guards against fetching too often, or too rarely, from a failing log."""
     reader = make_reader()
     now, pauses = 0.0, []
     step_reader(reader, ReadTick(), now)
@@ -176,23 +178,25 @@
     assert pauses[0] < pauses[-1] <= 1.5 * ReaderSettings().retry_max_s
 
 
-def test_snapshots_stand_in_time_and_not_all_at_once() -> None:
-    """After a quiet week no instance can start: the log has forgotten everything.
+def test_snapshots_are_due_before_expiry_and_at_different_times() -> None:
+    """Guards against a log without any snapshot after an idle week.
 
-    Nothing was appended for longer than the retention, so that nobody counted
-    records, and the only snapshot expired.
+    If nothing is appended for longer than the retention, the number of records never
+    makes a snapshot due and the only one expires. Then no instance can start.
     """
-    watches = [
+    schedules = [
         SnapshotSchedule(SnapshotSettings(1000.0), random.Random(seed))
         for seed in range(8)
     ]
-    assert not is_snapshot_due(watches[0], 0, 1e6)
+    assert not is_snapshot_due(schedules[0], 0, 1e6)
     due = []
-    for skew, watch in enumerate(watches):
-        observe_record(watch, 0.0, -1e5 * skew)
-        observe_snapshot(watch, 41, 10.0, 10.0 - 1e5 * skew)
-        times = (n for n in range(1000) if is_snapshot_due(watch, 42, n - 1e5 * skew))
+    for index, schedule in enumerate(schedules):
+        observe_record(schedule, 0.0, -1e5 * index)
+        observe_snapshot(schedule, 41, 10.0, 10.0 - 1e5 * index)
+        times = (
+            n for n in range(1000) if is_snapshot_due(schedule, 42, n - 1e5 * index)
+        )
         due.append(next(times))
-        assert is_snapshot_due(watch, 42 + 20_000, 10.0 - 1e5 * skew)
+        assert is_snapshot_due(schedule, 42 + 20_000, 10.0 - 1e5 * index)
     assert 200 < min(due) < max(due) <= 411
     assert len(set(due)) == len(due)
