--- a/plantainyard/state/append_events.py
+++ b/plantainyard/state/append_events.py
@@ -7,16 +7,16 @@
 from plantainyard.state.fold_results import FoldResult
 
 __all__ = [
-    "AppendSucceeded",
     "Append",
     "AppendAction",
     "AppendEvent",
+    "AppendRefused",
     "AppendReport",
     "AppendStatus",
+    "AppendSucceeded",
     "AppendTick",
-    "AppenderSettings",
     "AppendUnconfirmed",
-    "AppendRefused",
+    "AppenderSettings",
     "RecordRead",
     "RecordsSkipped",
     "Submit",
@@ -95,7 +95,10 @@
 
 
 class RecordsSkipped(NamedTuple):
-    """The reader restarted from a snapshot; some records before it were not read."""
+    """The reader restarted from a snapshot.
+
+    Some of the records below `next_offset` were not read.
+    """
 
     next_offset: int
 
--- a/plantainyard/state/appender.py
+++ b/plantainyard/state/appender.py
@@ -50,11 +50,11 @@
     """
 
     __slots__ = (
+        "abandoned_id",
         "append_id",
-        "expires_at",
         "expired",
+        "expires_at",
         "key",
-        "abandoned_id",
         "record",
         "sent",
     )
--- a/plantainyard/state/configuration.py
+++ b/plantainyard/state/configuration.py
@@ -24,11 +24,11 @@
 )
 
 __all__ = [
-    "MAX_DELETED",
-    "MAX_HISTORY",
     "ConfigState",
     "ConfigValue",
     "HistoryEntry",
+    "MAX_DELETED",
+    "MAX_HISTORY",
     "apply_config",
     "get_value",
     "get_version",
--- a/plantainyard/state/domain.py
+++ b/plantainyard/state/domain.py
@@ -22,9 +22,9 @@
 from plantainyard.work import TaskKey
 
 __all__ = [
-    "MAX_COMPLETED",
     "Claim",
     "DomainState",
+    "MAX_COMPLETED",
     "count_tasks",
     "find_claim",
     "find_decision",
--- a/plantainyard/state/fold_results.py
+++ b/plantainyard/state/fold_results.py
@@ -4,7 +4,7 @@
 
 from plantainyard.work import TaskKey
 
-__all__ = ["FoldResult", "VoidReason", "RequestDecision", "RequestKind", "VoidItem"]
+__all__ = ["FoldResult", "RequestDecision", "RequestKind", "VoidItem", "VoidReason"]
 
 
 class RequestKind:
--- a/plantainyard/state/jobs.py
+++ b/plantainyard/state/jobs.py
@@ -155,13 +155,13 @@
     __slots__ = (
         "assigned_count",
         "cancelled",
-        "done_count",
         "cancelled_count",
+        "done_count",
         "failures",
-        "unattempted",
         "job",
         "offset",
         "retries",
+        "unattempted",
     )
 
     def __init__(self, job: Job, offset: int) -> None:
--- a/plantainyard/state/reader.py
+++ b/plantainyard/state/reader.py
@@ -13,22 +13,22 @@
 
 __all__ = [
     "Apply",
+    "EndReported",
     "Fetch",
     "FetchFailed",
     "Fetched",
     "LogRecord",
+    "LogRegressed",
     "ReadEvent",
+    "ReadRestarted",
     "ReadTick",
     "ReaderAction",
     "ReaderSettings",
     "ReaderState",
-    "LogRegressed",
     "Relayed",
-    "ReadRestarted",
     "Restore",
-    "EndReported",
-    "is_current",
     "get_staleness",
+    "is_current",
     "step_reader",
 ]
 
@@ -163,7 +163,7 @@
         True from a gap until a snapshot that covers it; nothing is folded meanwhile.
     known_end : int
         Greatest end of the stream that the log or a peer has reported.
-    end_known : bool
+    is_end_known : bool
         True once the log or a peer has reported an end.
     current_at : float
         Last time at which all records that were known to exist had been folded.
@@ -181,7 +181,7 @@
         self.next_offset = 0
         self.seeking_snapshot = False
         self.known_end = 0
-        self.end_known = False
+        self.is_end_known = False
         self.current_at = float("-inf")
         self.fetch_in_flight = False
         self.fetch_at = float("-inf")
@@ -198,7 +198,7 @@
     `get_staleness` for the age of that information.
     """
     return (
-        state.end_known
+        state.is_end_known
         and not state.seeking_snapshot
         and state.next_offset >= state.known_end
     )
@@ -248,7 +248,7 @@
 
 
 def _update_end(state: ReaderState, end: int) -> None:
-    state.end_known = True
+    state.is_end_known = True
     state.known_end = max(state.known_end, end)
 
 
@@ -271,7 +271,7 @@
         # The log was restored from an old copy. Accepted records must not be reverted,
         # so the folded state is kept, and the instance is no longer current.
         actions.append(LogRegressed(state.next_offset, event.next))
-        state.end_known = False
+        state.is_end_known = False
         state.fetch_at = now + state.settings.retry_s
         return
     _update_end(state, event.next)
--- a/plantainyard/state/snapshots.py
+++ b/plantainyard/state/snapshots.py
@@ -26,8 +26,8 @@
 from plantainyard.work import decode_job, encode_job, format_task, parse_task
 
 __all__ = [
-    "SnapshotSettings",
     "SnapshotSchedule",
+    "SnapshotSettings",
     "decode_config",
     "decode_domain",
     "encode_config",
