--- a/plantainyard/placement/__init__.py
+++ b/plantainyard/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Which task runs on which worker, and what is done about harm and failures."""
+"""Placement of tasks on workers, mitigation of interference, and worker quarantine."""
 
 from plantainyard.placement.actions import (
     Action,
--- a/plantainyard/placement/accounting.py
+++ b/plantainyard/placement/accounting.py
@@ -1,4 +1,7 @@
-"""Book-keeping of what occupies which worker."""
+"""Bookkeeping of the tasks that occupy each worker.
+
+Keeps the sums of allocated resources per worker and team in step with the placements.
+"""
 
 from plantainyard.placement.state import (
     JobState,
@@ -23,17 +26,17 @@
 
 
 def get_job(state: PlacementState, job: Job) -> JobState:
-    """Return the state of `job`, new if it was unknown."""
-    found = state.jobs.get(job.id)
-    if found is None:
-        found = state.jobs[job.id] = JobState(job)
-    return found
+    """Return the state of `job`; create it if the job is unknown."""
+    job_state = state.jobs.get(job.id)
+    if job_state is None:
+        job_state = state.jobs[job.id] = JobState(job)
+    return job_state
 
 
 def occupy(
     state: PlacementState, job_state: JobState, task: WaitingTask, worker: WorkerState
 ) -> Placement:
-    """Let `task` occupy `worker` from now on, before any answer is known."""
+    """Allocate room for `task` on `worker`, before the assignment is confirmed."""
     placement = Placement(job_state, task, worker.info.id, state.now)
     job_state.placed[task.number] = placement
     worker.placed[placement.key] = placement
@@ -56,7 +59,7 @@
 
 
 def vacate(state: PlacementState, placement: Placement) -> None:
-    """Free what `placement` occupies."""
+    """Free the resources that `placement` occupies."""
     job_state = placement.job_state
     del job_state.placed[placement.number]
     _charge_team(state, job_state, -1)
@@ -93,7 +96,7 @@
 def update_task_sizes(
     state: PlacementState, job_state: JobState, reserved: Size, expected: Size
 ) -> None:
-    """Reckon with new sizes for each task of a job, on its workers too."""
+    """Set new task sizes for a job and update the sums of the workers it runs on."""
     job_state.reserved = reserved
     job_state.expected = expected
     state.capacity_version += 1
@@ -103,7 +106,7 @@
 
 
 def drop_idle_job(state: PlacementState, job_state: JobState) -> None:
-    """Forget a job that neither waits nor runs, and is not given up."""
+    """Remove a job without waiting or placed tasks, unless it has been given up."""
     if job_state.waiting or job_state.placed or job_state.given_up:
         return
     state.jobs.pop(job_state.job.id, None)
@@ -113,7 +116,7 @@
 
 
 def rebuild_active_workers(state: PlacementState) -> None:
-    """Renew the list of workers that may take tasks."""
+    """Rebuild the sorted list of listed workers and their total capacity."""
     state.active_workers = [w for _, w in sorted(state.workers.items()) if w.listed]
     state.capacity_version += 1
     sizes = [worker.info.capacity for worker in state.active_workers]
@@ -125,7 +128,7 @@
 
 
 def list_occupants(worker: WorkerState, time_s: float) -> list[Span]:
-    """Return what occupied `worker` at `time_s`, as far back as remembered."""
+    """Return what occupied `worker` at `time_s`, within the retained history."""
     present = [span for span in worker.spans.values() if span.start <= time_s]
     past_spans = [
         span for ended, span in worker.past_spans if span.start <= time_s < ended
@@ -134,6 +137,6 @@
 
 
 def find_placement(state: PlacementState, task: TaskKey) -> Placement | None:
-    """Return the placement of `task`, or None."""
+    """Return the placement of `task`, or None if the task is not placed."""
     job_state = state.jobs.get(task.job)
     return job_state.placed.get(task.number) if job_state else None
--- a/plantainyard/placement/actions.py
+++ b/plantainyard/placement/actions.py
@@ -1,4 +1,4 @@
-"""Actions that placement asks the owner of a rack to carry out."""
+"""Actions that the placement policy asks the owner of a rack to carry out."""
 
 from typing import NamedTuple
 
@@ -21,8 +21,8 @@
 class Place(NamedTuple):
     """Assign an attempt of a task to a worker, then start it.
 
-    The task occupies the worker from now on. If the assignment fails, the owner answers
-    with `TaskEnded` and the outcome ``unplaced``.
+    The task occupies the worker from now on. If the assignment fails, the owner sends
+    `TaskEnded` with the outcome ``unplaced``.
     """
 
     task: TaskKey
@@ -32,7 +32,7 @@
 
 
 class Throttle(NamedTuple):
-    """Limit a running task to `share` of its cores; 1 lifts the limit."""
+    """Limit a running task to `share` of its cores; a share of 1 removes the limit."""
 
     task: TaskKey
     attempt: int
@@ -41,7 +41,7 @@
 
 
 class Checkpoint(NamedTuple):
-    """Checkpoint a running task, then stop it (an eviction)."""
+    """Evict a running task: write a checkpoint, then stop it."""
 
     task: TaskKey
     attempt: int
@@ -58,16 +58,16 @@
 
 
 class HoldBack(NamedTuple):
-    """A job's next task waits; sent when the reason changes.
+    """Report why a job's next task waits; sent whenever the reason changes.
 
     Attributes
     ----------
     task : TaskKey
         The first waiting task of the job.
     reason : str
-        Why it waits.
+        Why the task waits.
     place : int
-        The job's place in the order, from 1.
+        Position of the job in the order of waiting jobs, from 1.
     """
 
     task: TaskKey
@@ -76,9 +76,9 @@
 
 
 class GiveUp(NamedTuple):
-    """A job failed on several sound workers; it is started no more.
+    """Stop starting a job that failed on several healthy workers.
 
-    The job stays known, for `explain`, until the owner answers with `Cancelled`.
+    The job stays in the state, for `explain`, until the owner sends `Cancelled`.
     """
 
     job: str
@@ -86,20 +86,20 @@
 
 
 class Quarantine(NamedTuple):
-    """A worker fails many kinds of work; it takes no new tasks."""
+    """Place no new tasks on a worker on which tasks of several jobs failed."""
 
     worker: str
     reason: str
 
 
 class Probe(NamedTuple):
-    """A quarantined worker is open to one task, to see whether it is sound."""
+    """Allow one task on a quarantined worker, to test whether it is healthy."""
 
     worker: str
 
 
 class Release(NamedTuple):
-    """A quarantined worker passed its probe."""
+    """End the quarantine of a worker that passed its probe."""
 
     worker: str
 
--- a/plantainyard/placement/decision.py
+++ b/plantainyard/placement/decision.py
@@ -1,4 +1,8 @@
-"""One round of decisions: which waiting task goes where, and which waits for what."""
+"""Decisions of one tick: which waiting tasks start on which workers.
+
+For each job that can't start a task, the reason is reported. Workers are reserved for
+jobs that have waited long, so that small tasks can't starve large ones.
+"""
 
 from plantainyard.placement.accounting import occupy
 from plantainyard.placement.actions import Action, HoldBack, Place
@@ -32,7 +36,7 @@
 
 
 def decide(state: PlacementState, now: float) -> list[Action]:
-    """Return all decisions of one tick."""
+    """Make all decisions of one tick and return them."""
     actions: list[Action] = []
     _expire_reservations(state, now)
     if state.rules.quarantines_workers:
@@ -62,48 +66,48 @@
     actions: list[Action] = []
     waiting = placed = 0
     while placed < state.settings.places_max:
-        heads = select_next_jobs(state, order)
-        if not heads:
+        next_jobs = select_next_jobs(state, order)
+        if not next_jobs:
             break
-        made, held = _place_one(state, order, heads, now)
-        placed += sum(isinstance(action, Place) for action in made)
-        actions += made
-        for job_state, reason in held:
+        new_actions, blocked = _place_one(state, order, next_jobs, now)
+        placed += sum(isinstance(action, Place) for action in new_actions)
+        actions += new_actions
+        for job_state, reason in blocked:
             waiting += 1
             actions += _report_waiting(job_state, reason, waiting, now)
     return actions
 
 
 def _place_one(
-    state: PlacementState, order: Order, heads: list[JobState], now: float
+    state: PlacementState, order: Order, next_jobs: list[JobState], now: float
 ) -> tuple[list[Action], list[tuple[JobState, str]]]:
-    """Place a task of that one of `heads` which suits the room best."""
-    held: list[tuple[JobState, str]] = []
+    """Place one task of the job in `next_jobs` with the lowest cost per core."""
+    blocked: list[tuple[JobState, str]] = []
     actions: list[Action] = []
     choices: list[Choice] = []
     settings = state.settings
-    count = max(settings.candidates_min, settings.candidates_max // len(heads))
-    for job_state in heads:
+    count = max(settings.candidates_min, settings.candidates_max // len(next_jobs))
+    for job_state in next_jobs:
         if job_state.job.gang and not job_state.placed:
-            made, reason = place_gang(state, job_state, now)
-            actions += made
-            requeue_job(state, order, job_state, now, bool(made))
-            if made:
-                return actions, held
-            held.append((job_state, reason))
+            new_actions, reason = place_gang(state, job_state, now)
+            actions += new_actions
+            requeue_job(state, order, job_state, now, bool(new_actions))
+            if new_actions:
+                return actions, blocked
+            blocked.append((job_state, reason))
             continue
         choice = _choose_worker(state, order, job_state, count, now)
         if isinstance(choice, Choice):
             choices.append(choice)
             continue
         actions += choice[0]
-        held.append((job_state, choice[1]))
+        blocked.append((job_state, choice[1]))
         requeue_job(state, order, job_state, now, False)
     if choices:
         best = min(choices, key=lambda choice: (choice.value, choice.job_state.job.id))
         actions.append(_place_choice(state, best, now))
         requeue_job(state, order, best.job_state, now, True)
-    return actions, held
+    return actions, blocked
 
 
 def _report_waiting(
@@ -122,22 +126,25 @@
 def _choose_worker(
     state: PlacementState, order: Order, job_state: JobState, count: int, now: float
 ) -> Choice | tuple[list[Action], str]:
-    """Return the best worker for the job's next task, or why it waits.
+    """Return the best worker for the job's next task, or evictions and why it waits.
 
     Notes
     -----
-    A choice made earlier in this step stands while nothing was placed on its worker:
-    room only shrinks within a step, so the other workers got no better.
+    A choice made earlier in this step stays valid until a task is placed on the chosen
+    worker: free capacity only shrinks within a step, so no other worker has become
+    better.
     """
     task = job_state.peek_waiting(now)
     if task is None:
         return [], "backing off"
     if not check_quota(state, job_state):
-        made = evict_for_urgent(state, job_state, now) if job_state.job.urgent else []
-        return made, "team quota"
-    known = order.choices.get(job_state.job.id)
-    if known and known.task == task and known.worker.profile is known.profile:
-        return known
+        new_actions = (
+            evict_for_urgent(state, job_state, now) if job_state.job.urgent else []
+        )
+        return new_actions, "team quota"
+    earlier = order.choices.get(job_state.job.id)
+    if earlier and earlier.task == task and earlier.worker.profile is earlier.profile:
+        return earlier
     candidates = avoid_failed(job_state, find_candidates(state, job_state, count))
     if not candidates:
         return _reserve_or_evict(state, order, job_state, task.since, now), NO_CAPACITY
@@ -170,10 +177,11 @@
 def _is_net_loss(
     state: PlacementState, job_state: JobState, worker: WorkerState, now: float
 ) -> bool:
-    """Tell whether a start would take more progress than it gains.
+    """Return whether a start would cost more progress than it gains.
 
-    Preferences among workers, such as a good fit, rank them and hold nothing back: on
-    an empty site they would outweigh the gain of a small task for ever.
+    Preferences among workers, such as a good fit, rank the workers but don't delay a
+    start: on an empty site they would always outweigh the gain of a small task, which
+    then would never start.
     """
     parts = compute_parts(state, job_state, worker, now)
     return parts.tail + parts.throughput + parts.crowding + parts.gain > 0.0
@@ -194,7 +202,7 @@
 def avoid_failed(
     job_state: JobState, candidates: list[WorkerState]
 ) -> list[WorkerState]:
-    """Return the candidates on which the job has not failed, if there are any."""
+    """Return the candidates on which the job has not failed, or all if none is left."""
     if not job_state.failed_on:
         return candidates
     others = [w for w in candidates if w.info.id not in job_state.failed_on]
@@ -219,9 +227,10 @@
 
 
 def _get_reserving_job(state: PlacementState, worker: WorkerState) -> str:
-    """Return the job that a worker is held for, urgent ones left out.
+    """Return the job that a worker is reserved for, or "" if that job is urgent.
 
-    A steady stream of urgent work would hold all workers for ever.
+    Reservations for urgent jobs aren't counted, since a steady stream of urgent work
+    would use up the limit on reservations permanently.
     """
     holder = state.jobs.get(worker.reserved_for)
     return holder.job.id if holder and not holder.job.urgent else ""
@@ -230,24 +239,26 @@
 def _reserve_for_starving(
     state: PlacementState, job_state: JobState, now: float
 ) -> None:
-    """Hold the worker with the most room for a job that waited long.
+    """Reserve the least allocated worker for a job that has waited long.
 
     Notes
     -----
-    Guards against a large task that never starts since small ones take every bit of
-    room that appears. A held worker drains until the task fits.
+    Guards against a large task that never starts because small tasks take all capacity
+    as soon as it becomes free. A reserved worker drains until the task fits.
     """
-    holders = {
+    reserving_jobs = {
         worker.info.id: _get_reserving_job(state, worker)
         for worker in state.active_workers
     }
-    held = sum(bool(rank) for rank in holders.values())
-    if held >= max(1, int(state.settings.reserve_share * len(state.active_workers))):
+    reserved = sum(bool(job_id) for job_id in reserving_jobs.values())
+    if reserved >= max(
+        1, int(state.settings.reserve_share * len(state.active_workers))
+    ):
         return
     fitting = [
         (worker.allocated[0] / worker.info.capacity[0], worker.info.id, worker)
         for worker in state.active_workers
-        if not holders[worker.info.id]
+        if not reserving_jobs[worker.info.id]
         and not worker.suspect
         and not worker.info.leaving
         and worker.quarantined_until is None
--- a/plantainyard/placement/events.py
+++ b/plantainyard/placement/events.py
@@ -1,7 +1,7 @@
-"""Events that drive placement: what the owner of a rack has learnt.
+"""Events that drive placement, sent by the owner of a rack.
 
-Every event is an immutable value. Times are float seconds on the caller's clock;
-a report names the time it is *about*, not the time at which it arrived.
+Every event is an immutable value. Times are float seconds on the caller's clock. A
+report carries the time of the measurement, not the time at which it arrived.
 """
 
 from typing import NamedTuple
@@ -28,24 +28,26 @@
 
 
 class Outcome:
-    """Names of the ways in which an attempt ends.
+    """Outcomes of an attempt.
 
     Notes
     -----
     ``DONE``
         Ran to completion.
     ``FAILED``
-        Ran and failed; counts against the job or the worker.
+        Ran and failed; counts against the job, the worker, or both.
     ``EVICTED``
         Checkpointed and stopped.
     ``LAPSED``
-        Its lease ended for certain without a word from the worker.
+        The lease has certainly expired without a report from the worker.
     ``REFUSED``
-        The worker did not start it; the attempt is used up, nobody is blamed.
+        The worker did not start the task. The attempt is used up, but counts against
+        neither the job nor the worker.
     ``UNPLACED``
-        It was never assigned (the record lost or failed); the attempt is free.
+        The task was never assigned, since the record was lost or failed. The attempt
+        number is used again.
     ``CANCELLED``
-        Stopped on request; it does not wait again.
+        Stopped on request; the task doesn't wait again.
     """
 
     DONE = "done"
@@ -58,10 +60,10 @@
 
 
 class WorkersChanged(NamedTuple):
-    """The whole list of the workers under this owner.
+    """The complete list of workers under this owner.
 
-    A worker that is missing from the list takes no more tasks; what runs there stays
-    accounted for until its `TaskEnded` arrives.
+    A worker that is missing from the list takes no more tasks. Tasks that run there
+    remain accounted for until their `TaskEnded` arrives.
     """
 
     workers: tuple[WorkerInfo, ...]
@@ -70,8 +72,8 @@
 class TasksWaiting(NamedTuple):
     """Tasks ``first`` to ``stop - 1`` of `job` wait to be placed.
 
-    One event covers a whole job, whatever its size. Tasks that are already known,
-    waiting or placed, are left as they are, so that a repeat does no harm.
+    One event covers a whole job, whatever its size. Tasks that are already waiting or
+    placed are left unchanged, so that the event is idempotent.
 
     Attributes
     ----------
@@ -80,11 +82,11 @@
     first, stop : int
         Range of task numbers.
     attempt : int
-        Attempt that the next placement will have.
+        Attempt number of the next placement.
     since : float
-        When the tasks began to wait.
+        Time at which the tasks began to wait.
     failures : int
-        Earlier failures of the tasks, as a new owner learns them from the log.
+        Earlier failures of the tasks, which a new owner reads from the log.
     """
 
     job: Job
@@ -96,7 +98,7 @@
 
 
 class TasksGone(NamedTuple):
-    """Tasks ``first`` to ``stop - 1`` of a job no longer wait here."""
+    """Tasks ``first`` to ``stop - 1`` of a job no longer wait under this owner."""
 
     job: str
     first: int
@@ -104,7 +106,7 @@
 
 
 class TaskStarted(NamedTuple):
-    """A worker runs an attempt; also how a new owner learns what already runs.
+    """A worker runs an attempt; also sent by a new owner for tasks that already run.
 
     Attributes
     ----------
@@ -113,7 +115,7 @@
     number, attempt : int
         The task's number within the job, and its attempt.
     worker : str
-        Where it runs.
+        Worker on which it runs.
     """
 
     job: Job
@@ -123,11 +125,11 @@
 
 
 class TaskEnded(NamedTuple):
-    """An attempt has ended for certain.
+    """An attempt has certainly ended.
 
-    After every outcome but ``done`` and ``cancelled`` the task waits again by itself,
-    with the next attempt (the same one after ``unplaced``). An event for an attempt
-    other than the placed one is ignored.
+    After every outcome except ``done`` and ``cancelled`` the task waits again without
+    another event, with the next attempt number (the same one after ``unplaced``). An
+    event for an attempt other than the placed one is ignored.
 
     Attributes
     ----------
@@ -136,11 +138,11 @@
     attempt : int
         The attempt that ended.
     worker : str
-        Where it was placed.
+        Worker on which it was placed.
     outcome : str
         One of the names in `Outcome`.
     detail : str
-        Error text, or the checkpoint's id.
+        Error text, or the id of the checkpoint.
     """
 
     task: TaskKey
@@ -151,7 +153,7 @@
 
 
 class UsageReported(NamedTuple):
-    """A late measurement of one running task.
+    """A delayed measurement of one running task.
 
     Attributes
     ----------
@@ -160,9 +162,9 @@
     task : TaskKey
         The measured task.
     time_s : float
-        Time that the measurement is about, on the caller's clock.
+        Time of the measurement, on the caller's clock.
     cores, memory_gb : float
-        Measured use.
+        Measured use of resources.
     latency_ms : float
         99th percentile of a runner's request latency; zero for batch tasks.
     """
@@ -190,27 +192,27 @@
 class QuotasChanged(NamedTuple):
     """Teams' shares of the capacity under this owner.
 
-    The caller divides a team's quota over owners ahead of time; each spends its own
-    share without asking. A team without an entry is not limited.
+    The caller divides a team's quota between owners ahead of time, so that each owner
+    can use its share without coordination. A team without an entry is not limited.
     """
 
     shares: dict[str, Size]
 
 
 class WeightsChanged(NamedTuple):
-    """An operator changed what the policy should favour."""
+    """An operator has changed the weights of the objectives."""
 
     weights: Weights
 
 
 class Cancelled(NamedTuple):
-    """Jobs were cancelled, any number in one event."""
+    """Any number of jobs have been cancelled."""
 
     jobs: tuple[str, ...]
 
 
 class Tick(NamedTuple):
-    """Time has passed; decide now."""
+    """Time has passed: make all pending decisions."""
 
 
 Event = (
--- a/plantainyard/placement/eviction.py
+++ b/plantainyard/placement/eviction.py
@@ -1,8 +1,10 @@
-"""Acting on harm: limit first, then checkpoint and evict the cheapest loss.
+"""Mitigation of interference by throttling and eviction.
 
-Paced by hysteresis: a step on a worker is followed by a pause in which its late effect
-can show, an eviction by a longer one, and the ratio at which a limit is lifted lies
-well below the one at which it is set.
+Batch tasks that slow a service down are throttled first and then checkpointed and
+evicted, starting with those that cause the most slowdown per lost work. Hysteresis
+paces the steps: after each step on a worker there is a pause until its delayed effect
+can be observed, after an eviction a longer one, and the latency ratio below which a
+limit is lifted lies well below the ratio above which it is set.
 """
 
 from plantainyard.placement.actions import Action, Checkpoint, Throttle
@@ -32,7 +34,7 @@
 
 
 def compute_loss(placement: Placement, now: float) -> float:
-    """Return what an eviction costs: cores times the time that a resume repeats."""
+    """Return the cost of an eviction: cores times the run time to be repeated."""
     return (
         placement.job_state.job.size.cores
         * (1.0 + placement.evictions)
@@ -66,15 +68,15 @@
         if other.job_state.job.latency_critical
     )
     share = placement.cores / worker.info.capacity.cores
-    rates = (
+    slowdowns = (
         predict_slowdown(state.interference, victim, placement.job_state.workload)
         for victim in victims
     )
-    return share * sum(rates)
+    return share * sum(slowdowns)
 
 
 def mitigate_interference(state: PlacementState, now: float) -> list[Action]:
-    """Return the steps against harm on all workers."""
+    """Throttle, evict or lift limits on all workers and return the actions."""
     if not state.rules.mitigates_interference:
         return []
     actions: list[Action] = []
@@ -87,7 +89,7 @@
 
 
 def get_latency_ratio_limit(state: PlacementState) -> float:
-    """Return the relative latency above which harm is acted upon, by the weights."""
+    """Return the relative latency above which to act, according to the weights."""
     weights = state.weights
     weight_ratio = weights.throughput / max(weights.tail, 1e-9)
     return 1.0 + max(0.3, min(5.0, state.settings.tolerance * weight_ratio))
@@ -164,23 +166,23 @@
 def evict_for_urgent(
     state: PlacementState, job_state: JobState, now: float
 ) -> list[Action]:
-    """Evict the cheapest batch tasks that let the waiting urgent tasks of a job in.
+    """Evict the cheapest batch tasks to free capacity for a job's urgent tasks.
 
     Notes
     -----
-    Each worker is held for the job until the evicted tasks are gone, so that other work
-    can't slip into the room and cause a second round of evictions. Where the team's
-    quota is what lacks, only tasks of the team are evicted.
+    Each worker is reserved for the job until the evicted tasks have ended, so that
+    other work can't take the freed capacity and cause a second round of evictions. If
+    the team's quota is exceeded, only tasks of that team are evicted.
     """
     held = [
         worker
         for worker in state.active_workers
         if worker.reserved_for == job_state.job.id
     ]
-    promised = sum(worker.reserved_tasks for worker in held)
+    reserved_tasks_total = sum(worker.reserved_tasks for worker in held)
     actions: list[Action] = []
-    for _ in range(min(job_state.waiting - promised, _MAX_TASKS_PER_CALL)):
-        excess = _get_pending_excess(state, job_state, promised + 1)
+    for _ in range(min(job_state.waiting - reserved_tasks_total, _MAX_TASKS_PER_CALL)):
+        excess = _get_pending_excess(state, job_state, reserved_tasks_total + 1)
         choices = (
             _price_evictions(state, job_state, worker, excess, now)
             for worker in state.active_workers
@@ -196,7 +198,7 @@
         reserve_worker(
             job_state, worker, now + _RESERVATION_S, worker.reserved_tasks + 1
         )
-        promised += 1
+        reserved_tasks_total += 1
         actions += [evict(p, f"room for urgent {job_state.job.id}") for p in victims]
     return actions
 
@@ -204,7 +206,7 @@
 def _get_pending_excess(
     state: PlacementState, job_state: JobState, tasks: int
 ) -> list[float]:
-    """Return what the quota lacks once the tasks that are ending have ended."""
+    """Return the excess over the quota once the tasks that are ending have ended."""
     excess = get_excess(state, job_state, tasks)
     if max(excess) <= 0.0:
         return excess
@@ -215,13 +217,16 @@
         for placement in worker.placed.values()
         if placement.ending and placement.job_state.job.team == team
     ]
-    return [lack - sum(size[i] for size in ending) for i, lack in enumerate(excess)]
+    return [
+        shortfall - sum(size[i] for size in ending)
+        for i, shortfall in enumerate(excess)
+    ]
 
 
 def reserve_worker(
     job_state: JobState, worker: WorkerState, until: float, tasks: int = 1
 ) -> None:
-    """Keep a worker's room for `tasks` of one job until a given time."""
+    """Reserve capacity on a worker for `tasks` of one job until a given time."""
     worker.reserved_for = job_state.job.id
     worker.reserved_tasks = tasks
     worker.reserved_size = job_state.reserved
@@ -248,7 +253,7 @@
     capacity = worker.info.capacity
     tasks = 1 + (worker.reserved_tasks if worker.reserved_for else 0)
     ending = [p.job_state for p in worker.placed.values() if p.ending]
-    lacking = [
+    shortfalls = [
         *(
             worker.allocated[i]
             - sum(other.reserved[i] for other in ending)
@@ -262,23 +267,24 @@
         - capacity.cores * state.settings.crowd_max,
         *excess,
     ]
-    own_team = max(excess) > _EPSILON
+    only_own_team = max(excess) > _EPSILON
     victims: list[Placement] = []
     price = 0.0
     for loss, placement in _list_losses(worker, now):
         other = placement.job_state
-        if max(lacking) <= _EPSILON:
+        if max(shortfalls) <= _EPSILON:
             break
-        if own_team and other.job.team != job_state.job.team:
+        if only_own_team and other.job.team != job_state.job.team:
             continue
         freed = (*other.reserved, other.expected.cores, *other.job.size)
         if any(
-            lack > _EPSILON < size for lack, size in zip(lacking, freed, strict=True)
+            shortfall > _EPSILON < size
+            for shortfall, size in zip(shortfalls, freed, strict=True)
         ):
             victims.append(placement)
             price += loss
-            lacking = [a - b for a, b in zip(lacking, freed, strict=True)]
-    if max(lacking) > _EPSILON:
+            shortfalls = [a - b for a, b in zip(shortfalls, freed, strict=True)]
+    if max(shortfalls) > _EPSILON:
         return None
     return price, worker.info.id, worker, victims
 
--- a/plantainyard/placement/explanation.py
+++ b/plantainyard/placement/explanation.py
@@ -1,4 +1,4 @@
-"""Why a task is where it is, or why it waits."""
+"""Explanations of why a task is placed where it is, or why it waits."""
 
 from typing import NamedTuple
 
@@ -13,18 +13,18 @@
 
 
 class WorkerVerdict(NamedTuple):
-    """How one worker looks to one task.
+    """Assessment of one worker for one task.
 
     Attributes
     ----------
     worker : str
         The worker.
     failing : str
-        What keeps the task off it; empty where it could go there.
+        Check that the worker fails for the task; empty if the task could start there.
     cost : float
-        Cost of going there now; less is better.
+        Cost of starting the task there now; lower is better.
     parts : dict
-        The parts of the cost by name.
+        Parts of the cost by name.
     """
 
     worker: str
@@ -34,20 +34,21 @@
 
 
 class Explanation(NamedTuple):
-    """Where a task stands.
+    """Placement status of a task.
 
     Attributes
     ----------
     status : str
         ``"placed"``, ``"waiting"``, ``"impossible"``, ``"given up"`` or ``"unknown"``.
     worker : str
-        Where it is placed.
+        Worker on which the task is placed, or empty.
     reason : str
-        Why it waits, which constraint no worker meets, or the last error.
+        Why the task waits, which constraint no worker meets, or the last error.
     place : int
-        Its job's place in the order from 1; 0 when it does not wait.
+        Position of the job in the order of waiting jobs, from 1; 0 if the task doesn't
+        wait.
     workers : tuple of WorkerVerdict
-        Every worker, the cheapest possible one first.
+        All workers: those on which the task could start, by cost, then the others.
     """
 
     status: str
@@ -58,11 +59,12 @@
 
 
 def explain(state: PlacementState, task: TaskKey) -> Explanation:
-    """Return why `task` is where it is, and why not elsewhere.
+    """Return where `task` is placed or why it waits, with an assessment of all workers.
 
     Notes
     -----
-    Costs a look at every worker; meant for operators' questions, not for decisions.
+    The cost is linear in the number of workers. Meant for operators' requests, not for
+    decisions.
     """
     job_state = state.jobs.get(task.job)
     if job_state is None:
@@ -86,10 +88,12 @@
         return Explanation(
             "unknown", "", "neither waiting nor placed here", 0, verdicts
         )
-    infos = [worker.info for worker in state.active_workers]
-    never = check_possible(job_state.job, infos, state.quotas.get(job_state.job.team))
-    if never is not None:
-        return Explanation("impossible", "", never, 0, verdicts)
+    worker_infos = [worker.info for worker in state.active_workers]
+    unmet_constraint = check_possible(
+        job_state.job, worker_infos, state.quotas.get(job_state.job.team)
+    )
+    if unmet_constraint is not None:
+        return Explanation("impossible", "", unmet_constraint, 0, verdicts)
     place = _find_queue_position(state, job_state)
     reason = job_state.reason or _find_reason(state, job_state, verdicts)
     return Explanation("waiting", "", reason, place, verdicts)
--- a/plantainyard/placement/filters.py
+++ b/plantainyard/placement/filters.py
@@ -1,4 +1,4 @@
-"""Hard filters: where a task may run at all, and where it may run now."""
+"""Hard filters: on which workers a task may ever run, and on which it may start now."""
 
 from collections.abc import Iterable
 
@@ -18,7 +18,7 @@
 
 
 def check_worker(job: Job, worker: WorkerInfo) -> str | None:
-    """Return the constraint that keeps `job` off an empty `worker`, or None."""
+    """Return the constraint of `job` that an empty `worker` fails, or None."""
     limits = job.constraints
     if limits.regions and worker.region not in limits.regions:
         return "region"
@@ -45,17 +45,18 @@
     job : Job
         The job in question.
     workers : iterable of WorkerInfo
-        All workers that there are, whatever runs on them now.
+        All existing workers. Tasks that run on them are ignored.
     share : Size, optional
-        The team's quota; without one the team is not limited.
+        The team's quota. If None, the team is not limited.
 
     Returns
     -------
     str or None
-        The constraint that the most promising workers fail: of the filters in the order
-        region, failure domain, accelerator, accelerator count, cores, memory the last
-        one reached by any worker; ``"team quota"`` or ``"gang size"`` where one task
-        would fit.
+        The constraint that the workers closest to meeting all of them fail: filters
+        are applied in the order region, failure domain, accelerator, accelerator count,
+        cores, memory, and the last filter that any worker reaches is returned.
+        ``"team quota"`` or ``"gang size"`` if a single task would fit. ``"no workers"``
+        if there are none.
 
     Examples
     --------
@@ -94,17 +95,17 @@
     return Size(size.cores * count, size.memory_gb * count, size.accelerators * count)
 
 
-def _fits_within(need: Size, room: Size) -> bool:
-    return all(n <= r + _EPSILON for n, r in zip(need, room, strict=True))
+def _fits_within(need: Size, free: Size) -> bool:
+    return all(n <= r + _EPSILON for n, r in zip(need, free, strict=True))
 
 
 def count_fits(size: Size, capacity: Size) -> int:
-    """Return how many tasks of `size` an empty worker holds."""
+    """Return how many tasks of `size` fit on an empty worker."""
     return int(
         min(
             (
-                (room + _EPSILON) // need
-                for need, room in zip(size, capacity, strict=True)
+                (free + _EPSILON) // need
+                for need, free in zip(size, capacity, strict=True)
                 if need > 0
             ),
             default=1_000_000,
@@ -119,8 +120,8 @@
 
     Notes
     -----
-    A job that is observed to need more than any declared size is still let onto an
-    empty worker, else it could run nowhere.
+    A job whose observed use exceeds the capacity may still start on an empty worker;
+    otherwise it could not run anywhere.
     """
     info = worker.info
     if not worker.listed or info.leaving:
@@ -134,37 +135,37 @@
     need = job_state.reserved
     used = worker.allocated
     if worker.reserved_for and worker.reserved_for != job_state.job.id:
-        held, tasks = worker.reserved_size, worker.reserved_tasks
+        reserved_size, tasks = worker.reserved_size, worker.reserved_tasks
         if any(
-            used[i] + need[i] + tasks * held[i] > info.capacity[i] + _EPSILON
+            used[i] + need[i] + tasks * reserved_size[i] > info.capacity[i] + _EPSILON
             for i in range(3)
         ):
             return "held for a job that waited long"
-    room = (
+    fits = (
         used[0] + need[0] <= info.capacity[0] + _EPSILON
         and used[1] + need[1] <= info.capacity[1] + _EPSILON
         and used[2] + need[2] <= info.capacity[2]
         and worker.expected_cores + job_state.expected.cores <= info.capacity[0] * crowd
     )
-    if not room and (worker.placed or check_worker(job_state.job, info)):
+    if not fits and (worker.placed or check_worker(job_state.job, info)):
         return "no room"
     return check_worker(job_state.job, info)
 
 
 def find_candidates(
-    state: PlacementState, job_state: JobState, most: int = 0
+    state: PlacementState, job_state: JobState, max_count: int = 0
 ) -> list[WorkerState]:
     """Return workers on which a task of the job can start now.
 
-    Urgent work may crowd a worker further: room was made for it by estimates, which
-    move while the evicted tasks end.
-
     Notes
     -----
-    Goes round the workers from where the last search ended and stops at
-    `most`, or ``candidates_max``, so that a decision costs no more on many workers than
-    on few. A search that found nothing is not repeated for the same shape until room is
-    made.
+    The search is round robin: it starts where the last one ended and stops after
+    `max_count` workers, or ``candidates_max``, so that the cost of a decision doesn't
+    grow with the number of workers. A search that found no worker isn't repeated for
+    the same shape until capacity has been freed.
+
+    Urgent tasks may overcommit a worker further than others. Capacity is freed for them
+    according to estimates, which may change while the evicted tasks end.
     """
     shape = (
         job_state.reserved,
@@ -177,7 +178,7 @@
         and state.unplaceable_shapes.get(shape) == state.capacity_version
     ):
         return []
-    limit = most or state.settings.candidates_max
+    limit = max_count or state.settings.candidates_max
     crowd = state.settings.crowd_max + (
         _URGENT_OVERCOMMIT if job_state.job.urgent else 0.0
     )
--- a/plantainyard/placement/gangs.py
+++ b/plantainyard/placement/gangs.py
@@ -1,4 +1,4 @@
-"""Gangs: all tasks of a job start together, or none does."""
+"""Gang scheduling: either all tasks of a job start together, or none does."""
 
 from plantainyard.placement.accounting import occupy, vacate
 from plantainyard.placement.actions import Action, Place
@@ -25,24 +25,25 @@
     Returns
     -------
     tuple
-        The placements, and why the gang waits where there are none.
+        The placements, and the reason why the gang waits if there are none.
 
     Notes
     -----
-    Tasks are placed one after the other; where one finds no room, all are taken back
-    before anybody hears of them, so a gang never holds part of its room while it waits.
+    Tasks are placed one after the other. If one doesn't fit, all placements are undone
+    before any action is returned, so a gang never occupies part of the capacity that it
+    needs while it waits.
     """
     count = job_state.waiting
     if not check_quota(state, job_state, count):
         return [], "team quota"
     since = job_state.get_waiting_since()
-    made: list[Placement] = []
+    placements: list[Placement] = []
     tasks: list[WaitingTask] = []
     for _ in range(count):
         task = job_state.peek_waiting(now)
         candidates = find_candidates(state, job_state) if task else []
         if task is None or not candidates:
-            for placement in reversed(made):
+            for placement in reversed(placements):
                 vacate(state, placement)
             for taken in tasks:
                 job_state.add_retry(taken, now)
@@ -57,26 +58,28 @@
         )
         job_state.take_waiting(task)
         tasks.append(task)
-        made.append(occupy(state, job_state, task, best))
+        placements.append(occupy(state, job_state, task, best))
     job_state.last_placed_at = now
     job_state.reason = ""
     return [
         Place(placement.key, placement.attempt, placement.worker, "gang")
-        for placement in made
+        for placement in placements
     ], ""
 
 
 def _reserve_for_gang(
     state: PlacementState, job_state: JobState, since: float, now: float
 ) -> None:
-    """Hold workers for a gang that waited long, until its tasks would fit."""
+    """Reserve enough workers for all tasks of a gang that has waited long."""
     if now - since <= state.settings.starve_s:
         return
-    held = [worker for worker in state.active_workers if worker.reserved_for]
-    if any(worker.reserved_for != job_state.job.id for worker in held):
+    reserved = [worker for worker in state.active_workers if worker.reserved_for]
+    if any(worker.reserved_for != job_state.job.id for worker in reserved):
         return
-    room = sum(count_fits(job_state.reserved, worker.info.capacity) for worker in held)
-    free = sorted(
+    reserved_slots = sum(
+        count_fits(job_state.reserved, worker.info.capacity) for worker in reserved
+    )
+    available = sorted(
         (
             worker
             for worker in state.active_workers
@@ -90,34 +93,36 @@
             worker.info.id,
         ),
     )
-    for worker in free:
-        if room >= job_state.waiting:
+    for worker in available:
+        if reserved_slots >= job_state.waiting:
             return
         fitting = count_fits(job_state.reserved, worker.info.capacity)
         reserve_worker(
             job_state,
             worker,
             now + _RESERVATION_S,
-            min(fitting, job_state.waiting - room),
+            min(fitting, job_state.waiting - reserved_slots),
         )
-        room += fitting
+        reserved_slots += fitting
 
 
 def roll_back_gangs(state: PlacementState, now: float) -> list[Action]:
-    """Evict gangs that were left half placed for too long.
+    """Evict gangs that have been only partly placed for too long.
 
     Notes
     -----
-    Guards against a gang of which a part lost its worker and finds no other: its rest
-    would hold its room for ever while doing nothing useful. It is evicted as a whole
-    after ``gang_s``, then waits as a whole.
+    Guards against a gang whose tasks partly lost their workers and find no others: the
+    remaining tasks would occupy capacity indefinitely without making progress. After
+    ``gang_s`` the whole gang is evicted, and all its tasks wait again.
     """
     actions: list[Action] = []
     for job_state in state.jobs.values():
         if not job_state.job.gang:
             continue
-        broken = job_state.placed and job_state.waiting and not job_state.given_up
-        if not broken:
+        is_incomplete = (
+            job_state.placed and job_state.waiting and not job_state.given_up
+        )
+        if not is_incomplete:
             job_state.incomplete_since = None
         elif job_state.incomplete_since is None:
             job_state.incomplete_since = now
--- a/plantainyard/placement/interference.py
+++ b/plantainyard/placement/interference.py
@@ -1,9 +1,10 @@
-"""Learnt harm between pairs of workloads.
+"""Estimates of the interference between pairs of workloads.
 
-For each victim workload a Kalman filter estimates its undisturbed time and how much
-each other workload adds to it, from late measurements and what ran beside it at that
-time. Little known pairs stay near a prior: what the aggressor does to other victims,
-itself drawn to a fixed one; old knowledge fades back to it.
+For each victim workload, a Kalman filter estimates its undisturbed time and how much
+each other workload (an aggressor) adds to it. The filter learns from delayed
+measurements and from what ran on the same worker at the time of the measurement. Pairs
+with few measurements stay near a prior, which is the mean effect of the aggressor on
+other victims, shrunk towards a fixed value. Estimates decay towards the prior.
 
 References
 ----------
@@ -33,19 +34,20 @@
 
 
 class Victim:
-    """Estimate of one victim workload.
+    """Estimate for one victim workload.
 
     Attributes
     ----------
-    names : dict
-        Index of each aggressor; index 0 is the undisturbed time.
+    indices : dict
+        Index of each aggressor in `mean`; index 0 is the undisturbed time.
     mean : numpy.ndarray
-        Undisturbed time, then the time that each aggressor adds at full use of a
-        worker.
-    spread : numpy.ndarray
-        Covariance of `mean`.
-    harm, doubt : dict
-        Relative harm by aggressor and its standard deviation, kept for scoring.
+        Undisturbed time, followed by the time that each aggressor adds when it uses
+        all cores of a worker.
+    covariance : numpy.ndarray
+        Covariance matrix of `mean`.
+    slowdown, slowdown_deviation : dict
+        Slowdown by each aggressor relative to the undisturbed time, and its standard
+        deviation; both are derived from `mean` and `covariance` and cached for scoring.
     """
 
     def __init__(self, base: float, deviation: float):
@@ -57,7 +59,7 @@
 
 
 class InterferenceModel:
-    """Estimates of all victims."""
+    """Interference estimates of all victim workloads."""
 
     def __init__(self, settings: PlacementSettings):
         self.settings = settings
@@ -69,12 +71,12 @@
     total, weight = model.settings.prior_harm, 1.0
     for victim in model.victims.values():
         if aggressor in victim.slowdown:
-            slowdown_deviation = (
+            ratio = (
                 victim.slowdown_deviation[aggressor] / model.settings.prior_deviation
             )
-            known = max(0.0, 1.0 - slowdown_deviation * slowdown_deviation)
-            total += known * victim.slowdown[aggressor]
-            weight += known
+            certainty = max(0.0, 1.0 - ratio * ratio)
+            total += certainty * victim.slowdown[aggressor]
+            weight += certainty
     return total / weight
 
 
@@ -101,25 +103,25 @@
 
 
 def predict_slowdown(model: InterferenceModel, victim: str, aggressor: str) -> float:
-    """Return the expected relative slow-down of `victim` by `aggressor`.
+    """Return the expected relative slowdown of `victim` by `aggressor`.
 
     Returns
     -------
     float
-        Slow-down if `aggressor` used all cores of the worker; scale it by the share
-        that it uses.
+        Slowdown if `aggressor` used all cores of the worker. Multiply it by the share
+        of the cores that `aggressor` uses.
     """
-    known = model.victims.get(victim)
-    if known is None or aggressor not in known.slowdown:
-        known = known or _get_victim(model, victim)
-        _add_aggressor(model, known, aggressor)
-    return known.slowdown[aggressor]
+    entry = model.victims.get(victim)
+    if entry is None or aggressor not in entry.slowdown:
+        entry = entry or _get_victim(model, victim)
+        _add_aggressor(model, entry, aggressor)
+    return entry.slowdown[aggressor]
 
 
 def predict_pessimistic_slowdown(
     model: InterferenceModel, victim: str, aggressor: str, caution: float
 ) -> float:
-    """Return the expected slow-down plus `caution` standard deviations."""
+    """Return the expected slowdown plus `caution` standard deviations."""
     slowdown = predict_slowdown(model, victim, aggressor)
     return slowdown + caution * model.victims[victim].slowdown_deviation[aggressor]
 
@@ -136,7 +138,7 @@
     exposures: dict[str, float],
     extra_variance: float = 0.0,
 ) -> float:
-    """Learn from one measurement of a victim workload.
+    """Update the estimate of a victim workload from one measurement.
 
     Parameters
     ----------
@@ -145,23 +147,24 @@
     name : str
         Workload that was measured.
     time : float
-        Measured time, in a unit that makes the undisturbed time about 1.
+        Measured time, in a unit in which the undisturbed time is about 1.
     exposures : dict
-        Share of the worker's cores in use by each other workload at that time.
+        Share of the worker's cores that each other workload used at that time.
     extra_variance : float
-        Of the measurement, beyond the usual noise.
+        Variance of the measurement in addition to the usual noise.
 
     Returns
     -------
     float
-        What was not explained: the measured less the expected time.
+        Residual: the measured time minus the expected time.
 
     Notes
     -----
-    The base and all aggressors are estimated together: taken one after the other, a too
-    great harm lowers the base, which raises the relative harm again, without bound. The
-    innovation is clipped, so that a wrong report moves an estimate by a bounded step.
-    Costs a product of a matrix of the victim's aggressors.
+    The undisturbed time and the effects of all aggressors are estimated jointly. If
+    they were estimated one after the other, an overestimated slowdown would lower the
+    undisturbed time, which would raise the relative slowdown again, without bound. The
+    innovation is clipped, so that a wrong report changes an estimate by a bounded
+    amount. The cost is quadratic in the number of the victim's aggressors.
     """
     victim = _get_victim(model, name)
     for aggressor in exposures:
@@ -197,12 +200,13 @@
 
 
 def decay_interference(model: InterferenceModel, now: float) -> None:
-    """Let old knowledge fade; call it at any interval.
+    """Decay all estimates towards their priors; may be called at any interval.
 
     Notes
     -----
-    The means move towards their priors and the variances towards the first ones, with
-    the time constant ``fade_s``, so that a workload that changed is learnt anew.
+    Means move towards their priors and variances towards their initial values with the
+    time constant ``fade_s``, so that a workload whose behaviour changed is learned
+    again.
     """
     settings = model.settings
     elapsed = now - model.decayed_at
--- a/plantainyard/placement/observation.py
+++ b/plantainyard/placement/observation.py
@@ -1,4 +1,7 @@
-"""What late usage reports teach: true sizes, harm, and which reports to doubt."""
+"""Estimates from delayed usage reports: task sizes and interference.
+
+Implausible reports are ignored and lower the confidence in the worker that sent them.
+"""
 
 from math import sqrt
 
@@ -32,12 +35,12 @@
 
 
 def is_plausible(report: UsageReported, worker: WorkerState) -> bool:
-    """Return whether a worker can have measured this.
+    """Return whether the values of a report are possible on the worker.
 
     Notes
     -----
-    Guards against lying reports, which show as negative or impossible amounts: they
-    would teach sizes and harm that don't exist.
+    Guards against wrong reports with negative or impossible amounts, which would lead
+    to wrong estimates of sizes and interference.
     """
     capacity = worker.info.capacity
     return (
@@ -48,28 +51,29 @@
 
 
 def estimate_sizes(job_state: JobState, floor: float) -> tuple[Size, Size]:
-    """Return the size to set aside for a task and the size to expect.
+    """Return the size to reserve for a task and the expected size.
 
     Parameters
     ----------
     owner : JobState
-        The job with its sums of reports.
+        State of the job, with the sums of its reports.
     floor : float
-        Least share of the declared cores that is set aside.
+        Minimum share of the declared cores to reserve.
 
     Notes
     -----
-    Both are shrunk towards the declared size while reports are few. What is set aside
-    is never less than ``floor`` of the declared cores nor than the declared memory; a
-    worker holds a task only if both sums, of set aside and of expected, fit.
+    Both are shrunk towards the declared size while there are few reports. The reserved
+    size is never less than ``floor`` of the declared cores, nor less than the declared
+    memory. A task fits on a worker only if both the sum of reserved sizes and the sum
+    of expected sizes fit.
     """
     declared = job_state.job.size
     count = job_state.usage_reports
-    known = count / (count + _PRIOR_REPORTS)
+    weight = count / (count + _PRIOR_REPORTS)
     mean = job_state.usage_cores / count
     variance = max(0.0, job_state.usage_cores_squared / count - mean * mean)
-    upper = declared.cores + known * (mean + 2.0 * sqrt(variance) - declared.cores)
-    expected = declared.cores + known * (mean - declared.cores)
+    upper = declared.cores + weight * (mean + 2.0 * sqrt(variance) - declared.cores)
+    expected = declared.cores + weight * (mean - declared.cores)
     cores = min(declared.cores, max(upper, declared.cores * floor))
     memory = max(declared.memory_gb, job_state.peak_memory_gb)
     return (
@@ -79,7 +83,7 @@
 
 
 def observe_usage(state: PlacementState, report: UsageReported) -> None:
-    """Learn from one report, at the time that it is about."""
+    """Update sizes and interference from one report, as of the time of measurement."""
     worker = state.workers.get(report.worker)
     if worker is None:
         return
@@ -115,10 +119,12 @@
         return
     reserved, expected = estimate_sizes(job_state, state.settings.declared_floor)
     if job_state.job.latency_critical:
-        # A runner without requests reports no latency, and may report its declared
-        # cores all the same: nobody waits there whom batch work could slow down.
-        without = float(report.latency_ms == 0.0)
-        job_state.idle_fraction += _IDLE_SMOOTHING * (without - job_state.idle_fraction)
+        # A runner without requests reports no latency but may still report its declared
+        # cores. It counts as idle, since batch work can't slow down any caller there.
+        has_no_latency = float(report.latency_ms == 0.0)
+        job_state.idle_fraction += _IDLE_SMOOTHING * (
+            has_no_latency - job_state.idle_fraction
+        )
         mean = job_state.usage_cores / job_state.usage_reports
         job_state.utilization = (
             (1.0 - job_state.idle_fraction) * mean / job_state.job.size.cores
@@ -157,8 +163,8 @@
         job_state.reference_latency_ms = report.latency_ms
     time = report.latency_ms / job_state.reference_latency_ms
     ratio = time / predict_base_time(state.interference, job_state.workload)
-    before = worker.latency_ratios.get(placement.key, ratio)
-    worker.latency_ratios[placement.key] = before + 0.5 * (ratio - before)
+    previous = worker.latency_ratios.get(placement.key, ratio)
+    worker.latency_ratios[placement.key] = previous + 0.5 * (ratio - previous)
     if not state.rules.learns_interference:
         return
     load = report.cores / max(job_state.job.size.cores, 1e-9)
@@ -188,12 +194,13 @@
 
 
 def observe_run(state: PlacementState, placement: Placement, now: float) -> None:
-    """Learn from the run time of a finished batch task how others slowed it.
+    """Update the interference estimates from the run time of a finished batch task.
 
     Notes
     -----
-    Declared run times are off by a factor of the job's own. It is estimated beside the
-    harm and taken off before the next task of the job is learnt from.
+    Declared run times are wrong by a factor specific to each job. This offset is
+    estimated along with the interference and subtracted before the next task of the job
+    is used.
     """
     job_state = placement.job_state
     if job_state.job.latency_critical or placement.started_at is None:
--- a/plantainyard/placement/order.py
+++ b/plantainyard/placement/order.py
@@ -1,4 +1,8 @@
-"""Order of waiting jobs: urgent first, fair between teams, nobody for ever."""
+"""Order of waiting jobs: urgent jobs first, fair between teams, without starvation.
+
+Within a rank, teams take turns by dominant share. Jobs that have waited too long get a
+turn regularly, whatever their rank.
+"""
 
 import heapq
 from collections.abc import Iterator
@@ -36,20 +40,22 @@
 
 
 class Choice(NamedTuple):
-    """The best place for a job's next task, while `profile` is its worker's.
+    """The best worker for a job's next task.
+
+    Valid for as long as `profile` is the worker's current profile.
 
     Attributes
     ----------
     value : float
-        Cost for each core.
-    owner : JobState
-        The job.
+        Cost per core.
+    job_state : JobState
+        State of the job.
     task : Waiting
-        Its next task.
+        Next task of the job.
     worker : WorkerState
         The best worker.
     profile : Profile or None
-        The worker's, by which the choice was made.
+        Profile of the worker by which the choice was made.
     """
 
     value: float
@@ -60,7 +66,7 @@
 
 
 class Order:
-    """Waiting jobs by rank, team and workload, for the length of one step."""
+    """Waiting jobs by rank, team and workload, during one step."""
 
     def __init__(self) -> None:
         self.starving: list[tuple[float, str]] = []
@@ -72,7 +78,7 @@
 
 
 def get_rank(job_state: JobState) -> int:
-    """Return 0 for urgent jobs, 1 for services, 2 for the rest."""
+    """Return 0 for urgent jobs, 1 for services, and 2 for other jobs."""
     if job_state.job.urgent:
         return 0
     return 1 if job_state.job.latency_critical else 2
@@ -107,38 +113,38 @@
 
 
 def _find_longest_waiting(state: PlacementState, order: Order) -> set[str]:
-    """Return the longest waiting jobs that lack just room; they may hold workers."""
-    most = max(1, int(state.settings.reserve_share * len(state.active_workers)))
-    blocked = (
+    """Return the longest waiting jobs that lack only capacity; they may reserve."""
+    max_jobs = max(1, int(state.settings.reserve_share * len(state.active_workers)))
+    without_capacity = (
         state.jobs[job_id]
         for _, job_id in order.starving
         if state.jobs[job_id].reason == NO_CAPACITY
     )
     possible = (
         job_state.job.id
-        for job_state in blocked
+        for job_state in without_capacity
         if any(
             check_worker(job_state.job, worker.info) is None
             for worker in state.active_workers
         )
     )
-    return set(islice(possible, most))
+    return set(islice(possible, max_jobs))
 
 
 def select_next_jobs(state: PlacementState, order: Order) -> list[JobState]:
-    """Return the jobs of which one may place a task now; none when all had their turn.
+    """Return the jobs of which one may place a task now; empty when none is left.
 
     Notes
     -----
-    It is the turn of the teams whose dominant share is the least, or ``fair_slack``
-    above it. For each workload of theirs the job with the least in use is returned, so
-    that a huge job does not block small ones, and the caller can choose the workload
-    that suits the room best.
-
-    Every ``aged_turn``-th turn goes to the job that waited longest without a start,
-    even ahead of urgent work. This guards against starvation, which shows as a job that
-    never starts under a steady stream of others; its wait is bounded since its turn
-    comes whatever arrives.
+    The teams with the lowest dominant share, within a margin of ``fair_slack``, are
+    next. For each of their workloads, the job with the fewest cores in use is returned,
+    so that a huge job doesn't block small ones and the caller can choose the workload
+    that best suits the free capacity.
+
+    Every ``aged_turn``-th turn goes to the job that has waited longest without a start,
+    even ahead of urgent work. This guards against starvation, in which a job never
+    starts under a steady stream of other work. Its wait is bounded, since its turn
+    comes regardless of what arrives.
     """
     state.turn_count += 1
     if state.turn_count % state.settings.aged_turn == 0:
@@ -155,15 +161,15 @@
 
 
 def _list_fair_heads(state: PlacementState, order: Order, rank: int) -> list[JobState]:
-    """Return the heads of the teams with about the least share; drop empty teams."""
-    loads = order.teams[rank]
-    limit = min(loads.values()) + state.settings.fair_slack
-    teams = [team for team, load in loads.items() if load <= limit]
+    """Return the first jobs of the teams with the lowest share; remove empty teams."""
+    team_shares = order.teams[rank]
+    limit = min(team_shares.values()) + state.settings.fair_slack
+    teams = [team for team, team_share in team_shares.items() if team_share <= limit]
     heads = []
     for team in teams:
         found = _list_heads(state, order, rank, team)
         if not found:
-            del loads[team]
+            del team_shares[team]
         heads += found
     return heads
 
@@ -187,7 +193,7 @@
 def requeue_job(
     state: PlacementState, order: Order, job_state: JobState, now: float, placed: bool
 ) -> None:
-    """Put a job back after its turn, or leave it out until the next step."""
+    """Put a job back into the order after its turn, or skip it for this step."""
     if not placed or not job_state.waiting or job_state.peek_waiting(now) is None:
         order.skipped.add(job_state.job.id)
     rank, team = get_rank(job_state), job_state.job.team
@@ -201,7 +207,7 @@
 
 
 def list_order(state: PlacementState, now: float) -> Iterator[JobState]:
-    """Yield the waiting jobs, first the one whose turn comes first."""
+    """Return an iterator over the waiting jobs, the next one to be placed first."""
     keys = (
         (
             get_rank(job_state),
--- a/plantainyard/placement/policy.py
+++ b/plantainyard/placement/policy.py
@@ -1,7 +1,7 @@
-"""The one entry point of placement: ``step(state, event, now) -> actions``.
+"""Entry point of placement: ``step(state, event, now) -> actions``.
 
-Everything here is deterministic: the same events with the same times give the same
-actions. There is no clock, input or output.
+Placement is deterministic: the same events with the same times produce the same
+actions. It reads no clock and does no input or output.
 
 Examples
 --------
@@ -73,32 +73,33 @@
     weights: Weights = Weights(),  # noqa: B008
     rules: Rules | None = None,
 ) -> PlacementState:
-    """Return an empty state; feed it `WorkersChanged` first."""
+    """Return an empty state; its first event must be `WorkersChanged`."""
     return PlacementState(settings, weights, rules or Rules(compute_cost))
 
 
 def step(state: PlacementState, event: Event, now: float) -> list[Action]:
-    """Take in one event and return what is to be done.
+    """Process one event and return the resulting actions.
 
     Parameters
     ----------
     state : PlacementState
         Updated in place.
     event : Event
-        What was learnt. Decisions about waiting tasks are made on `Tick` only, so
-        events that arrive together are decided together.
+        Event to process. Decisions about waiting tasks are made on `Tick` only, so that
+        events that arrive together are considered together.
     now : float
-        The caller's clock, in seconds; never less than in the call before.
+        Time on the caller's clock, in seconds; must not decrease between calls.
 
     Returns
     -------
     list of Action
-        To be carried out in this order.
+        Actions to carry out, in this order.
 
     Notes
     -----
-    A task occupies its worker from the `Place` action until its `TaskEnded`, also
-    while its assignment is in flight, so no worker is ever given more than it holds.
+    A task occupies its worker from the `Place` action until its `TaskEnded`, including
+    the time while its assignment is in flight, so that no worker is allocated more
+    than its capacity.
     """
     state.now = now
     return _HANDLERS[type(event)](state, event, now)
@@ -203,8 +204,8 @@
         placement.failures + failed,
         placement.evictions + (outcome == Outcome.EVICTED),
     )
-    pause = compute_backoff(state, task.failures - 1) if failed else 0.0
-    placement.job_state.add_retry(task, now + pause)
+    backoff_s = compute_backoff(state, task.failures - 1) if failed else 0.0
+    placement.job_state.add_retry(task, now + backoff_s)
 
 
 def _observe_usage(
--- a/plantainyard/placement/quarantine.py
+++ b/plantainyard/placement/quarantine.py
@@ -1,8 +1,8 @@
-"""Telling a bad worker from a bad job.
+"""Quarantine of faulty workers, and detection of faulty jobs.
 
-A worker on which several different jobs fail in a row is bad; a job that fails on
-several otherwise sound workers is bad. A failure counts against both until one of the
-two is cleared by a success.
+A worker on which several different jobs fail in a row is considered faulty, and so is a
+job that fails on several otherwise healthy workers. A failure counts against both the
+worker and the job until a success clears one of them.
 """
 
 from plantainyard.placement.actions import (
@@ -21,7 +21,7 @@
 
 
 def compute_backoff(state: PlacementState, failures: int) -> float:
-    """Return the wait of a task after so many failures, in seconds."""
+    """Return the backoff of a task after `failures` earlier failures, in seconds."""
     settings = state.settings
     return min(settings.backoff_max_s, settings.backoff_s * 2.0 ** min(failures, 20))
 
@@ -32,10 +32,10 @@
     worker: WorkerState | None,
     probe: bool = False,
 ) -> list[Action]:
-    """Clear the job and the worker: they work.
+    """Clear the recorded failures of the job and the worker after a success.
 
-    A quarantined worker is released only by its probe; what it began before, and still
-    ends well, says nothing about what it starts now.
+    A quarantined worker is released only by its probe. A success of a task that started
+    before the quarantine doesn't show that the worker can still start tasks.
     """
     job_state.successes += 1
     job_state.failed_on.clear()
@@ -64,14 +64,14 @@
     now: float,
     probe: bool = False,
 ) -> list[Action]:
-    """Blame the worker, the job or, so far, both for a failed attempt.
+    """Attribute a failed attempt to the worker, the job or, if undecided, both.
 
     Notes
     -----
-    A bad worker would burn the attempts of every job that it gets, and a bad job would
-    put every worker under suspicion. Only failures on workers that are not themselves
-    blamed count towards giving a job up; only failures of jobs that are
-    not themselves blamed count towards a quarantine.
+    A faulty worker would use up the attempts of every job placed on it, and a faulty
+    job would make every worker look faulty. Therefore only failures on workers that
+    aren't considered faulty count towards giving up a job, and only failures of jobs
+    that aren't considered faulty count towards a quarantine.
     """
     job_state.failures += 1
     job_state.last_error = detail or job_state.last_error
@@ -88,7 +88,7 @@
         if now - when > _FAILURE_WINDOW_S:
             del worker.failed_jobs[job_id]
     _record_failed_worker(job_state, worker, detail)
-    if not _is_bad_job(state, job_state):
+    if not _is_faulty_job(state, job_state):
         worker.failed_jobs[job_state.job.id] = now
     if _weigh_failed_jobs(state, worker) >= state.settings.quarantine_jobs:
         actions: list[Action] = [
@@ -107,15 +107,15 @@
 
 
 def _weigh_failed_jobs(state: PlacementState, worker: WorkerState) -> float:
-    """Weigh the jobs that failed on the worker and have not failed elsewhere since.
+    """Return the weighted number of jobs that failed on the worker but aren't faulty.
 
-    A job that never succeeded anywhere counts less: several broken jobs that begin
-    together would look like a broken worker.
+    A job that has never succeeded counts less, since several faulty jobs that start at
+    the same time would otherwise look like a faulty worker.
     """
     job_states = map(state.jobs.get, worker.failed_jobs)
     weights = (
         0.0
-        if job_state is None or _is_bad_job(state, job_state)
+        if job_state is None or _is_faulty_job(state, job_state)
         else 1.0
         if job_state.successes
         else _UNPROVEN_JOB_WEIGHT
@@ -124,7 +124,7 @@
     return sum(weights)
 
 
-def _is_bad_job(state: PlacementState, job_state: JobState) -> bool:
+def _is_faulty_job(state: PlacementState, job_state: JobState) -> bool:
     return len(job_state.failed_on) >= 2 and not any(
         len(worker.failed_jobs) > 1
         for worker in map(state.workers.get, job_state.failed_on)
@@ -141,18 +141,26 @@
 
 
 def _give_up(state: PlacementState, job_state: JobState) -> list[Action]:
-    sound = [
+    healthy_workers = [
         worker_id
         for worker_id in job_state.failed_on
         if worker_id in state.workers
         and state.workers[worker_id].quarantined_until is None
     ]
-    enough = min(state.settings.give_up_workers, max(1, len(state.active_workers)))
-    tries = job_state.failures >= state.settings.give_up_workers
-    if job_state.given_up or len(sound) < enough or not tries:
+    required_workers = min(
+        state.settings.give_up_workers, max(1, len(state.active_workers))
+    )
+    has_enough_failures = job_state.failures >= state.settings.give_up_workers
+    if (
+        job_state.given_up
+        or len(healthy_workers) < required_workers
+        or not has_enough_failures
+    ):
         return []
     job_state.given_up = True
-    job_state.last_error = job_state.failed_on[sound[-1]] or job_state.last_error
+    job_state.last_error = (
+        job_state.failed_on[healthy_workers[-1]] or job_state.last_error
+    )
     return [GiveUp(job_state.job.id, job_state.last_error)]
 
 
@@ -160,22 +168,22 @@
     state: PlacementState, worker: WorkerState, now: float, reason: str
 ) -> Quarantine:
     settings = state.settings
-    wait = min(
+    duration_s = min(
         settings.quarantine_max_s, settings.quarantine_s * 2**worker.quarantine_count
     )
     worker.quarantine_count += 1
-    worker.quarantined_until = now + wait
+    worker.quarantined_until = now + duration_s
     worker.probing = False
     return Quarantine(worker.info.id, reason)
 
 
 def start_probes(state: PlacementState, now: float) -> list[Action]:
-    """Open workers whose quarantine has passed to one probing task.
+    """Allow one probe task on each worker whose quarantine period has ended.
 
-    A probe that still runs after ``quarantine_s`` has passed too, since a service's
-    task never ends by itself.
+    A probe that still runs after ``quarantine_s`` counts as passed, since a task of a
+    service never ends by itself.
     """
-    ready = [
+    due = [
         worker
         for worker in state.active_workers
         if worker.quarantined_until is not None
@@ -183,7 +191,7 @@
         and now >= worker.quarantined_until
         and not worker.suspect
     ]
-    for worker in ready:
+    for worker in due:
         worker.probing = True
         state.capacity_version += 1
     passed = [
@@ -191,7 +199,7 @@
         for worker in state.active_workers
         if _has_passed_probe(state, worker, now)
     ]
-    probes: list[Action] = [Probe(worker.info.id) for worker in ready]
+    probes: list[Action] = [Probe(worker.info.id) for worker in due]
     return probes + [_release(state, worker) for worker in passed]
 
 
--- a/plantainyard/placement/quotas.py
+++ b/plantainyard/placement/quotas.py
@@ -1,4 +1,4 @@
-"""Quotas of teams: shares of the capacity, divided ahead of time."""
+"""Quotas of teams: shares of the capacity, divided between owners ahead of time."""
 
 from plantainyard.placement.state import JobState, PlacementState
 
@@ -12,15 +12,15 @@
 
     Notes
     -----
-    Declared sizes are charged: what a team may hold does not depend on what is learnt.
+    Declared sizes are charged, so that what a team may use doesn't depend on estimates.
     """
-    share = state.quotas.get(job_state.job.team)
-    if share is None:
+    quota = state.quotas.get(job_state.job.team)
+    if quota is None:
         return True
     used = state.team_used.get(job_state.job.team, (0.0, 0.0, 0.0))
     return all(
         u + need * tasks <= limit + _EPSILON
-        for u, need, limit in zip(used, job_state.job.size, share, strict=True)
+        for u, need, limit in zip(used, job_state.job.size, quota, strict=True)
     )
 
 
@@ -28,18 +28,20 @@
     state: PlacementState, job_state: JobState, tasks: int = 1
 ) -> list[float]:
     """Return by how much `tasks` more of the job would exceed its team's quota."""
-    share = state.quotas.get(job_state.job.team)
-    if share is None:
+    quota = state.quotas.get(job_state.job.team)
+    if quota is None:
         return [0.0, 0.0, 0.0]
     used = state.team_used.get(job_state.job.team, [0.0, 0.0, 0.0])
     return [
         max(0.0, u + need * tasks - limit)
-        for u, need, limit in zip(used, job_state.job.size, share, strict=True)
+        for u, need, limit in zip(used, job_state.job.size, quota, strict=True)
     ]
 
 
 def get_dominant_share(state: PlacementState, team: str) -> float:
-    """Return the team's dominant share: use by its quota, or by the capacity.
+    """Return the team's dominant share, relative to its quota or to the capacity.
+
+    The dominant share is the highest ratio of use to limit among all resources.
 
     References
     ----------
@@ -49,6 +51,6 @@
     used = state.team_used.get(team)
     if used is None:
         return 0.0
-    whole = state.quotas.get(team, state.capacity)
-    loads = (u / limit for u, limit in zip(used, whole, strict=True) if limit > 0)
-    return max(loads, default=0.0)
+    limits = state.quotas.get(team, state.capacity)
+    ratios = (u / limit for u, limit in zip(used, limits, strict=True) if limit > 0)
+    return max(ratios, default=0.0)
--- a/plantainyard/placement/recording.py
+++ b/plantainyard/placement/recording.py
@@ -1,8 +1,8 @@
-"""Recording of deciding events as JSON Lines, and replay of a recording.
+"""Recording of placement events as JSON Lines, and replay of a recording.
 
-A recording begins with the settings and weights under which a state was created; each
-further line has one event, its time and the actions that followed. Since `step` is a
-pure function of these, feeding the events again gives the same actions.
+A recording begins with the settings and weights with which a state was created. Each
+further line holds one event, its time and the resulting actions. Since `step` is
+deterministic, replaying the events produces the same actions.
 """
 
 import json
@@ -33,14 +33,14 @@
 
 
 class Difference(NamedTuple):
-    """A line of a recording at which a replay decided otherwise.
+    """A line of a recording for which the replay produced different actions.
 
     Attributes
     ----------
     line : int
         Number of the line, from 1.
     recorded, replayed : list of dict
-        The actions of both, encoded.
+        Encoded actions of the recording and of the replay.
     """
 
     line: int
@@ -49,7 +49,7 @@
 
 
 def encode_value(value: Any) -> Any:
-    """Return an event, an action or a part of one as a JSON value."""
+    """Return an event, an action or a part of either as a JSON value."""
     if isinstance(value, tuple) and hasattr(value, "_fields"):
         names = value._fields
         fields = {name: encode_value(getattr(value, name)) for name in names}
@@ -75,12 +75,12 @@
 
 
 def decode_event(data: dict[str, Any]) -> Event:
-    """Return the event that `encode_value` wrote.
+    """Return the event that `encode_value` encoded.
 
     Raises
     ------
     KeyError
-        If its type or one of its fields is unknown.
+        If the type of the event or one of its fields is unknown.
     TypeError
         If a field is missing.
     """
@@ -92,19 +92,19 @@
 def create_recorded_state(
     settings: PlacementSettings, weights: Weights, write: Callable[[str], object]
 ) -> tuple[PlacementState, Step]:
-    """Return a new state and a `step` that also writes what it decides.
+    """Return a new state and a `step` function that also records its calls.
 
     Parameters
     ----------
     settings, weights
         As for `create_state`.
     write : callable
-        Takes each line of the recording, without its line end.
+        Called with each line of the recording, without a line terminator.
 
     Notes
     -----
-    A recording has to begin with the state: what was learnt before can't be had from
-    the events after.
+    A recording must begin when the state is created, since later events can't reproduce
+    the estimates made from earlier ones.
     """
     header = {"settings": settings._asdict(), "weights": weights._asdict()}
     write(json.dumps(header))
@@ -123,7 +123,7 @@
 
 
 def replay_recording(lines: Iterable[str]) -> list[Difference]:
-    """Decide a recording again and return where the actions differ.
+    """Replay a recording and return the lines for which the actions differ.
 
     Raises
     ------
--- a/plantainyard/placement/scores.py
+++ b/plantainyard/placement/scores.py
@@ -1,8 +1,8 @@
-"""Cost of starting a task on a worker, by the operator's weights.
+"""Cost of starting a task on a worker, according to the operator's weights.
 
-The cost is the marginal one: what the task would take from the tail latency of the
-services and from the progress of the batch tasks on that worker, and what they would
-take from its own. Work is only started where it gains more than it takes.
+The cost is marginal: how much the task would raise the tail latency of the services on
+that worker and reduce the progress of its batch tasks, and how much these would slow
+down the task itself. A task is started only where it gains more progress than it costs.
 """
 
 from typing import NamedTuple
@@ -32,25 +32,26 @@
 
 
 class Cost(NamedTuple):
-    """Weighted parts of the cost of one choice, in cores by the worker's cores.
+    """Weighted parts of the cost of one choice, as a share of the worker's cores.
 
     Attributes
     ----------
     tail : float
-        Rise of services' latency, the others' and its own.
+        Increase of the tail latency of other services and of its own.
     throughput : float
-        Progress of batch tasks that is lost, the others' and its own.
+        Lost progress of other batch tasks and of its own.
     crowding : float
         Use beyond the worker's cores.
     spread : float
-        Runners of the same service on this worker and in this rack, and whether a
-        worker without services would get its first.
+        Too many runners of the same service on this worker or in this rack, and the
+        first service on a worker without services.
     waste : float
-        Room of an accelerator worker taken by work that needs none, and poor fit.
+        Use of an accelerator worker by a task that needs no accelerator, and poor fit.
     doubt : float
-        Failures, doubtful reports or silence of the worker.
+        Failed jobs, implausible reports or missing reports of the worker.
     gain : float
-        The task's own undisturbed progress, negative: a sum above zero is a loss.
+        Undisturbed progress of the task itself, negative: a sum of the parts above zero
+        is a net loss.
     """
 
     tail: float
@@ -65,17 +66,17 @@
 def predict_pair_slowdown(
     state: PlacementState, victim: str, aggressor: str, include_uncertainty: bool
 ) -> float:
-    """Return the harm to reckon with.
+    """Return the slowdown of `victim` by `aggressor` to use for scoring.
 
     Parameters
     ----------
     state : PlacementState
-        With what was learnt, and the weights.
+        State with the interference estimates and the weights.
     victim, aggressor : str
         The two workloads.
     doubted : bool
-        Whether the doubt is added to the estimate, the more so the more the tail
-        weighs; so it is for what batch work does to services.
+        Whether to add a multiple of the standard deviation to the estimate, which grows
+        with the weight of the tail. Used for the effect of batch tasks on services.
     """
     if state.rules.predict_slowdown is not None:
         return state.rules.predict_slowdown(victim, aggressor)
@@ -90,12 +91,13 @@
 
 
 def get_profile(state: PlacementState, worker: WorkerState, now: float) -> Profile:
-    """Return what runs on `worker` by workload, and how much it suffers.
+    """Return the tasks on `worker` by workload, and how much each is slowed down.
 
     Notes
     -----
-    Kept until something starts or ends there, at most a few seconds, so that scoring a
-    worker costs the number of its workloads, not of its tasks.
+    The profile is cached until a task starts or ends on the worker, for at most
+    ``profile_s``, so that the cost of scoring a worker grows with the number of its
+    workloads rather than of its tasks.
     """
     profile = worker.profile
     if profile is not None and now - profile.computed_at < state.settings.profile_s:
@@ -147,13 +149,14 @@
         throughput += own_share * (1.0 - 1.0 / (1.0 + slowdown))
         gain = -weights.throughput * own_share
     runners = sum(profile.counts[name] for name in profile.services)
-    over = max(0.0, profile.utilization + own_share - 1.0) - max(
+    overload = max(0.0, profile.utilization + own_share - 1.0) - max(
         0.0, profile.utilization - 1.0
     )
     return Cost(
         tail=weights.tail * _TAIL_SCALE * tail,
         throughput=weights.throughput * throughput,
-        crowding=over * (weights.throughput + weights.tail * 3 * runners * _TAIL_SCALE),
+        crowding=overload
+        * (weights.throughput + weights.tail * 3 * runners * _TAIL_SCALE),
         spread=_compute_spread(state, job_state, worker, profile),
         waste=_compute_waste(job_state, worker, profile),
         doubt=weights.throughput * own_share * _compute_doubt(state, worker, now),
@@ -168,16 +171,20 @@
     for name, share in profile.shares.items():
         load = profile.services.get(name)
         include_uncertainty = load is not None and not job_state.job.latency_critical
-        added = (
+        added_slowdown = (
             predict_pair_slowdown(state, name, job_state.workload, include_uncertainty)
             * own_share
         )
-        before = profile.slowdown[name]
+        current_slowdown = profile.slowdown[name]
         if load is not None:
-            rise = (1 + load * (before + added)) ** 2 - (1 + load * before) ** 2
+            rise = (1 + load * (current_slowdown + added_slowdown)) ** 2 - (
+                1 + load * current_slowdown
+            ) ** 2
             tail += profile.counts[name] * rise
         else:
-            throughput += share * (1 / (1 + before) - 1 / (1 + before + added))
+            throughput += share * (
+                1 / (1 + current_slowdown) - 1 / (1 + current_slowdown + added_slowdown)
+            )
     return tail, throughput
 
 
@@ -197,31 +204,36 @@
 def _compute_spread(
     state: PlacementState, job_state: JobState, worker: WorkerState, profile: Profile
 ) -> float:
-    """Return the cost of having many runners of a service in one place.
+    """Return the cost of placing many runners of a service close together.
 
     Notes
     -----
-    Up to a share of its runners may sit on one worker: services side by side leave
-    whole workers to batch tasks that would harm them. Racks share them evenly.
+    Up to ``runner_share`` of the runners may be on one worker without extra cost:
+    services on the same worker leave whole workers to batch tasks that would slow them
+    down. Runners are spread evenly over racks.
     """
     if not job_state.job.latency_critical:
         return 0.0
     count = job_state.job.task_count
     cost = 0.0 if profile.services else state.weights.tail * _FIRST_SERVICE_COST
-    most = max(1.0, state.settings.runner_share * count)
-    if profile.counts.get(job_state.workload, 0) + 1 > most:
+    max_runners = max(1.0, state.settings.runner_share * count)
+    if profile.counts.get(job_state.workload, 0) + 1 > max_runners:
         cost += _SAME_WORKER_COST
     racks = {other.info.rack for other in state.active_workers}
-    here = job_state.racks.get(worker.info.rack, 0)
-    if here + 1 > -(-count // max(1, len(racks))):
+    runners_in_rack = job_state.racks.get(worker.info.rack, 0)
+    if runners_in_rack + 1 > -(-count // max(1, len(racks))):
         cost += _SAME_RACK_COST
     return cost
 
 
 def _compute_waste(job_state: JobState, worker: WorkerState, profile: Profile) -> float:
-    needless = worker.info.accelerator and not job_state.job.constraints.accelerator
+    wastes_accelerator = (
+        worker.info.accelerator and not job_state.job.constraints.accelerator
+    )
     empty = max(0.0, 1.0 - profile.utilization)
-    return (_ACCELERATOR_WASTE_COST if needless else 0.0) + _POOR_FIT_COST * empty
+    return (
+        _ACCELERATOR_WASTE_COST if wastes_accelerator else 0.0
+    ) + _POOR_FIT_COST * empty
 
 
 def _compute_doubt(state: PlacementState, worker: WorkerState, now: float) -> float:
--- a/plantainyard/placement/settings.py
+++ b/plantainyard/placement/settings.py
@@ -8,14 +8,14 @@
 
 
 class Weights(NamedTuple):
-    """What an operator favours; only the ratios matter.
+    """Weights of the operator's objectives; only their ratios matter.
 
     Attributes
     ----------
     tail : float
         Cost of raising the tail latency of services.
     throughput : float
-        Cost of slowing batch tasks down, or of leaving them waiting.
+        Cost of slowing down batch tasks or of leaving them waiting.
     evictions : float
         Cost of an eviction.
     """
@@ -26,69 +26,70 @@
 
 
 class PlacementSettings(NamedTuple):
-    """Constants of the policy; times in seconds.
+    """Constants of the placement policy; times are in seconds.
 
     Attributes
     ----------
     runner_share : float
         Share of a service's runners that one worker may hold without extra cost.
     profile_s : float
-        How long a worker's sums by workload are used while nothing starts or ends.
+        Maximum age of a worker's cached profile while no task starts or ends there.
     caution : float
-        Standard deviations of doubt added to harm to services, if only the tail
-        weighed.
+        Number of standard deviations added to the estimated slowdown of services if
+        only the tail had a weight.
     fair_slack : float
-        Difference of teams' dominant shares within which the better fit goes first.
+        Difference of teams' dominant shares within which the better fit is preferred.
     crowd_max : float
-        Expected use of a worker's cores beyond which it takes no more, by its cores.
+        Expected use of a worker, relative to its cores, above which it takes no tasks.
     candidates_min, candidates_max : int
-        Workers with room that are scored for one job: the greatest number, shared
-        among the jobs of one turn, but not less than the least.
+        Minimum and maximum number of suitable workers that are scored for one job. The
+        maximum is divided between the jobs of one turn, down to the minimum.
     places_max : int
-        Placements decided in one step.
+        Maximum number of placements in one step.
     declared_floor : float
-        Least share of the declared cores that is set aside for a task once its use has
-        been observed. 1 never counts on less than was declared.
+        Minimum share of the declared cores to reserve for a task after its use has been
+        observed. With 1, the declared cores are always reserved.
     history_s : float
-        How long it is remembered what ran where, for late reports.
+        How long ended tasks are kept in the history of a worker, for delayed reports.
     fade_s : float
-        Time constant with which learnt harm falls back to the prior.
+        Time constant with which interference estimates decay to the prior.
     prior_harm : float
-        Harm of an unknown pair: relative rise for a whole worker's cores.
+        Slowdown of an unknown pair, relative, if all cores of the worker are used.
     prior_deviation : float
-        Standard deviation of the prior.
+        Standard deviation of this prior.
     base_deviation : float
-        Standard deviation of the first guess of an undisturbed time, relative.
+        Relative standard deviation of the initial estimate of an undisturbed time.
     report_noise : float
-        Standard deviation of one report's relative latency.
+        Relative standard deviation of the latency in one report.
     starve_s : float
-        Wait after which a job takes turns ahead of urgent work.
+        Waiting time after which a job gets turns ahead of urgent work.
     reserve_share : float
-        Greatest share of workers held free for jobs that waited `starve_s`.
+        Maximum share of workers reserved for jobs that have waited `starve_s`.
     aged_turn : int
-        Every so many placements one goes to the longest waiting job.
+        One in this many placements goes to the longest waiting job.
     urgent_wait_s : float
-        Wait after which an urgent task may evict others.
+        Waiting time after which an urgent task may evict others.
     gang_s : float
-        Time for a partly running gang to become whole before it is evicted.
+        Time that a partly placed gang has to become complete before it is evicted.
     backoff_s, backoff_max_s : float
-        First and greatest wait of a task that failed.
+        Initial and maximum backoff of a task that failed.
     give_up_workers : int
-        A job is given up after failing on so many sound workers.
+        Number of healthy workers on which a job must fail before it is given up.
     quarantine_jobs : int
-        A worker is suspected after failing tasks of so many jobs in a row.
+        Number of jobs whose tasks must fail on a worker in a row to quarantine it.
     quarantine_s, quarantine_max_s : float
-        First and greatest wait before a probe.
+        Initial and maximum duration of a quarantine before a probe.
     tolerance : float
-        Relative rise of latency that is put up with at equal weights.
+        Relative increase of latency that is accepted at equal weights.
     patience_s : float
-        Least time between two steps against harm on one worker.
+        Minimum time between two steps of interference mitigation on one worker.
     evict_pause_s : float
-        Least time between two evictions for harm on one worker.
+        Minimum time between two evictions due to interference on one worker.
     evictions_max : int
-        Evictions of one task for harm; afterwards it is only throttled.
+        Maximum number of evictions of one task due to interference; after these it is
+        only throttled.
     silence_s : float
-        A worker without reports for so long is taken as fully loaded.
+        Time without reports after which starting a task on a worker has an extra cost.
     """
 
     runner_share: float = 0.17
@@ -125,7 +126,7 @@
 
 
 def load_weights(path: str | Path) -> Weights:
-    """Return the weights of the TOML file at `path`, table ``weights``.
+    """Return the weights in the table ``weights`` of the TOML file at `path`.
 
     Raises
     ------
--- a/plantainyard/placement/state.py
+++ b/plantainyard/placement/state.py
@@ -1,7 +1,7 @@
 """State of placement for the workers under one owner.
 
-Classes here only hold state and keep its sums right; every decision is a function in
-another module. All of it is a soft copy that is rebuilt from `TasksWaiting` and
+The classes only hold state and keep its sums consistent; all decisions are functions in
+other modules. The state is soft: a new owner rebuilds it from `TasksWaiting` and
 `TaskStarted` events.
 """
 
@@ -30,7 +30,7 @@
 
 
 class WaitingTask(NamedTuple):
-    """A task that waits, and what is known of its past."""
+    """A waiting task with its next attempt and its earlier failures and evictions."""
 
     number: int
     attempt: int
@@ -40,7 +40,7 @@
 
 
 class Span(NamedTuple):
-    """What ran on a worker from `start` on, for late reports."""
+    """A task that occupied a worker from `start` on; needed for delayed reports."""
 
     start: float
     task: TaskKey
@@ -48,22 +48,22 @@
 
 
 class Profile(NamedTuple):
-    """What runs on a worker, by workload.
+    """Summary of the tasks on a worker, by workload.
 
     Attributes
     ----------
-    at : float
-        When this was summed up.
+    computed_at : float
+        Time at which the profile was computed.
     shares : dict
-        Share of the worker's cores in use.
+        Share of the worker's cores that each workload uses.
     counts : dict
-        Number of tasks.
+        Number of tasks of each workload.
     services : dict
-        Load of each latency-critical workload, relative to its declared size.
-    suffered : dict
-        Relative slow-down of each by all others.
-    load : float
-        Share of the worker's cores in use by all.
+        Utilization of each latency-critical workload, relative to its declared size.
+    slowdown : dict
+        Relative slowdown of each workload by all others.
+    utilization : float
+        Share of the worker's cores that all workloads use.
     """
 
     computed_at: float
@@ -75,7 +75,7 @@
 
 
 class Placement:
-    """A task that occupies a worker: in flight, running, or ending."""
+    """A task that occupies a worker: being assigned, running, or ending."""
 
     __slots__ = (
         "attempt",
@@ -121,19 +121,19 @@
 
     @property
     def cores(self) -> float:
-        """Cores in use as far as known: the last report, else the estimate."""
+        """Cores in use according to the last report, or the estimate without one."""
         if self.reported_cores >= 0.0:
             return self.reported_cores
         return self.job_state.expected.cores * self.share
 
 
 class JobState:
-    """A job's waiting and placed tasks, its estimate and its failures.
+    """Waiting and placed tasks of a job, its size estimates and its failures.
 
     Notes
     -----
-    Waiting tasks that never ran are ranges of numbers, so that a job of any size costs
-    one entry; tasks that wait again are single entries.
+    Waiting tasks that have not run yet are stored as ranges of numbers, so that a job
+    of any size needs one entry. Tasks that wait for another attempt are single entries.
     """
 
     def __init__(self, job: Job):
@@ -172,7 +172,7 @@
         return TaskKey(self.job.id, number)
 
     def has_task(self, number: int) -> bool:
-        """Return whether the task waits or is placed."""
+        """Return whether a task is waiting or placed."""
         return (
             number in self.placed
             or number in self.retries
@@ -182,7 +182,7 @@
     def add_range(
         self, first: int, stop: int, attempt: int, since: float, failures: int
     ) -> None:
-        """Let the unknown ones of the tasks ``first`` to ``stop - 1`` wait."""
+        """Add those of the tasks ``first`` to ``stop - 1`` that are not known yet."""
         taken = sorted(
             [(n, n + 1) for n in (*self.placed, *self.retries) if first <= n < stop]
             + [(a, b) for a, b, *_ in self.untried_ranges if a < stop and first < b]
@@ -201,31 +201,31 @@
         self.waiting += stop - first
 
     def add_retry(self, task: WaitingTask, not_before: float) -> None:
-        """Let a task wait again, from `not_before` on."""
+        """Add a task that waits for another attempt until `not_before`."""
         self.retries[task.number] = task
         heapq.heappush(self.retry_heap, (not_before, task.number))
         self.waiting += 1
 
     def remove_range(self, first: int, stop: int) -> None:
-        """Forget the waiting tasks from `first` to ``stop - 1``."""
+        """Remove the waiting tasks ``first`` to ``stop - 1``."""
         kept: deque[tuple[int, int, int, float, int]] = deque()
         for low, high, *rest in self.untried_ranges:
-            pieces = ((low, min(high, first)), (max(low, stop), high))
-            kept.extend((a, b, *rest) for a, b in pieces if a < b)  # type: ignore[misc]
+            rest_ranges = ((low, min(high, first)), (max(low, stop), high))
+            kept.extend((a, b, *rest) for a, b in rest_ranges if a < b)  # type: ignore[misc]
         self.untried_ranges = kept
         for number in [n for n in self.retries if first <= n < stop]:
             del self.retries[number]
         self.waiting = len(self.retries) + sum(b - a for a, b, *_ in kept)
 
     def clear_waiting(self) -> None:
-        """Forget all waiting tasks."""
+        """Remove all waiting tasks."""
         self.untried_ranges.clear()
         self.retries.clear()
         self.retry_heap.clear()
         self.waiting = 0
 
     def peek_waiting(self, now: float) -> WaitingTask | None:
-        """Return the task to place next, or None while all back off."""
+        """Return the task to place next, or None if there is none or all back off."""
         while self.retry_heap and self.retry_heap[0][1] not in self.retries:
             heapq.heappop(self.retry_heap)
         if self.retry_heap and self.retry_heap[0][0] <= now:
@@ -236,7 +236,7 @@
         return None
 
     def take_waiting(self, task: WaitingTask) -> None:
-        """Remove `task`, which `next_waiting` returned."""
+        """Remove `task`, which `peek_waiting` returned, from the waiting tasks."""
         self.waiting -= 1
         if task.number in self.retries:
             del self.retries[task.number]
@@ -246,21 +246,21 @@
             self.untried_ranges.appendleft((first + 1, stop, *rest))  # type: ignore[arg-type]
 
     def get_waiting_since(self) -> float:
-        """Return since when the longest waiting task waits."""
+        """Return the time since which the longest waiting task has waited."""
         untried_ranges = (
-            since for _, _, _, since, _ in _take_first(self.untried_ranges)
+            since for _, _, _, since, _ in _list_first(self.untried_ranges)
         )
-        retries = (task.since for task in _take_first(self.retries.values()))
+        retries = (task.since for task in _list_first(self.retries.values()))
         return min((*untried_ranges, *retries), default=float("inf"))
 
 
-def _take_first(values: Any, count: int = 4) -> list[Any]:
-    """Return the first few of `values`; enough for an estimate of the oldest."""
+def _list_first(values: Any, count: int = 4) -> list[Any]:
+    """Return the first few of `values`, which suffice to estimate the longest wait."""
     return [value for value, _ in zip(values, range(count), strict=False)]
 
 
 class WorkerState:
-    """A worker with what occupies it and what is known of its health."""
+    """A worker with its placed tasks, its reservation and the state of its health."""
 
     def __init__(self, info: WorkerInfo, now: float):
         self.info = info
@@ -289,7 +289,7 @@
         self.profile: Profile | None = None
 
     def recount(self) -> None:
-        """Sum up the placed tasks' sizes anew."""
+        """Recompute the sums of the placed tasks' sizes."""
         sizes = [placement.job_state.reserved for placement in self.placed.values()]
         self.allocated = [sum(size[i] for size in sizes) for i in range(3)]
         self.expected_cores = sum(
@@ -298,22 +298,23 @@
 
 
 class Rules(NamedTuple):
-    """The parts of the policy that a baseline replaces.
+    """Replaceable parts of the policy, for comparison with baselines.
 
     Attributes
     ----------
     cost : callable
-        ``cost(state, job_state, worker_state, now)``; the cheapest worker is chosen.
-    learns_sizes, learns_harm : bool
-        Whether observed sizes and learnt harm are used.
-    acts : bool
-        Whether harm is acted upon by limits and evictions.
+        ``cost(state, job_state, worker_state, now)``; the worker with the lowest cost
+        is chosen.
+    learns_sizes, learns_interference : bool
+        Whether observed sizes and estimated interference are used.
+    mitigates_interference : bool
+        Whether interference is mitigated by throttling and evictions.
     hysteresis : bool
-        Whether such steps are paced.
-    judges_workers : bool
-        Whether bad workers are quarantined.
-    predict_harm : callable, optional
-        ``predict_harm(victim, aggressor)`` in place of the learnt one.
+        Whether the steps of this mitigation are paced.
+    quarantines_workers : bool
+        Whether faulty workers are quarantined.
+    predict_slowdown : callable, optional
+        ``predict_slowdown(victim, aggressor)``, used in place of the estimates.
     """
 
     cost: Callable[["PlacementState", JobState, WorkerState, float], float]
@@ -326,16 +327,16 @@
 
 
 class PlacementState:
-    """Everything that placement knows under one owner.
+    """Complete state of placement under one owner.
 
     Parameters
     ----------
     settings : PlacementSettings
         Constants of the policy.
     weights : Weights
-        What the operator favours.
+        Objectives of the operator.
     rules : Rules
-        The replaceable parts; `policy.create_state` gives the product's own.
+        Replaceable parts of the policy; `policy.create_state` supplies the defaults.
     """
 
     def __init__(self, settings: PlacementSettings, weights: Weights, rules: Rules):
--- a/plantainyard/placement/tests/test_holding.py
+++ b/plantainyard/placement/tests/test_deferral.py
@@ -23,9 +23,10 @@
 
 
 def test_small_tasks_start_on_a_nearly_empty_worker():
-    # A worker of 64 cores runs one runner of 8; a job of small tasks waits for two
-    # minutes, "would harm more than it gains". The preference for a good fit, the same
-    # for tasks of any size, outweighed what a task of one core gains.
+    # Guards against small tasks that wait for two minutes ("would harm more than it
+    # gains") although a worker of 64 cores runs just one runner of 8 cores. The cost of
+    # a poor fit, which doesn't depend on the size of the task, exceeded the gain of a
+    # task of one core.
     state = _start_service()
     step(state, TasksWaiting(SMALL, 0, 60), 0.1)
     placed = [a for a in step(state, Tick(), 0.2) if isinstance(a, Place)]
@@ -33,8 +34,8 @@
 
 
 def test_runner_without_requests_counts_as_idle():
-    # No caller is on a service, whose runners report their declared cores all the
-    # same; batch work is held back for the sake of callers that are not there.
+    # Guards against batch work that is delayed for a service without callers, whose
+    # runners report their declared cores although they serve no requests.
     state = _start_service()
     for second in range(60):
         report = UsageReported("w", TaskKey("s", 0), float(second), 8.0, 16.0, 0.0)
--- a/plantainyard/placement/tests/test_outcomes.py
+++ b/plantainyard/placement/tests/test_outcomes.py
@@ -28,27 +28,27 @@
 )
 from plantainyard.work import Constraints, Job, Size, TaskKey, WorkerInfo
 
-EVEN = Weights()
-FEW = settings(derandomize=True, deadline=None, max_examples=5)
+EQUAL_WEIGHTS = Weights()
+FEW_EXAMPLES = settings(derandomize=True, deadline=None, max_examples=5)
 
 
 def make_worker(n, cores=8):
     return WorkerInfo(f"w{n}", "", "r", "d", f"rack-{n // 4}", Size(cores, 64))
 
 
-def make_job(name, count, cores=2.0, **more):
-    fields = {"workload": name, "run_s": 10.0, **more}
-    return Job(name, name, "team", False, count, Size(cores, 2), **fields)
+def make_job(name, count, cores=2.0, **fields):
+    merged_fields = {"workload": name, "run_s": 10.0, **fields}
+    return Job(name, name, "team", False, count, Size(cores, 2), **merged_fields)
 
 
-def make_state(count, weights=EVEN):
+def make_state(count, weights=EQUAL_WEIGHTS):
     state = create_state(weights=weights)
     step(state, WorkersChanged(tuple(make_worker(n) for n in range(count))), 0.0)
     return state
 
 
-def drive(state, job_of, outcome_of, seconds, start=0.0, run_s=3.0, arrive=None):
-    """Tick once a second, end each placement after `run_s`; return all actions."""
+def simulate(state, job_of, outcome_of, seconds, start=0.0, run_s=3.0, arrive=None):
+    """Tick once a second, end tasks after about `run_s`, and return all actions."""
     ends: list[tuple[float, Place]] = []
     seen = []
     for second in range(seconds):
@@ -71,50 +71,52 @@
     return seen
 
 
-@FEW
+@FEW_EXAMPLES
 @given(st.integers(0, 5), st.integers(0, 5), st.integers(8, 10))
-def test_bad_worker_is_quarantined_and_bad_job_given_up(bad, broken, jobs):
-    # One worker's disk is full, so whatever starts there fails; the programs of three
-    # jobs crash wherever they run. The user must see just that worker quarantined and
-    # just those jobs given up with their last error; when the disk is mended, the probe
-    # succeeds and the worker takes work again.
+def test_faulty_worker_is_quarantined_and_faulty_jobs_given_up(
+    faulty_worker, first_faulty_job, jobs
+):
+    # The disk of one worker is full, so every task that starts there fails; programs
+    # of three jobs crash on every worker. Only that worker may be quarantined, and
+    # only those jobs may be given up, with their last error. Once the disk is repaired,
+    # the probe succeeds and the worker takes work again.
     state = make_state(6)
     job_of = {f"j{n}": make_job(f"j{n}", 40, workload="same") for n in range(jobs)}
     for job in job_of.values():
         step(state, TasksWaiting(job, 0, 40), 0.0)
 
-    crashing = {f"j{(broken + n) % jobs}" for n in range(3)}
+    faulty_jobs = {f"j{(first_faulty_job + n) % jobs}" for n in range(3)}
 
-    def judge(place):
-        if place.worker == f"w{bad}":
+    def get_outcome(place):
+        if place.worker == f"w{faulty_worker}":
             return Outcome.FAILED, "disk full"
-        if place.task.job in crashing:
+        if place.task.job in faulty_jobs:
             return Outcome.FAILED, "crash"
         return Outcome.DONE, ""
 
-    seen = [action for _, action in drive(state, job_of, judge, 400)]
+    seen = [action for _, action in simulate(state, job_of, get_outcome, 400)]
     quarantined = {a.worker for a in seen if isinstance(a, Quarantine)}
     given_up = {a.job: a.error for a in seen if isinstance(a, GiveUp)}
-    assert quarantined == {f"w{bad}"}
-    assert given_up == dict.fromkeys(crashing, "crash")
-    mended = make_job("mended", 40, cores=4.0)
-    step(state, TasksWaiting(mended, 0, 40, since=400.0), 400.0)
-    later = drive(
+    assert quarantined == {f"w{faulty_worker}"}
+    assert given_up == dict.fromkeys(faulty_jobs, "crash")
+    repaired = make_job("mended", 40, cores=4.0)
+    step(state, TasksWaiting(repaired, 0, 40, since=400.0), 400.0)
+    later_actions = simulate(
         state,
-        {**job_of, "mended": mended},
+        {**job_of, "mended": repaired},
         lambda _: (Outcome.DONE, ""),
         900,
         400.0,
         60,
     )
-    assert Release(f"w{bad}") in [action for _, action in later]
+    assert Release(f"w{faulty_worker}") in [action for _, action in later_actions]
 
 
-@FEW
+@FEW_EXAMPLES
 @given(st.floats(4.5, 8.0), st.integers(1, 3))
 def test_nothing_starves_under_a_stream_of_urgent_and_small_work(cores, width):
-    # A large task waits while urgent and small tasks keep arriving and take every
-    # bit of room that appears. The user must see it start within a bounded time.
+    # Guards against starvation of a large task while urgent and small tasks keep
+    # arriving and take all capacity that is freed. It must start within a bounded time.
     state = make_state(width)
     large = make_job("large", 1, cores)
     job_of = {"large": large}
@@ -128,22 +130,22 @@
             job_of[name] = make_job(name, 2 * width, 2.0, urgent=kind == "urgent")
             step(state, TasksWaiting(job_of[name], 0, 2 * width, since=now), now)
 
-    seen = drive(state, job_of, lambda _: (Outcome.DONE, ""), 150, arrive=arrive)
+    seen = simulate(state, job_of, lambda _: (Outcome.DONE, ""), 150, arrive=arrive)
     places = [at for at, a in seen if isinstance(a, Place) and a.task.job == "large"]
     assert places and places[0] <= 120.0
 
 
-def test_noisy_wave_is_limited_before_it_is_evicted_and_evictions_are_paced():
-    # A batch wave slows a service tenfold on every worker and goes on doing so in each
-    # late report. The user must see limits first and then few evictions, not one for
-    # each report.
+def test_noisy_tasks_are_throttled_before_paced_evictions():
+    # Batch tasks slow a service down tenfold on every worker, and each delayed report
+    # still shows it. Tasks must be throttled first and then evicted at a limited rate,
+    # not once per report.
     state = make_state(8, Weights(tail=4.0, throughput=1.0))
     service = Job("svc", "svc", "s", True, 8, Size(2, 2), workload="svc")
-    wave = make_job("wave", 16, 2.0)
+    batch = make_job("wave", 16, 2.0)
     step(state, TasksWaiting(service, 0, 8), 0.0)
-    step(state, TasksWaiting(wave, 0, 16), 0.0)
-    job_of = {"svc": service, "wave": wave}
-    seen = drive(state, job_of, lambda _: (Outcome.DONE, ""), 1, run_s=1e9)
+    step(state, TasksWaiting(batch, 0, 16), 0.0)
+    job_of = {"svc": service, "wave": batch}
+    seen = simulate(state, job_of, lambda _: (Outcome.DONE, ""), 1, run_s=1e9)
     for second in range(5, 1505, 5):
         for worker in state.active_workers:
             for p in list(worker.placed.values()):
@@ -158,22 +160,22 @@
         for a in [a for a in actions if isinstance(a, Checkpoint)]:
             ended = TaskEnded(a.task, a.attempt, a.worker, Outcome.EVICTED)
             step(state, ended, float(second))
-    limits = [at for at, a in seen if isinstance(a, Throttle) and a.share < 1.0]
+    throttles = [at for at, a in seen if isinstance(a, Throttle) and a.share < 1.0]
     evictions = [at for at, a in seen if isinstance(a, Checkpoint)]
-    assert limits and (not evictions or limits[0] < evictions[0])
+    assert throttles and (not evictions or throttles[0] < evictions[0])
     for worker in state.active_workers:
-        steps = [at for at, a in seen if is_step(a, worker.info.id)]
+        steps = [at for at, a in seen if is_mitigation(a, worker.info.id)]
         gaps = [later - earlier for earlier, later in pairwise(steps)]
         assert min(gaps, default=99.0) >= state.settings.patience_s
     tasks = Counter(a.task for _, a in seen if isinstance(a, Checkpoint))
     assert max(tasks.values(), default=0) <= state.settings.evictions_max
 
 
-def is_step(action, worker):
+def is_mitigation(action, worker):
     return isinstance(action, Throttle | Checkpoint) and action.worker == worker
 
 
-def test_cancellation_wave_is_one_event_and_leaves_nothing_behind():
+def test_cancelling_many_jobs_is_one_event_and_leaves_no_state():
     state = make_state(4)
     jobs = [make_job(f"j{n}", 100_000) for n in range(50)]
     for job in jobs:
@@ -187,11 +189,11 @@
     assert step(state, Tick(), 3.0) == []
 
 
-def test_questions_are_answered_with_the_constraint_the_reason_and_the_place():
+def test_explanations_give_the_constraint_the_reason_and_the_position():
     state = make_state(2)
     infos = [worker.info for worker in state.active_workers]
-    never = make_job("never", 1, constraints=Constraints(accelerator="gpu"))
-    assert check_possible(never, infos) == "accelerator"
+    impossible = make_job("never", 1, constraints=Constraints(accelerator="gpu"))
+    assert check_possible(impossible, infos) == "accelerator"
     assert check_possible(make_job("big", 1, 9.0), infos) == "cores"
     assert check_possible(make_job("gang", 9, gang=True), infos) == "gang size"
     assert check_possible(make_job("fits", 8, gang=True), infos) is None
@@ -199,19 +201,23 @@
     step(state, TasksWaiting(first, 0, 8), 0.0)
     step(state, Tick(), 0.0)
     step(state, TasksWaiting(second, 0, 2), 0.0)
-    step(state, TasksWaiting(never, 0, 1), 0.0)
+    step(state, TasksWaiting(impossible, 0, 1), 0.0)
     step(state, Tick(), 1.0)
     placed = explain(state, TaskKey("first", 0))
     assert (placed.status, placed.worker) == ("placed", placed.worker) != ("placed", "")
-    waits = explain(state, TaskKey("second", 0))
-    assert (waits.status, waits.reason, waits.place > 0) == ("waiting", "no room", True)
-    assert {verdict.failing for verdict in waits.workers} == {"no room"}
+    waiting = explain(state, TaskKey("second", 0))
+    assert (waiting.status, waiting.reason, waiting.place > 0) == (
+        "waiting",
+        "no room",
+        True,
+    )
+    assert {verdict.failing for verdict in waiting.workers} == {"no room"}
     assert explain(state, TaskKey("never", 0))[:3:2] == ("impossible", "accelerator")
 
 
-def test_weights_change_what_is_decided():
-    # The same harm is known under both weights: who favours the tail keeps the noisy
-    # task away from the service, who favours throughput starts it.
+def test_weights_change_decisions():
+    # With the same interference, weights that favour the tail keep the noisy task away
+    # from the service, and weights that favour throughput start it.
     def place_beside_service(weights):
         state = make_state(1, weights)
         service = Job("svc", "svc", "s", True, 1, Size(2, 2), workload="svc")
--- a/plantainyard/placement/tests/test_policy.py
+++ b/plantainyard/placement/tests/test_policy.py
@@ -66,7 +66,7 @@
     ),
     st.sampled_from(("billing", "audit")),
 )
-moves = st.lists(
+operations = st.lists(
     st.one_of(
         st.tuples(st.just("job"), jobs),
         st.tuples(st.just("tick"), st.floats(0.1, 40.0)),
@@ -81,24 +81,24 @@
 )
 
 
-class Yard:
-    """An account of its own of what `step` did, to judge it by."""
+class Simulation:
+    """Independent record of the actions of `step`, to check them against."""
 
-    def __init__(self, state=None, take=step):
+    def __init__(self, state=None, step_function=step):
         self.state = state or create_state()
-        self.take = take
+        self.step_function = step_function
         self.now = 0.0
         self.jobs: dict[str, Job] = {}
         self.placed: dict[TaskKey, tuple[int, str]] = {}
         self.attempts: dict[TaskKey, int] = {}
         self.down: set[str] = set()
         self.log: list[object] = []
-        self.feed(WorkersChanged(WORKERS))
-        self.feed(QuotasChanged({"audit": Size(24, 200, 2)}))
+        self.send(WorkersChanged(WORKERS))
+        self.send(QuotasChanged({"audit": Size(24, 200, 2)}))
 
-    def feed(self, event):
+    def send(self, event):
         before = set(self.placed)
-        actions = self.take(self.state, event, self.now)
+        actions = self.step_function(self.state, event, self.now)
         self.log += actions
         for action in actions:
             if isinstance(action, Place):
@@ -128,8 +128,8 @@
                 map(sum, zip(*sizes, strict=True)), worker.capacity, strict=False
             ):
                 assert need <= room + 1e-6
-        audit = [t for t in self.placed if self.jobs[t.job].team == "audit"]
-        assert sum(self.jobs[t.job].size.cores for t in audit) <= 24 + 1e-6
+        audit_tasks = [t for t in self.placed if self.jobs[t.job].team == "audit"]
+        assert sum(self.jobs[t.job].size.cores for t in audit_tasks) <= 24 + 1e-6
 
     def check_gangs(self, before):
         placed = set(self.placed)
@@ -137,46 +137,46 @@
             new = [t for t in placed - before if t.job == job.id]
             old = [t for t in before if t.job == job.id]
             if job.gang and new and not old:
-                assert len(new) == job.task_count - self.done(job)
+                assert len(new) == job.task_count - self.count_done(job)
 
-    def done(self, job):
+    def count_done(self, job):
         return sum(1 for t in self.log if t == ("done", job.id))
 
-    def pick(self, number):
+    def pick_task(self, number):
         keys = sorted(self.placed)
         return keys[number % len(keys)] if keys else None
 
-    def move(self, kind, value):
+    def apply(self, kind, value):
         if kind == "job":
             job = value._replace(id=f"j{len(self.jobs)}")
             self.jobs[job.id] = job
-            self.feed(TasksWaiting(job, 0, job.task_count, since=self.now))
+            self.send(TasksWaiting(job, 0, job.task_count, since=self.now))
         elif kind == "tick":
             self.now += value
-            self.feed(Tick())
+            self.send(Tick())
         elif kind == "worker":
-            self.flip_worker(WORKERS[value % len(WORKERS)].id)
+            self.toggle_worker(WORKERS[value % len(WORKERS)].id)
         elif kind == "cancel":
             if self.jobs:
-                self.feed(Cancelled((f"j{value % len(self.jobs)}",)))
-        elif (task := self.pick(value)) is not None:
-            self.move_task(kind, task, random.Random(value))
+                self.send(Cancelled((f"j{value % len(self.jobs)}",)))
+        elif (task := self.pick_task(value)) is not None:
+            self.apply_to_task(kind, task, random.Random(value))
 
-    def flip_worker(self, worker):
+    def toggle_worker(self, worker):
         if worker in self.down:
             self.down.discard(worker)
-            self.feed(WorkerBack(worker))
+            self.send(WorkerBack(worker))
         else:
             self.down.add(worker)
-            self.feed(WorkerSuspect(worker))
+            self.send(WorkerSuspect(worker))
 
-    def move_task(self, kind, task, source):
+    def apply_to_task(self, kind, task, source):
         attempt, worker = self.placed[task]
         if kind == "start":
-            self.feed(TaskStarted(self.jobs[task.job], task.number, attempt, worker))
+            self.send(TaskStarted(self.jobs[task.job], task.number, attempt, worker))
         elif kind == "use":
             use = source.uniform(0.0, 4.0) * self.jobs[task.job].size.cores
-            self.feed(UsageReported(worker, task, self.now - 3.0, use, 1.0, 5.0))
+            self.send(UsageReported(worker, task, self.now - 3.0, use, 1.0, 5.0))
         else:
             outcome = source.choice(
                 (
@@ -192,23 +192,23 @@
                 self.log.append(("done", task.job))
             if outcome != Outcome.UNPLACED:
                 self.attempts[task] = attempt
-            self.feed(TaskEnded(task, attempt, worker, outcome, "x"))
+            self.send(TaskEnded(task, attempt, worker, outcome, "x"))
 
 
 def run(sequence):
-    yard = Yard()
+    simulation = Simulation()
     for kind, value in sequence:
-        yard.move(kind, value)
-    return yard
+        simulation.apply(kind, value)
+    return simulation
 
 
 @PROPERTY
-@given(moves)
+@given(operations)
 def test_capacity_filters_quotas_and_gangs_hold(sequence):
     run(sequence)
 
 
 @PROPERTY
-@given(moves)
+@given(operations)
 def test_same_events_give_the_same_decisions(sequence):
     assert run(sequence).log == run(sequence).log
--- a/plantainyard/placement/tests/test_recording.py
+++ b/plantainyard/placement/tests/test_recording.py
@@ -10,20 +10,20 @@
     replay_recording,
 )
 from plantainyard.placement.tests import test_policy
-from plantainyard.placement.tests.test_policy import PROPERTY, Yard, moves
+from plantainyard.placement.tests.test_policy import PROPERTY, Simulation, operations
 
 
 def record(sequence):
     lines: list[str] = []
     state, step = create_recorded_state(PlacementSettings(), Weights(), lines.append)
-    yard = Yard(state, step)
+    simulation = Simulation(state, step)
     for kind, value in sequence:
-        yard.move(kind, value)
+        simulation.apply(kind, value)
     return lines
 
 
 @PROPERTY
-@given(moves)
+@given(operations)
 def test_recording_replays_to_the_same_decisions(sequence):
     lines = record(sequence)
     assert replay_recording(lines) == []
@@ -31,9 +31,9 @@
     assert [encode_value(decode_event(event)) for event in events] == events
 
 
-def test_a_changed_recording_is_noticed():
-    # A user changes one event of a recording by hand, to ask what would have been
-    # decided. The replay must say at which line the decisions part.
+def test_replay_returns_the_line_at_which_a_changed_recording_differs():
+    # A user edits one event of a recording to find out what would have been decided.
+    # The replay must return the line at which the actions differ.
     job = test_policy.Job("", "", "t", False, 2, test_policy.Size(2, 4), run_s=9)
     lines = record([("job", job), ("tick", 1.0)])
     changed = lines[:3] + [lines[3].replace('"stop": 2', '"stop": 1')] + lines[4:]
