--- a/plantainyard/routing/tests/processes.py
+++ b/plantainyard/routing/tests/processes.py
@@ -1,4 +1,4 @@
-"""Processes of a model of three instances, and what is on its way between them."""
+"""Processes of a model of three instances, and the messages between them."""
 
 from typing import Any, NamedTuple
 
@@ -46,7 +46,7 @@
 
 
 class Message(NamedTuple):
-    """Something on its way to a process, or a sending that its thread has yet to do."""
+    """A message in transit to a process, or an attempt that has not started yet."""
 
     kind: str
     process: "Process"
@@ -55,7 +55,7 @@
 
 
 class Run(NamedTuple):
-    """A request in progress at a runner."""
+    """A request in progress at a runner, until `until` at the latest."""
 
     process: "Process"
     send: Send
@@ -63,7 +63,7 @@
 
 
 class Process:
-    """One process of an instance, with a clock of its own."""
+    """One process of an instance, with its own clock that runs at `rate`."""
 
     def __init__(self, instance, name, rate):
         location = Location(instance, DOMAINS[instance], "reg")
--- a/plantainyard/routing/tests/test_failures.py
+++ b/plantainyard/routing/tests/test_failures.py
@@ -1,8 +1,8 @@
-"""Gateways, lenders and runners under failure, in any order of messages.
+"""Gateways, lenders and runners under failures, with messages in any order.
 
-The deciding parts run in a model of three instances: messages are delivered late, out
+The state machines run in a model of three instances: messages are delivered late, out
 of order or never; processes pause, die and are replaced; the owner of a rack changes;
-clocks differ. The model runners count what they are given.
+clocks differ. The model runners count their requests.
 """
 
 import itertools
@@ -62,19 +62,19 @@
 
 
 class World(RuleBasedStateMachine):
-    """The model; each rule is something that can happen."""
+    """Model of three instances; each rule is one event or fault."""
 
     @initialize()
     def start(self):
         self.now = 100.0
-        self.names = itertools.count()
+        self.numbers = itertools.count()
         self.messages: list[Message] = []
         self.runs: list[Run] = []
         self.running: Counter[str] = Counter()
         self.runs_of_id: Counter[str] = Counter()
         self.run_keys: list[str] = []
         self.requests: dict[str, Request] = {}
-        self.homes: dict[str, Process] = {}
+        self.receivers: dict[str, Process] = {}
         self.answers = defaultdict(list)
         self.relayed: dict[str, tuple[Process, str]] = {}
         self.processes: dict[str, Process] = {}
@@ -96,29 +96,29 @@
         for action in actions:
             match action:
                 case Answer(key, answer):
-                    self.take_answer(process, key, answer)
+                    self.record_answer(process, key, answer)
                 case RequestCredits(owner, ask):
                     self.messages.append(Message("ask", process, (owner, ask)))
                 case Send(key) | Forward(key):
                     process.threads[key] = (self.now + action.timeout_s, action)
                     self.messages.append(Message("thread", process, action, key))
 
-    def take_answer(self, process, key, answer):
+    def record_answer(self, process, key, answer):
         request = self.requests[key]
         self.answers[key].append(answer)
         assert len(self.answers[key]) == 1, "two answers to one request"
-        ran_id = self.runs_of_id[request.id]
+        runs_of_this_id = self.runs_of_id[request.id]
         if answer.outcome == Outcome.DONE:
-            assert ran_id, "done, but it never ran"
+            assert runs_of_this_id, "done, but it never ran"
             body = answer.response.body if answer.response else None
             assert body in (None, request.id.encode()), "another request's answer"
         if answer.outcome == Outcome.FAILED:
-            assert ran_id, "failed, but it never ran"
+            assert runs_of_this_id, "failed, but it never ran"
         if answer.outcome == Outcome.REFUSED and answer.reason != Reason.MALFORMED:
-            # A forwarded request has its sender's key with a number after it: what
-            # ran for a key is what ran under it and under all that came of it.
-            tree = [k for k in self.run_keys if f"{k}>".startswith(f"{key}>")]
-            ran = tree if request.idempotent else ran_id
+            # The key of a forwarded request is its sender's key followed by ">" and a
+            # number: all requests that result from one key have it as their prefix.
+            descendants = [k for k in self.run_keys if f"{k}>".startswith(f"{key}>")]
+            ran = descendants if request.idempotent else runs_of_this_id
             assert not ran, "refused as not run, but it ran"
         if key in self.relayed:
             sender, sent_key = self.relayed[key]
@@ -126,25 +126,25 @@
 
     def arrive(self, process, request):
         self.requests[request.key] = request
-        self.homes[request.key] = process
+        self.receivers[request.key] = process
         self.feed(process, RequestArrived(request, WALL + self.now))
 
     @rule(seed=st.integers(0, 2**32), count=st.integers(20, 200))
-    def work(self, seed, count):
-        """Let the system work under load, with losses and repeats now and then."""
+    def run_load(self, seed, count):
+        """Run the system under load, with occasional losses, repeats and faults."""
         rng = random.Random(seed)
-        acts = {
-            self.deliver: 50,
-            self.request: 16,
-            self.finish: 10,
+        steps = {
+            self.deliver_some: 50,
+            self.send_request: 16,
+            self.finish_one: 10,
             self.pass_time: 12,
-            self.disturb: 4,
-            self.hit_process: 2,
+            self.lose_or_duplicate: 4,
+            self.fail_process: 2,
         }
-        for act in rng.choices(list(acts), list(acts.values()), k=count):
-            act(rng)
+        for action in rng.choices(list(steps), list(steps.values()), k=count):
+            action(rng)
 
-    def hit_process(self, rng):
+    def fail_process(self, rng):
         instance = rng.choice(sorted(DOMAINS))
         if rng.random() < 0.2:
             self.replace(instance)
@@ -153,10 +153,10 @@
         else:
             self.pause(instance, rng.random() < 0.3)
 
-    def request(self, rng):
+    def send_request(self, rng):
         process = self.processes[rng.choice(sorted(DOMAINS))]
         old = [r for r in self.requests.values() if r.key not in self.relayed]
-        key = str(next(self.names))
+        key = str(next(self.numbers))
         name, idempotent = issue_id(WALL + self.now, int(key)), rng.random() < 0.5
         if old and rng.random() < 0.3:
             again = rng.choice(old[-8:])
@@ -166,13 +166,13 @@
         if process.alive and not process.paused:
             self.arrive(process, fresh)
 
-    def deliver(self, rng):
+    def deliver_some(self, rng):
         for _ in range(rng.randint(1, 6)):
             ready = [m for m in self.messages if not m.process.paused]
             if ready:
                 self.handle(rng.choice(ready))
 
-    def finish(self, rng):
+    def finish_one(self, rng):
         if self.runs:
             result = rng.choices(["ok", "fail", "lost"], [8, 1, 1])[0]
             self.end_run(rng.choice(self.runs), result)
@@ -180,7 +180,7 @@
     def pass_time(self, rng):
         self.wait(rng.uniform(0.01, 0.1))
 
-    def disturb(self, rng):
+    def lose_or_duplicate(self, rng):
         lossy = [m for m in self.messages if m.kind in ("ask", "answer", "relayed")]
         if not lossy:
             return
@@ -240,7 +240,7 @@
             del process.threads[action.key]
             self.feed(process, ForwardEnded(action.key, SendResult.NOT_RUN))
         elif not peer.paused:
-            key = f"{action.key}>{next(self.names)}"
+            key = f"{action.key}>{next(self.numbers)}"
             self.relayed[key] = (process, action.key)
             left = action.request.deadline - self.read_clock(process)
             deadline = self.read_clock(peer) + left
@@ -270,44 +270,44 @@
 
     @rule(instance=st.sampled_from(sorted(DOMAINS)))
     def replace(self, instance):
-        """Let the process die and start another in its place."""
+        """Kill the process and start another one in its place."""
         old = self.processes.get(instance)
         if old is not None:
             old.alive = old.paused = False
             old.threads.clear()
-        number = next(self.names)
+        number = next(self.numbers)
         rate = 1.0 + ROUTING.drift * (number % 3 - 1)
         self.processes[instance] = Process(instance, f"{instance}.{number}", rate)
-        self.tell_views()
+        self.send_views()
 
     @rule(rack=st.sampled_from(sorted(RACKS)), instance=st.sampled_from(["i1", "i2"]))
     def change_owner(self, rack, instance, fresh=False):
-        """Give the rack another owner, once the former authority has run out."""
+        """Give the rack another owner, once the former authority has expired."""
         instance = instance if RACKS[rack] == "d1" else "i3"
         process = self.processes[instance]
         if process.paused or self.now < self.until[rack]:
             return
         self.owners[rack] = instance
         self.until[rack] = self.now + AUTHORITY_S
-        self.tell_views()
-        now, until = self.tell_authority(process, rack, True)
+        self.send_views()
+        now, until = self.send_authority(process, rack, True)
         lender = process.lenders[rack]
-        process.lend(lender, AuthorityGained(until, next(self.names)), now)
+        process.lend(lender, AuthorityGained(until, next(self.numbers)), now)
         for runner in RUNNERS:
             if runner.rack == rack:
                 process.lend(lender, RunnerUp(runner, fresh), now)
 
     def renew_authority(self):
-        """Renew what living owners still have, as workers keep answering them."""
+        """Renew the unexpired authorities of live owners, as their workers do."""
         for rack, instance in self.owners.items():
             process = self.processes[instance]
             has_term = process.lenders[rack].term and self.now < self.until[rack]
             if has_term and not process.paused:
                 self.until[rack] = self.now + AUTHORITY_S
-                now, until = self.tell_authority(process, rack, False)
+                now, until = self.send_authority(process, rack, False)
                 process.lend(process.lenders[rack], AuthorityExtended(until), now)
 
-    def tell_authority(self, process, rack, gained):
+    def send_authority(self, process, rack, gained):
         now = self.read_clock(process)
         until = now + AUTHORITY_S * (1 - 2 * ROUTING.drift)
         wall = WALL + self.now
@@ -316,7 +316,7 @@
 
     @rule(span=st.sampled_from([0.2, 1.0, 3.5]))
     def wait(self, span):
-        """Let time pass; what has run for the longest time ends, waits time out."""
+        """Let time pass: requests of the longest duration end, and waits time out."""
         self.now += span
         for run in [r for r in self.runs if r.until <= self.now]:
             self.end_run(run, "ok")
@@ -335,7 +335,7 @@
             kind = AttemptEnded if pending.runner_id else ForwardEnded
             self.feed(process, kind(key, lost))
 
-    def tell_views(self):
+    def send_views(self):
         owners = {
             rack: Owner(self.owners[rack], domain, "reg")
             for rack, domain in RACKS.items()
@@ -351,7 +351,7 @@
 
     @rule()
     def settle(self):
-        """Deliver all there is and let short requests end, as on a good day."""
+        """Deliver all messages and end all requests, with all processes running."""
         for process in self.processes.values():
             process.paused = False
         self.renew_authority()
@@ -364,7 +364,7 @@
                 break
 
     @invariant()
-    def keep_lists_true(self):
+    def check_threads_have_requests(self):
         for process in self.processes.values():
             pending = process.gateway.pending.keys()
             assert process.threads.keys() <= pending
@@ -375,18 +375,18 @@
         for _ in range(4):
             self.settle()
             self.wait(3.5)
-        for key, process in self.homes.items():
+        for key, process in self.receivers.items():
             if process.alive:
                 assert len(self.answers[key]) == 1, "a request without an answer"
 
 
 def test_slots_ids_and_answers_hold_under_failure():
-    """Runners overfilled, customers charged twice, callers told an untruth.
+    """Guards against overfilled runners, double charges and false outcomes.
 
     Instances die, pause and lose each other's messages while the owner of a rack
-    changes. A gateway sends under a credit that another has by then; a repeat of a
-    charge reaches an instance that doesn't know of the first; a retry that can't be
-    sent is told as "not run" although the first sending ran.
+    changes. A gateway sends under a credit that another gateway holds by then; a repeat
+    reaches an instance that doesn't know of the first arrival; a retry that can't be
+    sent is reported as "refused" although the first attempt ran.
     """
     run_state_machine_as_test(
         World,
--- a/plantainyard/routing/tests/test_gateway.py
+++ b/plantainyard/routing/tests/test_gateway.py
@@ -1,3 +1,5 @@
+"""The path of a request through one gateway, and helpers for the other tests."""
+
 import uuid
 
 from plantainyard.protocol import RunnerInfo
@@ -38,7 +40,7 @@
 
 
 def build_gateway(name="g1", settings=SETTINGS):
-    """Return a gateway with credits of both runners, and its lender's step."""
+    """Return the state of a gateway that holds credits of both runners."""
     state = GatewayState(Location("i1", "d1", "reg"), name, settings)
     lender, lend = LenderState("k1"), build_leased_lender(settings)
     lend(lender, AuthorityGained(1e9, 1), -1e3)
--- a/plantainyard/routing/tests/test_lending.py
+++ b/plantainyard/routing/tests/test_lending.py
@@ -1,4 +1,4 @@
-"""Lenders and holders of credits alone, at full load, in any order of messages."""
+"""Lenders and holders of credits on their own, at full load, in any message order."""
 
 import random
 from typing import Any, NamedTuple
@@ -34,8 +34,12 @@
 AUTHORITY_S = 1.5
 
 
-class Sending(NamedTuple):
-    """A request whose slot is taken; `sent_at` is None until it is sent."""
+class SentRequest(NamedTuple):
+    """A request with a slot; `sent_at` is None until it is sent.
+
+    `late` is set once its answer is lost: the holder of the credit, and the request's
+    key.
+    """
 
     holder: "Holder"
     not_after: float
@@ -44,7 +48,7 @@
 
 
 class Holder:
-    """A process that takes every slot it can get."""
+    """A gateway process that takes every slot it can get."""
 
     def __init__(self, name, rate):
         self.credits = CreditState(name)
@@ -55,7 +59,7 @@
 
 
 class Owner:
-    """A process that may own the rack."""
+    """A process that can own the rack."""
 
     def __init__(self, rate):
         self.state = LenderState("k1")
@@ -65,20 +69,20 @@
 
 
 class Site:
-    """One runner, its holders and owners, and the messages between them."""
+    """One runner, the holders of its credits, the owners, and their messages."""
 
     def __init__(self, rng):
         self.rng = rng
         self.now = 100.0
         self.count = 0
-        self.stray = 0.0
+        self.stray_share = 0.0
         self.holders = [self.make_holder() for _ in range(3)]
         self.owners = [Owner(1 + ROUTING.drift * n) for n in (-1, 1)]
         self.owner = self.owners[0]
         self.until = 0.0
         self.messages: list[tuple[str, Any, Any]] = []
-        self.sendings: list[Sending] = []
-        self.gain(fresh=True)
+        self.requests: list[SentRequest] = []
+        self.start_authority(fresh=True)
 
     def make_holder(self):
         self.count += 1
@@ -97,7 +101,7 @@
             ask = build_ask(holder.credits, "k1", demand, ROUTING, now)
         target = (
             self.rng.choice(self.owners)
-            if self.rng.random() < self.stray
+            if self.rng.random() < self.stray_share
             else self.owner
         )
         if not holder.cut:
@@ -118,7 +122,7 @@
             self.messages.remove(message)
             apply_answer(holder.credits, content, ROUTING)
 
-    def disturb(self):
+    def lose_or_duplicate(self):
         if self.messages:
             message = self.rng.choice(self.messages)
             if self.rng.random() < 0.5:
@@ -127,66 +131,66 @@
                 self.messages.append(message)
 
     def take(self):
-        """Take a slot; the send comes later, as after a pause."""
+        """Take slots; the requests are sent later, as after a pause."""
         for holder in self.holders:
             now = self.now * holder.rate
             not_after = take_slot(holder.credits, "r1", now)
             if not_after is not None and not holder.paused:
-                self.sendings.append(Sending(holder, not_after))
+                self.requests.append(SentRequest(holder, not_after))
             elif not_after is not None:
                 release_slot(holder.credits, "r1", "", True, ROUTING, now)
 
     def send(self):
-        for sending in [s for s in self.sendings if s.sent_at is None]:
-            holder = sending.holder
+        for request in [s for s in self.requests if s.sent_at is None]:
+            holder = request.holder
             if holder.paused or not holder.alive:
                 continue
-            self.sendings.remove(sending)
+            self.requests.remove(request)
             now = self.now * holder.rate
-            if check_credit(sending.not_after, now):
-                self.sendings.append(sending._replace(sent_at=self.now))
+            if check_credit(request.not_after, now):
+                self.requests.append(request._replace(sent_at=self.now))
             else:
                 release_slot(holder.credits, "r1", "", True, ROUTING, now)
 
     def check(self):
-        running = sum(s.sent_at is not None for s in self.sendings)
+        running = sum(s.sent_at is not None for s in self.requests)
         assert running <= RUNNER.slots, "the runner is given more than it can hold"
 
     def finish(self, least_age=0.0):
-        for sending in list(self.sendings):
-            age = self.now - (self.now if sending.sent_at is None else sending.sent_at)
+        for request in list(self.requests):
+            age = self.now - (self.now if request.sent_at is None else request.sent_at)
             if age >= max(least_age, 0.001) and (least_age or self.rng.random() < 0.3):
-                self.sendings.remove(sending)
-                if sending.late and self.rng.random() < 0.5:
-                    holder, key = sending.late
+                self.requests.remove(request)
+                if request.late and self.rng.random() < 0.5:
+                    holder, key = request.late
                     release_lost(holder.credits, "r1", key)
-                now = self.now * sending.holder.rate
-                release_slot(sending.holder.credits, "r1", "", True, ROUTING, now)
+                now = self.now * request.holder.rate
+                release_slot(request.holder.credits, "r1", "", True, ROUTING, now)
 
     def lose_answer(self):
-        """The caller's time is up: the holder lets go, the runner goes on."""
-        sent = [s for s in self.sendings if s.sent_at is not None and s.holder.alive]
+        """Time out at a holder while the runner continues with the request."""
+        sent = [s for s in self.requests if s.sent_at is not None and s.holder.alive]
         if sent:
-            sending = self.rng.choice(sent)
-            self.sendings.remove(sending)
-            holder, now = sending.holder, self.now * sending.holder.rate
+            request = self.rng.choice(sent)
+            self.requests.remove(request)
+            holder, now = request.holder, self.now * request.holder.rate
             self.count += 1
             key = str(self.count)
             release_slot(holder.credits, "r1", key, False, ROUTING, now)
-            ghost = Holder("ghost", 1.0)
-            terminated = sending._replace(holder=ghost, late=(holder, key))
-            self.sendings.append(terminated)
+            nobody = Holder("nobody", 1.0)
+            orphaned = request._replace(holder=nobody, late=(holder, key))
+            self.requests.append(orphaned)
 
     def pass_time(self, longest=0.2):
         self.now += self.rng.uniform(0.0, longest)
         self.finish(ROUTING.request_max_s)
         if not self.owner.paused and self.now < self.until:
             self.until = self.now + AUTHORITY_S
-            self.tell(AuthorityExtended(self.read_until()))
+            self.notify_owner(AuthorityExtended(self.read_until()))
 
     def pause(self):
-        someone = self.rng.choice([*self.holders, *self.owners])
-        someone.paused = self.rng.random() < 0.3
+        process = self.rng.choice([*self.holders, *self.owners])
+        process.paused = self.rng.random() < 0.3
 
     def cut_off(self):
         self.rng.choice(self.holders).cut = self.rng.random() < 0.5
@@ -195,8 +199,8 @@
         number = self.rng.randrange(len(self.holders))
         self.holders[number].alive = False
         self.holders[number] = self.make_holder()
-        self.sendings = [
-            s for s in self.sendings if s.sent_at is not None or s.holder.alive
+        self.requests = [
+            s for s in self.requests if s.sent_at is not None or s.holder.alive
         ]
 
     def change_owner(self):
@@ -204,39 +208,39 @@
             self.now = max(self.now, self.until)
             self.owner = self.rng.choice(self.owners)
             self.owner.paused = False
-            self.gain(fresh=False)
+            self.start_authority(fresh=False)
 
-    def gain(self, fresh):
+    def start_authority(self, fresh):
         self.until = self.now + AUTHORITY_S
         self.count += 1
-        self.tell(AuthorityGained(self.read_until(), 7))
-        self.tell(RunnerUp(RUNNER, fresh))
+        self.notify_owner(AuthorityGained(self.read_until(), 7))
+        self.notify_owner(RunnerUp(RUNNER, fresh))
 
     def forget_runner(self):
-        self.tell(RunnerTerminated("r1"))
-        self.tell(RunnerUp(RUNNER, False))
+        self.notify_owner(RunnerTerminated("r1"))
+        self.notify_owner(RunnerUp(RUNNER, False))
 
     def read_until(self):
         return (self.now + AUTHORITY_S) * self.owner.rate
 
-    def tell(self, event):
+    def notify_owner(self, event):
         self.owner.step(self.owner.state, event, self.now * self.owner.rate)
 
 
 @settings(derandomize=True, deadline=None, max_examples=500)
 @given(st.integers(0, 2**32))
 def test_no_runner_is_given_more_than_it_can_hold(seed):
-    """A runner gets a ninth request and slows down for all.
+    """Guards against a ninth request at a runner with eight slots, slowing all others.
 
     A gateway dies, pauses or is cut off while requests run under its credits, or the
     rack's owner changes; its slots are lent again while they are still in use.
     """
     site = Site(random.Random(seed))
     rng = site.rng
-    # Each example has faults of its own choice: with all of them at once hardly
-    # anything is lent, and most faults then meet an idle runner.
+    # Each example has its own selection of faults: with all of them at once hardly
+    # any slot is lent, and most faults would hit an idle runner.
     faults = [
-        site.disturb,
+        site.lose_or_duplicate,
         site.pause,
         site.cut_off,
         site.replace,
@@ -245,11 +249,11 @@
         lambda: site.pass_time(1.0),
         lambda: site.pass_time(8.0),
     ]
-    acts = {site.ask: 25, site.deliver: 50, site.take: 20, site.pass_time: 25}
-    acts |= {site.send: rng.choice([5, 20]), site.finish: rng.choice([0, 2])}
-    acts |= {fault: rng.choice([0, 0, 1, 3]) for fault in faults}
-    acts |= {site.lose_answer: rng.choice([0, 1, 8])}
-    site.stray = rng.choice([0.0, 0.0, 0.3])
-    for act in rng.choices(list(acts), list(acts.values()), k=400):
-        act()
+    actions = {site.ask: 25, site.deliver: 50, site.take: 20, site.pass_time: 25}
+    actions |= {site.send: rng.choice([5, 20]), site.finish: rng.choice([0, 2])}
+    actions |= {fault: rng.choice([0, 0, 1, 3]) for fault in faults}
+    actions |= {site.lose_answer: rng.choice([0, 1, 8])}
+    site.stray_share = rng.choice([0.0, 0.0, 0.3])
+    for action in rng.choices(list(actions), list(actions.values()), k=400):
+        action()
         site.check()
--- a/plantainyard/routing/tests/test_policies.py
+++ b/plantainyard/routing/tests/test_policies.py
@@ -1,4 +1,4 @@
-"""Queue, health, retries and the choice of places, each with its failure."""
+"""Queue, health, retries and forwarding, each with the failure it guards against."""
 
 from collections import Counter
 
@@ -54,18 +54,18 @@
 
 
 def test_teams_share_by_weight_and_no_class_starves():
-    """A team's flood, or a wave of urgent work, takes all the slots.
+    """Guards against one team's flood, or urgent work, taking all slots.
 
-    The bakery managers' orders wait behind one team's statements for minutes; or
-    ordinary work stands still for as long as urgent work keeps coming.
+    Otherwise requests of one team wait for minutes behind another team's batch, or
+    ordinary work starves for as long as urgent work keeps arriving.
     """
     state = QueueState(TEAMS)
     state.slots = 100
     served: Counter[tuple[str, bool]] = Counter()
     for number in range(800):
-        for team, hurry in (("a", False), ("b", False), ("a", True), ("b", True)):
-            key = f"{number}{team}{hurry}"
-            push_request(state, make_request(key, team, urgent=hurry), SMALL, 0.0)
+        for team, is_urgent in (("a", False), ("b", False), ("a", True), ("b", True)):
+            key = f"{number}{team}{is_urgent}"
+            push_request(state, make_request(key, team, urgent=is_urgent), SMALL, 0.0)
         request = pop_request(state, SMALL, lambda _: True)
         assert request is not None
         served[request.team, request.urgent] += 1
@@ -90,16 +90,16 @@
     )
 )
 def test_the_queue_is_bounded_and_loses_nothing(pushes):
-    """Memory grows without end, or a request is forgotten and hangs.
+    """Guards against unbounded memory and against requests that are never answered.
 
-    Each request must leave in exactly one way: popped, or given up with a time to
-    come back; and what is given up must be given up the moment that it is too late.
+    Each request must leave the queue in exactly one way: popped, or rejected with a
+    retry time. A request that is too late must be rejected at once, never popped.
     """
     state, now = QueueState(), 0.0
     left: Counter[str] = Counter()
-    for number, (team, urgent, size, patience, span) in enumerate(pushes):
+    for number, (team, urgent, size, wait_s, span) in enumerate(pushes):
         now += span
-        request = make_request(number, team, now + patience, urgent=urgent)
+        request = make_request(number, team, now + wait_s, urgent=urgent)
         rejected = push_request(state, request._replace(size_bytes=size), SMALL, now)
         rejected += expire_requests(state, now)
         assert all(item.retry_after_s > 0 for item in rejected)
@@ -114,12 +114,12 @@
     assert not state.latest_send_times and state.size_bytes == 0
 
 
-def test_what_would_start_too_late_is_given_up_at_once():
-    """Overload: requests are sent so late that their callers have gone.
+def test_requests_that_would_start_too_late_are_rejected_at_once():
+    """Guards against sending requests under overload after their callers gave up.
 
-    Every slot works for nobody, and a slot whose caller has gone is lost until the
-    longest request has ended. But an estimate that has grown too long must not
-    refuse a request for which a slot is free.
+    All slots would run requests that nobody waits for, and such a slot stays occupied
+    until the longest request has ended. But an estimate that has grown too long must
+    not reject a request for which a slot is free.
     """
     state = QueueState()
     state.slots = 1
@@ -136,18 +136,18 @@
     assert push_request(state, make_request(3, deadline=2.0), SMALL, 0.0)
 
 
-def test_a_leaving_runner_gets_nothing_new():
-    """A runner is stopped with requests in progress and callers see failures."""
-    for tell in (
+def test_a_leaving_runner_gets_no_new_requests():
+    """Guards against failures that callers see when a busy runner is stopped."""
+    for notice in (
         RunnersChanged(leaving=("r0",)),
         AttemptEnded("a", SendResult.ANSWERED, 0.1, None, True),
     ):
         state = build_gateway()
         sends = [pick(arrive(state, "a", 0.1, idempotent=True), Send)[0]]
         leaving = sends[0].runner.id
-        if isinstance(tell, RunnersChanged):
-            tell = RunnersChanged(leaving=(leaving,))
-        step(state, tell, 0.2)
+        if isinstance(notice, RunnersChanged):
+            notice = RunnersChanged(leaving=(leaving,))
+        step(state, notice, 0.2)
         for number in range(4):
             actions = arrive(state, f"b{number}", 0.3, idempotent=True)
             sends += pick(actions, Send)
@@ -155,38 +155,39 @@
         assert len(sends) == 3
 
 
-def test_bad_runners_are_set_aside_and_let_back_by_one_probe():
-    """A runner fails or crawls, and every tenth caller suffers for ever.
+def test_bad_runners_are_ejected_and_return_after_one_probe():
+    """Guards against a failing or slow runner that every tenth request keeps reaching.
 
-    A failing runner answers fastest and draws the load; set aside for good it would
-    be missing after its repair; a rush of probes would bring it down again.
+    A failing runner answers fastest and so attracts load. If it were ejected for good,
+    its slots would be missing after its repair; many probes at once could overload it
+    again.
     """
     state, names = HealthState(), [f"r{n}" for n in range(6)]
-    plain = RoutingSettings()
+    routing = RoutingSettings()
     for _ in range(3):
-        record_result(state, "r0", SendResult.LOST, 1.0, plain, 0.0)
+        record_result(state, "r0", SendResult.LOST, 1.0, routing, 0.0)
     for _ in range(20):
         for name in names[1:]:
             latency_s = 5.0 if name == "r1" else 0.2
-            record_result(state, name, SendResult.ANSWERED, latency_s, plain, 0.0)
-    assert select_usable(state, names, True, plain, 0.5) == names[2:]
-    assert set(select_usable(state, names, True, plain, 1.5)) == set(names)
-    assert select_usable(state, names, False, plain, 1.5) == names[2:]
+            record_result(state, name, SendResult.ANSWERED, latency_s, routing, 0.0)
+    assert select_usable(state, names, True, routing, 0.5) == names[2:]
+    assert set(select_usable(state, names, True, routing, 1.5)) == set(names)
+    assert select_usable(state, names, False, routing, 1.5) == names[2:]
     start_probe(state, "r0", 1.5)
-    assert "r0" not in select_usable(state, names, True, plain, 1.5)
-    record_result(state, "r0", SendResult.FAILED, 0.1, plain, 1.6)
-    assert "r0" not in select_usable(state, names, True, plain, 3.5)
+    assert "r0" not in select_usable(state, names, True, routing, 1.5)
+    record_result(state, "r0", SendResult.FAILED, 0.1, routing, 1.6)
+    assert "r0" not in select_usable(state, names, True, routing, 3.5)
     start_probe(state, "r0", 3.7)
-    record_result(state, "r0", SendResult.ANSWERED, 0.2, plain, 3.8)
-    assert "r0" in select_usable(state, names, False, plain, 3.8)
+    record_result(state, "r0", SendResult.ANSWERED, 0.2, routing, 3.8)
+    assert "r0" in select_usable(state, names, False, routing, 3.8)
 
 
-def test_the_load_is_not_heaped_on_the_few():
-    """Nearly all runners look bad at once: the cause is hardly the runners.
+def test_the_load_is_not_concentrated_on_the_last_healthy_runners():
+    """Guards against ejecting nearly all runners when the cause lies elsewhere.
 
-    A gateway's own link fails, it sets one runner after the other aside and sends
-    all it has to the last one. While some more are well, their slots bound what they
-    are given, and a failing runner's answer would only be a failure.
+    A gateway whose own link fails ejects one runner after another and sends all
+    requests to the last one. With more healthy runners left, only these are used: their
+    slots bound their load, and a failing runner would only return failures.
     """
     state, names = HealthState(), [f"r{n}" for n in range(6)]
     for name in names[:5]:
@@ -199,9 +200,9 @@
 
 
 def test_retries_go_elsewhere_and_are_bounded():
-    """Retries multiply the load on upstreams that fail because of the load."""
-    settings_ = RoutingSettings(retry_burst=3.0, retry_share=0.1)
-    state = build_gateway(settings=settings_)
+    """Guards against retries that multiply the load on overloaded upstreams."""
+    routing = RoutingSettings(retry_burst=3.0, retry_share=0.1)
+    state = build_gateway(settings=routing)
     sent, now = 0, 0.1
     for number in range(100):
         now += 0.01
@@ -216,31 +217,31 @@
     assert 100 < sent <= 100 * 1.1 + 3
 
 
-def test_a_domain_without_runners_forwards_to_the_nearest_with_room():
-    """A domain loses its runners and its callers are refused, or all cross the link.
+def test_a_domain_without_runners_forwards_to_the_nearest_free_peer():
+    """Guards against refusing all callers of a domain that has lost its runners.
 
-    Waiting for slots that don't exist spends the caller's time; the link between
-    regions is paid for by the byte and comes last, within its share.
+    Waiting for slots that don't exist would use up the caller's time. The link between
+    regions is charged by the byte, so it is used last and within this instance's share.
     """
     state = GatewayState(Location("i9", "d9", "reg"), "g9", RoutingSettings())
     state.link.tokens = 150.0
     far = Peer("far", "d3", "other", "", {"billing": 9})
     near = Peer("near", "d2", "reg", "", {"billing": 1})
     step(state, PeersChanged((far, near)), 0.0)
-    taken: list[str] = []
+    forwarded_to: list[str] = []
     for number in range(3):
         actions = arrive(state, str(number), 0.0, idempotent=True, size_bytes=100)
         assert all(a.request.deadline <= 4.5 for a in pick(actions, Forward))
-        taken += [a.peer.instance for a in pick(actions, Forward)]
-    assert taken == ["near", "far"]
+        forwarded_to += [a.peer.instance for a in pick(actions, Forward)]
+    assert forwarded_to == ["near", "far"]
     (last,) = pick(actions, Answer)
     assert last.answer.reason == Reason.NO_RUNNERS and last.answer.retry_after_s
     (answer,) = pick(step(state, ForwardEnded("0", SendResult.NOT_RUN), 0.0), Answer)
     assert answer.answer.outcome == Outcome.REFUSED
 
 
-def test_a_drain_answers_all_and_gives_credits_back():
-    """After a planned stop the instance's slots lie idle until its leases end."""
+def test_a_drain_answers_all_requests_and_returns_credits():
+    """Guards against slots that stay idle until a stopped instance's leases end."""
     state = build_gateway()
     arrive(state, "a", 0.1, idempotent=True)
     assert not pick(step(state, Drain(0.0), 0.2), Drained)
@@ -253,10 +254,11 @@
     assert all((h.limit, h.in_flight) == (0, 0) for h in holdings)
 
 
-def test_a_peers_room_is_counted_with_each_forward():
-    """A peer has free slots and its neighbours refuse, until the next heartbeat.
+def test_a_peers_free_credits_are_updated_with_each_forward():
+    """Guards against outdated counts of a peer's free slots between two heartbeats.
 
-    Or it is full and gets one request after the other, each to be refused there.
+    Either requests are refused although the peer has free slots, or a full peer gets
+    one request after another and refuses each.
     """
     state = GatewayState(Location("i9", "d9", "reg"), "g9", RoutingSettings())
     step(state, PeersChanged((Peer("near", "d2", "reg", "", {"billing": 1}),)), 0.0)
@@ -268,8 +270,8 @@
     assert not pick(arrive(state, "last", 0.2, idempotent=True), Forward)
 
 
-def test_asks_that_bring_nothing_become_rarer():
-    """Overload: the asks for credits alone take more than control may."""
+def test_credit_requests_that_bring_no_credits_back_off():
+    """Guards against credit requests exceeding the control budget under overload."""
     state = build_gateway()
     for number in range(40):
         arrive(state, str(number), 0.1, idempotent=True)
