--- a/plantainyard/routing/arbiter.py
+++ b/plantainyard/routing/arbiter.py
@@ -35,8 +35,10 @@
 ]
 
 _UUID_VERSION = 7
-_STAMP_SHIFT = 80
+_TIMESTAMP_SHIFT = 80
 _COMPACT_MARGIN = 1000
+"""Surplus entries of `ids_by_issue` from which it may be compacted."""
+
 _DROPPED_DETAIL = "the answer is no longer kept"
 
 
@@ -169,7 +171,7 @@
         return None
     if value.version != _UUID_VERSION:
         return None
-    return (value.int >> _STAMP_SHIFT) / 1000.0
+    return (value.int >> _TIMESTAMP_SHIFT) / 1000.0
 
 
 def decide_id(
@@ -195,7 +197,7 @@
 
     Returns
     -------
-    IdVerdict
+    IdResult
         The decision; ``RUN`` is returned once for each id.
     """
     issued = parse_issue_time(request_id)
--- a/plantainyard/routing/credits.py
+++ b/plantainyard/routing/credits.py
@@ -18,8 +18,8 @@
 __all__ = [
     "CreditState",
     "apply_answer",
-    "build_ask",
-    "build_closing_ask",
+    "build_credit_request",
+    "build_closing_request",
     "check_credit",
     "count_free",
     "count_in_flight",
@@ -63,7 +63,7 @@
         self.terms: dict[str, str] = {}
 
 
-def build_ask(
+def build_credit_request(
     state: CreditState,
     rack: str,
     demand: dict[str, int],
@@ -100,7 +100,7 @@
     return _report(state, rack, demand, now)
 
 
-def build_closing_ask(state: CreditState, rack: str, now: float) -> CreditAsk:
+def build_closing_request(state: CreditState, rack: str, now: float) -> CreditAsk:
     """Return the last credit request to the owner of `rack`, returning all credits."""
     for _, held in _select_rack(state, rack):
         held.limit = 0
--- a/plantainyard/routing/gateway.py
+++ b/plantainyard/routing/gateway.py
@@ -20,7 +20,7 @@
     release_lost,
 )
 from plantainyard.routing.events import Action, Event
-from plantainyard.routing.health import describe_runner, forget_runners, mark_leaving
+from plantainyard.routing.health import describe_runner, mark_leaving, retain_runners
 from plantainyard.routing.lifecycle import (
     accept_request,
     end_attempt,
@@ -132,7 +132,7 @@
                 mark_leaving(state.health, runner_id, "platform list")
             for runner_id in terminated:
                 drop_runner(state.credits, runner_id)
-            forget_runners(state.health, {*state.credits.runners, *leaving})
+            retain_runners(state.health, {*state.credits.runners, *leaving})
         case events.OwnersChanged(owners):
             state.owners = owners
         case events.PeersChanged(peers):
--- a/plantainyard/routing/health.py
+++ b/plantainyard/routing/health.py
@@ -19,7 +19,7 @@
 __all__ = [
     "HealthState",
     "describe_runner",
-    "forget_runners",
+    "retain_runners",
     "is_in_panic_mode",
     "mark_leaving",
     "record_result",
@@ -28,8 +28,13 @@
 ]
 
 _SMOOTHING = 0.2
+"""Weight of a new sample in the moving average of a runner's latency."""
+
 _MIN_SLOW_SAMPLES = 8
+"""Number of samples from which a runner can be ejected for being slow."""
+
 _MIN_SLOW_LATENCY_S = 0.05
+"""Latency in seconds up to which no runner is ejected for being slow."""
 
 
 class _Health:
@@ -158,8 +163,8 @@
         state.runners[runner_id].probe_in_flight = True
 
 
-def forget_runners(state: HealthState, present: Iterable[str]) -> None:
-    """Drop the health of runners that are not in `present`."""
+def retain_runners(state: HealthState, present: Iterable[str]) -> None:
+    """Keep only the health of the runners in `present`."""
     kept = set(present)
     state.runners = {k: v for k, v in state.runners.items() if k in kept}
 
--- a/plantainyard/routing/lender.py
+++ b/plantainyard/routing/lender.py
@@ -118,7 +118,7 @@
         self.authority_since = float("-inf")
         self.runners: dict[str, LentRunner] = {}
         self.sequences: dict[str, int] = {}
-        self.last_ask_times: dict[str, float] = {}
+        self.last_request_times: dict[str, float] = {}
         self.demands: dict[str, dict[str, int]] = {}
 
 
@@ -192,7 +192,7 @@
         _expire_all(state, settings, now)
         match event:
             case CreditAsk():
-                return [_answer_ask(state, event, settings, find_target, now)]
+                return [_answer_request(state, event, settings, find_target, now)]
             case AuthorityGained(until, epoch):
                 _start_authority(state, until, epoch, settings, now)
             case AuthorityExtended(until):
@@ -226,7 +226,7 @@
     state.authority_since = now
     state.authority_until = until
     state.sequences.clear()
-    state.last_ask_times.clear()
+    state.last_request_times.clear()
     state.demands.clear()
     infos = [(r.info, r.leaving) for r in state.runners.values() if not r.terminated]
     state.runners.clear()
@@ -260,24 +260,26 @@
         del state.runners[key]
     demand_expiry_s = extend_for_drift(settings, settings.credit_s)
     for gateway in [
-        g for g, asked in state.last_ask_times.items() if now > asked + demand_expiry_s
+        g
+        for g, asked in state.last_request_times.items()
+        if now > asked + demand_expiry_s
     ]:
         state.demands.pop(gateway, None)
     # A sequence number is dropped only when no request of its gateway can be running:
-    # otherwise a delayed older ask could free slots that are in use.
+    # otherwise a delayed older request could free slots that are in use.
     sequence_expiry_s = demand_expiry_s + extend_for_drift(
         settings, settings.request_max_s
     )
     for gateway in [
         g
-        for g, asked in state.last_ask_times.items()
+        for g, asked in state.last_request_times.items()
         if now > asked + sequence_expiry_s
     ]:
-        del state.last_ask_times[gateway]
+        del state.last_request_times[gateway]
         state.sequences.pop(gateway, None)
 
 
-def _answer_ask(
+def _answer_request(
     state: LenderState,
     ask: CreditAsk,
     settings: RoutingSettings,
@@ -285,18 +287,18 @@
     now: float,
 ) -> CreditAnswer:
     if now >= state.authority_until:
-        return _refuse_ask(ask, "no authority over the rack")
-    # An ask that was sent before this authority began can be delayed in a socket and
+        return _refuse_request(ask, "no authority over the rack")
+    # A request that was sent before this authority began can be delayed in a socket and
     # report more than the gateway still holds; the difference would be lent twice. Only
-    # an ask that names the current term was sent after the term began.
+    # a request that names the current term was sent after the term began.
     if ask.term != state.term:
-        return _refuse_ask(ask, "ask again under this term", state.term)
-    # Asks can arrive out of order: an older one would report a limit that the gateway
-    # has raised since, and free slots that are in use.
+        return _refuse_request(ask, "ask again under this term", state.term)
+    # Requests can arrive out of order: an older one would report a limit that the
+    # gateway has raised since, and free slots that are in use.
     if ask.sequence <= state.sequences.get(ask.gateway, -1):
-        return _refuse_ask(ask, "a newer ask was seen", state.term)
+        return _refuse_request(ask, "a newer ask was seen", state.term)
     state.sequences[ask.gateway] = ask.sequence
-    state.last_ask_times[ask.gateway] = now
+    state.last_request_times[ask.gateway] = now
     state.demands[ask.gateway] = ask.demand
     if ask.closing:
         del state.demands[ask.gateway]
@@ -324,7 +326,7 @@
     )
 
 
-def _refuse_ask(ask: CreditAsk, reason: str, term: str = "") -> CreditAnswer:
+def _refuse_request(ask: CreditAsk, reason: str, term: str = "") -> CreditAnswer:
     sender = (ask.gateway, ask.rack, ask.sequence)
     return CreditAnswer(*sender, False, 0.0, reason=reason, term=term)
 
--- a/plantainyard/routing/lifecycle.py
+++ b/plantainyard/routing/lifecycle.py
@@ -32,12 +32,19 @@
 __all__ = ["accept_request", "end_attempt", "end_forward", "expire_pending"]
 
 _MIN_RETRY_AFTER_S = 0.1
+"""Shortest retry time in seconds that a caller gets."""
+
 _MIN_FORWARD_MARGIN_S = 0.05
+"""Minimum time in seconds by which a forwarded request's deadline is shortened."""
+
 _FORWARD_MARGIN_SHARE = 0.1
+"""Share of the remaining time by which a forwarded request's deadline is shortened."""
+
 _EARLIER_OUTCOMES = {
     SendResult.LOST: Outcome.UNKNOWN,
     SendResult.FAILED: Outcome.FAILED,
 }
+"""Outcome by the result of an attempt that ran or may have run."""
 
 
 def accept_request(
--- a/plantainyard/routing/loans.py
+++ b/plantainyard/routing/loans.py
@@ -55,8 +55,8 @@
     # A gateway that sends no reports may be paused or cut off and still have requests
     # running: its slots are free only once its lease has ended, and then the longest
     # request started under it.
-    hold = extend_for_drift(settings, settings.request_max_s)
-    expired = [g for g, loan in runner.loans.items() if now > loan.lease_end + hold]
+    hold_s = extend_for_drift(settings, settings.request_max_s)
+    expired = [g for g, loan in runner.loans.items() if now > loan.lease_end + hold_s]
     for gateway in expired:
         del runner.loans[gateway]
 
--- a/plantainyard/routing/queue.py
+++ b/plantainyard/routing/queue.py
@@ -34,9 +34,16 @@
 ]
 
 _SMOOTHING = 0.1
+"""Weight of a new sample in the estimates of the service time and its deviation."""
+
 _INITIAL_SERVICE_TIME_S = 0.02
+"""Estimate of the service time in seconds before the first sample."""
+
 _SLOW_DEVIATIONS = 4.0
+"""Deviations by which a slow attempt exceeds the mean service time."""
+
 _MIN_RETRY_AFTER_S = 0.1
+"""Shortest retry time in seconds that a rejected request gets."""
 
 
 class Rejection(NamedTuple):
@@ -210,8 +217,8 @@
 
 
 def _fits(state: QueueState, request: Request, settings: RoutingSettings) -> bool:
-    fits = state.size_bytes + request.size_bytes <= settings.queue_bytes
-    return fits and state.count < settings.queue_count
+    has_bytes = state.size_bytes + request.size_bytes <= settings.queue_bytes
+    return has_bytes and state.count < settings.queue_count
 
 
 def _append(state: QueueState, request: Request) -> None:
--- a/plantainyard/routing/selection.py
+++ b/plantainyard/routing/selection.py
@@ -107,8 +107,8 @@
     for key in candidates.free:
         if key not in failed_runners:
             return key
-    others = any(key not in failed_runners for key in candidates.usable)
-    return None if others or not candidates.free else candidates.free[0]
+    has_other = any(key not in failed_runners for key in candidates.usable)
+    return None if has_other or not candidates.free else candidates.free[0]
 
 
 def choose_peer(
@@ -170,12 +170,13 @@
     }
     near = [rack for rack, rank in ranks.items() if rank == 0]
     far = [rack for rack, rank in ranks.items() if rank == 1]
-    local: Counter[str] = Counter()
+    lent_locally: Counter[str] = Counter()
     for held in credits.runners.values():
         if held.info.domain == location.domain and now < held.valid_until:
-            local[held.info.service] += held.limit
-    part = {s: math.ceil(n / max(1, len(near))) for s, n in demand.items()}
-    rest = {
-        s: math.ceil(max(0, n - local[s]) / max(1, len(far))) for s, n in demand.items()
+            lent_locally[held.info.service] += held.limit
+    near_part = {s: math.ceil(n / max(1, len(near))) for s, n in demand.items()}
+    far_part = {
+        s: math.ceil(max(0, n - lent_locally[s]) / max(1, len(far)))
+        for s, n in demand.items()
     }
-    return dict.fromkeys(near, part) | dict.fromkeys(far, rest)
+    return dict.fromkeys(near, near_part) | dict.fromkeys(far, far_part)
--- a/plantainyard/routing/sending.py
+++ b/plantainyard/routing/sending.py
@@ -14,8 +14,8 @@
 from plantainyard.routing import events
 from plantainyard.routing.credits import (
     apply_answer,
-    build_ask,
-    build_closing_ask,
+    build_closing_request,
+    build_credit_request,
     count_free,
     take_slot,
 )
@@ -36,13 +36,21 @@
 __all__ = ["apply_credit_answer", "request_credits", "return_credits", "send_waiting"]
 
 _BACKLOG_INTERVAL_S = 0.05
+"""Shortest interval in seconds between credit requests while requests wait."""
+
 _PEAK_DECAY = 0.8
+"""Factor by which a peak of the demand decays at each measurement."""
+
 _MIN_PEAK = 0.5
-# Upper bound in seconds for the interval between credit requests of an idle gateway.
-# The answers name the leaving runners, and a gateway has to stop sending new requests
-# to a leaving runner within 2 s.
+"""Peak of the demand, in slots, below which no demand is reported."""
+
 _IDLE_INTERVAL_MAX_S = 1.5
+"""Upper bound in seconds for the interval between credit requests of an idle gateway.
+The answers name the leaving runners, and a gateway has to stop sending new requests to
+a leaving runner within 2 s."""
+
 _IDLE_INTERVAL_SHARE = 0.3
+"""Interval between credit requests of an idle gateway, as a share of the lease."""
 
 
 def send_waiting(state: GatewayState, now: float) -> list[Action]:
@@ -107,7 +115,7 @@
 
     Notes
     -----
-    While requests wait, the owner is asked more often. Under overload this brings no
+    While requests wait, credits are requested more often. Under overload this brings no
     credits, and at the shortest interval the credit requests alone exceeded the cost
     budget of all control traffic. The interval therefore doubles with each answer that
     doesn't raise the credits, as an exponential backoff.
@@ -148,7 +156,7 @@
         return []
     demand = _measure_demand(state)
     parts = divide_demand(state.location, state.owners, demand, state.credits, now)
-    requests = [_build_credit_request(state, rack, parts[rack], now) for rack in due]
+    requests = [_prepare_credit_request(state, rack, parts[rack], now) for rack in due]
     return [ask for ask in requests if ask is not None]
 
 
@@ -167,7 +175,7 @@
     return {s: round(n) for s, n in state.demand_peaks.items() if n >= _MIN_PEAK}
 
 
-def _build_credit_request(
+def _prepare_credit_request(
     state: GatewayState, rack: str, demand: dict[str, int], now: float
 ) -> Action | None:
     """Return the credit request to a rack's owner, or None where none is needed.
@@ -180,10 +188,10 @@
     """
     owner = state.owners[rack]
     if any(demand.values()) or owner.domain == state.location.domain:
-        ask = build_ask(state.credits, rack, demand, state.settings, now)
+        ask = build_credit_request(state.credits, rack, demand, state.settings, now)
         return events.RequestCredits(owner.instance, ask)
     if any(held.info.rack == rack for held in state.credits.runners.values()):
-        ask = build_closing_ask(state.credits, rack, now)
+        ask = build_closing_request(state.credits, rack, now)
         return events.RequestCredits(owner.instance, ask)
     return None
 
@@ -214,7 +222,7 @@
     racks = {held.info.rack for held in state.credits.runners.values()}
     return [
         events.RequestCredits(
-            state.owners[rack].instance, build_closing_ask(state.credits, rack, now)
+            state.owners[rack].instance, build_closing_request(state.credits, rack, now)
         )
         for rack in sorted(racks & state.owners.keys())
     ]
--- a/plantainyard/routing/state.py
+++ b/plantainyard/routing/state.py
@@ -16,6 +16,7 @@
 __all__ = ["GatewayState", "PendingRequest", "finish_request", "record_decision"]
 
 _DECISIONS_KEPT = 200
+"""Number of latest decisions kept for the state dump."""
 
 
 class PendingRequest:
@@ -40,7 +41,7 @@
 
     Parameters
     ----------
-    place : Place
+    location : Location
         Location of this instance.
     name : str
         Name of this process in credit requests; no later process may use it again.
--- a/plantainyard/routing/tests/test_leases.py
+++ b/plantainyard/routing/tests/test_leases.py
@@ -15,7 +15,7 @@
 )
 from plantainyard.routing.credits import (
     apply_answer,
-    build_ask,
+    build_credit_request,
     release_lost,
     release_slot,
     take_slot,
@@ -36,7 +36,9 @@
 def obtain_credits(lender, credits, requested_at, answered_at):
     """Request credits twice, since the first answer only names the term."""
     for _ in range(2):
-        message = build_ask(credits, "k1", {"billing": 5}, ROUTING, requested_at)
+        message = build_credit_request(
+            credits, "k1", {"billing": 5}, ROUTING, requested_at
+        )
         (answer,) = LEND(lender, message, answered_at)
         apply_answer(credits, answer, ROUTING)
     return answer
@@ -68,12 +70,13 @@
     assert take_slot(credits, "r1", 101.0) is None
 
 
-def test_an_ask_from_before_the_term_is_refused():
+def test_a_credit_request_from_before_the_term_is_refused():
     """Guards against overfilling a runner after its rack's owner changed.
 
-    A gateway's ask was delayed in the new owner's socket while the former owner took
-    back four of its credits and lent them to another gateway. If the new owner accepted
-    that ask, four slots would seem free once the next ask reports a single credit.
+    A gateway's credit request was delayed in the new owner's socket while the former
+    owner took back four of its credits and lent them to another gateway. If the new
+    owner accepted that request, four slots would seem free once the next one reports a
+    single credit.
     """
     lender = build_lender(fresh=False)
     stale = CreditAsk("g1", "k1", 7, {"billing": 5}, {"r1": Holding(5, 0)}, "0.9")
@@ -105,5 +108,5 @@
         release_slot(credits, "r1", key, False, ROUTING, 100.2)
     release_lost(credits, "r1", "a")
     release_lost(credits, "r1", "a")
-    message = build_ask(credits, "k1", {"billing": 5}, ROUTING, 100.3)
+    message = build_credit_request(credits, "k1", {"billing": 5}, ROUTING, 100.3)
     assert message.holdings["r1"].in_flight == 1
--- a/plantainyard/routing/tests/test_lending.py
+++ b/plantainyard/routing/tests/test_lending.py
@@ -20,8 +20,8 @@
 )
 from plantainyard.routing.credits import (
     apply_answer,
-    build_ask,
-    build_closing_ask,
+    build_closing_request,
+    build_credit_request,
     release_lost,
     release_slot,
     take_slot,
@@ -96,9 +96,9 @@
         now = self.now * holder.rate
         demand = {"billing": self.rng.randint(0, 6)}
         if self.rng.random() < 0.05:
-            ask = build_closing_ask(holder.credits, "k1", now)
+            ask = build_closing_request(holder.credits, "k1", now)
         else:
-            ask = build_ask(holder.credits, "k1", demand, ROUTING, now)
+            ask = build_credit_request(holder.credits, "k1", demand, ROUTING, now)
         target = (
             self.rng.choice(self.owners)
             if self.rng.random() < self.stray_share
