--- a/plantainyard/placement/accounting.py
+++ b/plantainyard/placement/accounting.py
@@ -52,8 +52,8 @@
     if worker.probing and worker.probe_task is None:
         worker.probe_task = placement.key
     if worker.reserved_for == job_state.job.id:
-        worker.reserved_tasks -= 1
-        if worker.reserved_tasks <= 0:
+        worker.reserved_task_count -= 1
+        if worker.reserved_task_count <= 0:
             worker.reserved_for = ""
     return placement
 
@@ -107,7 +107,7 @@
 
 def drop_idle_job(state: PlacementState, job_state: JobState) -> None:
     """Remove a job without waiting or placed tasks, unless it has been given up."""
-    if job_state.waiting or job_state.placed or job_state.given_up:
+    if job_state.waiting_count or job_state.placed or job_state.given_up:
         return
     state.jobs.pop(job_state.job.id, None)
     for worker in state.workers.values():
--- a/plantainyard/placement/decision.py
+++ b/plantainyard/placement/decision.py
@@ -12,7 +12,7 @@
     reserve_worker,
 )
 from plantainyard.placement.filters import check_worker, find_candidates
-from plantainyard.placement.gangs import place_gang, roll_back_gangs
+from plantainyard.placement.gangs import evict_incomplete_gangs, place_gang
 from plantainyard.placement.order import (
     NO_CAPACITY,
     Choice,
@@ -42,23 +42,27 @@
     if state.rules.quarantines_workers:
         actions += start_probes(state, now)
     actions += mitigate_interference(state, now)
-    actions += roll_back_gangs(state, now)
+    actions += evict_incomplete_gangs(state, now)
     actions += _place_waiting(state, now)
     return actions
 
 
 def _expire_reservations(state: PlacementState, now: float) -> None:
     for job_state in state.jobs.values():
-        job_state.reserved_workers = 0
+        job_state.reserved_worker_count = 0
     for worker in state.active_workers:
-        holder = state.jobs.get(worker.reserved_for)
+        reserving_job = state.jobs.get(worker.reserved_for)
         if not worker.reserved_for:
             continue
-        if holder is None or not holder.waiting or now > worker.reserved_until:
+        if (
+            reserving_job is None
+            or not reserving_job.waiting_count
+            or now > worker.reserved_until
+        ):
             worker.reserved_for = ""
             state.capacity_version += 1
         else:
-            holder.reserved_workers += 1
+            reserving_job.reserved_worker_count += 1
 
 
 def _place_waiting(state: PlacementState, now: float) -> list[Action]:
@@ -104,7 +108,9 @@
         blocked.append((job_state, choice[1]))
         requeue_job(state, order, job_state, now, False)
     if choices:
-        best = min(choices, key=lambda choice: (choice.value, choice.job_state.job.id))
+        best = min(
+            choices, key=lambda choice: (choice.cost_per_core, choice.job_state.job.id)
+        )
         actions.append(_place_choice(state, best, now))
         requeue_job(state, order, best.job_state, now, True)
     return actions, blocked
@@ -170,7 +176,7 @@
     placement = occupy(state, job_state, choice.task, choice.worker)
     job_state.last_placed_at = now
     job_state.reason = ""
-    reason = f"cost {choice.value:.3f} a core"
+    reason = f"cost {choice.cost_per_core:.3f} a core"
     return Place(placement.key, choice.task.attempt, choice.worker.info.id, reason)
 
 
@@ -220,7 +226,7 @@
     if (
         longest_waiting
         and waited > settings.starve_s
-        and not job_state.reserved_workers
+        and not job_state.reserved_worker_count
     ):
         _reserve_for_starving(state, job_state, now)
     return []
@@ -232,8 +238,10 @@
     Reservations for urgent jobs aren't counted, since a steady stream of urgent work
     would use up the limit on reservations permanently.
     """
-    holder = state.jobs.get(worker.reserved_for)
-    return holder.job.id if holder and not holder.job.urgent else ""
+    reserving_job = state.jobs.get(worker.reserved_for)
+    return (
+        reserving_job.job.id if reserving_job and not reserving_job.job.urgent else ""
+    )
 
 
 def _reserve_for_starving(
--- a/plantainyard/placement/eviction.py
+++ b/plantainyard/placement/eviction.py
@@ -19,12 +19,12 @@
 )
 
 __all__ = [
-    "mitigate_interference",
     "compute_loss",
     "evict",
+    "evict_for_urgent",
     "get_latency_ratio_limit",
+    "mitigate_interference",
     "reserve_worker",
-    "evict_for_urgent",
 ]
 
 _MIN_CORE_SHARE = 0.25
@@ -174,15 +174,15 @@
     other work can't take the freed capacity and cause a second round of evictions. If
     the team's quota is exceeded, only tasks of that team are evicted.
     """
-    held = [
+    reserved_workers = [
         worker
         for worker in state.active_workers
         if worker.reserved_for == job_state.job.id
     ]
-    reserved_tasks_total = sum(worker.reserved_tasks for worker in held)
+    reserved_total = sum(worker.reserved_task_count for worker in reserved_workers)
     actions: list[Action] = []
-    for _ in range(min(job_state.waiting - reserved_tasks_total, _MAX_TASKS_PER_CALL)):
-        excess = _get_pending_excess(state, job_state, reserved_tasks_total + 1)
+    for _ in range(min(job_state.waiting_count - reserved_total, _MAX_TASKS_PER_CALL)):
+        excess = _get_pending_excess(state, job_state, reserved_total + 1)
         choices = (
             _price_evictions(state, job_state, worker, excess, now)
             for worker in state.active_workers
@@ -196,9 +196,9 @@
             break
         _, _, worker, victims = cheapest
         reserve_worker(
-            job_state, worker, now + _RESERVATION_S, worker.reserved_tasks + 1
+            job_state, worker, now + _RESERVATION_S, worker.reserved_task_count + 1
         )
-        reserved_tasks_total += 1
+        reserved_total += 1
         actions += [evict(p, f"room for urgent {job_state.job.id}") for p in victims]
     return actions
 
@@ -228,10 +228,10 @@
 ) -> None:
     """Reserve capacity on a worker for `tasks` of one job until a given time."""
     worker.reserved_for = job_state.job.id
-    worker.reserved_tasks = tasks
+    worker.reserved_task_count = tasks
     worker.reserved_size = job_state.reserved
     worker.reserved_until = until
-    job_state.reserved_workers += 1
+    job_state.reserved_worker_count += 1
 
 
 def _price_evictions(
@@ -251,7 +251,7 @@
     if blocked:
         return None
     capacity = worker.info.capacity
-    tasks = 1 + (worker.reserved_tasks if worker.reserved_for else 0)
+    tasks = 1 + (worker.reserved_task_count if worker.reserved_for else 0)
     ending = [p.job_state for p in worker.placed.values() if p.ending]
     shortfalls = [
         *(
--- a/plantainyard/placement/explanation.py
+++ b/plantainyard/placement/explanation.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from plantainyard.placement.filters import check_now, check_possible
+from plantainyard.placement.filters import check_possible, check_start
 from plantainyard.placement.order import list_order
 from plantainyard.placement.quotas import check_quota
 from plantainyard.placement.scores import compute_parts
@@ -103,7 +103,7 @@
     state: PlacementState, job_state: JobState, worker: WorkerState
 ) -> WorkerVerdict:
     parts = compute_parts(state, job_state, worker, state.now)
-    failing = check_now(job_state, worker, state.settings.crowd_max) or ""
+    failing = check_start(job_state, worker, state.settings.crowd_max) or ""
     return WorkerVerdict(worker.info.id, failing, sum(parts), parts._asdict())
 
 
--- a/plantainyard/placement/filters.py
+++ b/plantainyard/placement/filters.py
@@ -6,10 +6,10 @@
 from plantainyard.work import Job, Size, WorkerInfo
 
 __all__ = [
-    "check_now",
     "check_possible",
+    "check_start",
     "check_worker",
-    "count_fits",
+    "count_fitting_tasks",
     "find_candidates",
 ]
 
@@ -65,8 +65,8 @@
     >>> check_possible(job, [small])
     'cores'
     """
-    known = list(workers)
-    fitting = [worker for worker in known if check_worker(job, worker) is None]
+    all_workers = list(workers)
+    fitting = [worker for worker in all_workers if check_worker(job, worker) is None]
     if not fitting:
         ranks = {
             name: rank
@@ -81,12 +81,15 @@
                 )
             )
         }
-        failing = {check_worker(job, worker) or "" for worker in known}
+        failing = {check_worker(job, worker) or "" for worker in all_workers}
         return max(failing, key=lambda name: ranks[name]) if failing else "no workers"
     tasks = job.task_count if job.gang else 1
     if share is not None and not _fits_within(_scale(job.size, tasks), share):
         return "team quota"
-    if sum(count_fits(job.size, worker.capacity) for worker in fitting) < tasks:
+    if (
+        sum(count_fitting_tasks(job.size, worker.capacity) for worker in fitting)
+        < tasks
+    ):
         return "gang size"
     return None
 
@@ -99,7 +102,7 @@
     return all(n <= r + _EPSILON for n, r in zip(need, free, strict=True))
 
 
-def count_fits(size: Size, capacity: Size) -> int:
+def count_fitting_tasks(size: Size, capacity: Size) -> int:
     """Return how many tasks of `size` fit on an empty worker."""
     return int(
         min(
@@ -113,8 +116,8 @@
     )
 
 
-def check_now(
-    job_state: JobState, worker: WorkerState, crowd: float = 1.0
+def check_start(
+    job_state: JobState, worker: WorkerState, max_utilization: float = 1.0
 ) -> str | None:
     """Return why a task of the job can't start on `worker` now, or None.
 
@@ -135,7 +138,7 @@
     need = job_state.reserved
     used = worker.allocated
     if worker.reserved_for and worker.reserved_for != job_state.job.id:
-        reserved_size, tasks = worker.reserved_size, worker.reserved_tasks
+        reserved_size, tasks = worker.reserved_size, worker.reserved_task_count
         if any(
             used[i] + need[i] + tasks * reserved_size[i] > info.capacity[i] + _EPSILON
             for i in range(3)
@@ -145,7 +148,8 @@
         used[0] + need[0] <= info.capacity[0] + _EPSILON
         and used[1] + need[1] <= info.capacity[1] + _EPSILON
         and used[2] + need[2] <= info.capacity[2]
-        and worker.expected_cores + job_state.expected.cores <= info.capacity[0] * crowd
+        and worker.expected_cores + job_state.expected.cores
+        <= info.capacity[0] * max_utilization
     )
     if not fits and (worker.placed or check_worker(job_state.job, info)):
         return "no room"
@@ -162,7 +166,7 @@
     The search is round robin: it starts where the last one ended and stops after
     `max_count` workers, or ``candidates_max``, so that the cost of a decision doesn't
     grow with the number of workers. A search that found no worker isn't repeated for
-    the same shape until capacity has been freed.
+    the same sizes and constraints until capacity has been freed.
 
     Urgent tasks may overcommit a worker further than others. Capacity is freed for them
     according to estimates, which may change while the evicted tasks end.
@@ -174,23 +178,23 @@
         job_state.job.constraints,
     )
     if (
-        not job_state.reserved_workers
+        not job_state.reserved_worker_count
         and state.unplaceable_shapes.get(shape) == state.capacity_version
     ):
         return []
     limit = max_count or state.settings.candidates_max
-    crowd = state.settings.crowd_max + (
+    max_utilization = state.settings.crowd_max + (
         _URGENT_OVERCOMMIT if job_state.job.urgent else 0.0
     )
     found: list[WorkerState] = []
     count = len(state.active_workers)
     for offset in range(count):
         worker = state.active_workers[(state.scan_position + offset) % count]
-        if check_now(job_state, worker, crowd) is None:
+        if check_start(job_state, worker, max_utilization) is None:
             found.append(worker)
             if len(found) == limit:
                 state.scan_position = (state.scan_position + offset + 1) % count
                 break
-    if not found and not job_state.reserved_workers:
+    if not found and not job_state.reserved_worker_count:
         state.unplaceable_shapes[shape] = state.capacity_version
     return found
--- a/plantainyard/placement/gangs.py
+++ b/plantainyard/placement/gangs.py
@@ -3,7 +3,11 @@
 from plantainyard.placement.accounting import occupy, vacate
 from plantainyard.placement.actions import Action, Place
 from plantainyard.placement.eviction import evict, reserve_worker
-from plantainyard.placement.filters import check_worker, count_fits, find_candidates
+from plantainyard.placement.filters import (
+    check_worker,
+    count_fitting_tasks,
+    find_candidates,
+)
 from plantainyard.placement.quotas import check_quota
 from plantainyard.placement.state import (
     JobState,
@@ -12,7 +16,7 @@
     WaitingTask,
 )
 
-__all__ = ["place_gang", "roll_back_gangs"]
+__all__ = ["evict_incomplete_gangs", "place_gang"]
 
 _RESERVATION_S = 120.0
 
@@ -33,7 +37,7 @@
     before any action is returned, so a gang never occupies part of the capacity that it
     needs while it waits.
     """
-    count = job_state.waiting
+    count = job_state.waiting_count
     if not check_quota(state, job_state, count):
         return [], "team quota"
     since = job_state.get_waiting_since()
@@ -77,7 +81,8 @@
     if any(worker.reserved_for != job_state.job.id for worker in reserved):
         return
     reserved_slots = sum(
-        count_fits(job_state.reserved, worker.info.capacity) for worker in reserved
+        count_fitting_tasks(job_state.reserved, worker.info.capacity)
+        for worker in reserved
     )
     available = sorted(
         (
@@ -94,19 +99,19 @@
         ),
     )
     for worker in available:
-        if reserved_slots >= job_state.waiting:
+        if reserved_slots >= job_state.waiting_count:
             return
-        fitting = count_fits(job_state.reserved, worker.info.capacity)
+        fitting = count_fitting_tasks(job_state.reserved, worker.info.capacity)
         reserve_worker(
             job_state,
             worker,
             now + _RESERVATION_S,
-            min(fitting, job_state.waiting - reserved_slots),
+            min(fitting, job_state.waiting_count - reserved_slots),
         )
         reserved_slots += fitting
 
 
-def roll_back_gangs(state: PlacementState, now: float) -> list[Action]:
+def evict_incomplete_gangs(state: PlacementState, now: float) -> list[Action]:
     """Evict gangs that have been only partly placed for too long.
 
     Notes
@@ -120,7 +125,7 @@
         if not job_state.job.gang:
             continue
         is_incomplete = (
-            job_state.placed and job_state.waiting and not job_state.given_up
+            job_state.placed and job_state.waiting_count and not job_state.given_up
         )
         if not is_incomplete:
             job_state.incomplete_since = None
--- a/plantainyard/placement/interference.py
+++ b/plantainyard/placement/interference.py
@@ -22,10 +22,10 @@
     "InterferenceModel",
     "Victim",
     "decay_interference",
-    "update_interference",
-    "predict_slowdown",
-    "predict_pessimistic_slowdown",
     "predict_base_time",
+    "predict_pessimistic_slowdown",
+    "predict_slowdown",
+    "update_interference",
 ]
 
 _MIN_BASE_TIME = 0.05
@@ -142,7 +142,7 @@
 
     Parameters
     ----------
-    model : HarmModel
+    model : InterferenceModel
         Updated in place.
     name : str
         Workload that was measured.
@@ -176,13 +176,15 @@
         features[victim.indices[aggressor]] = share
     expected = float(features @ victim.mean)
     noise = model.settings.report_noise * max(expected, _MIN_BASE_TIME)
-    across = victim.covariance @ features
-    total = float(features @ across) + noise * noise + extra_variance
+    cross_covariance = victim.covariance @ features
+    total = float(features @ cross_covariance) + noise * noise + extra_variance
     limit = _INNOVATION_LIMIT * sqrt(total)
     error = max(-limit, min(limit, time - expected))
-    victim.mean = np.maximum(victim.mean + across * (error / total), 0.0)
+    victim.mean = np.maximum(victim.mean + cross_covariance * (error / total), 0.0)
     victim.mean[_BASE_INDEX] = max(victim.mean[_BASE_INDEX], _MIN_BASE_TIME)
-    victim.covariance = victim.covariance - np.outer(across, across) / total
+    victim.covariance = (
+        victim.covariance - np.outer(cross_covariance, cross_covariance) / total
+    )
     _update_relative_estimates(victim)
     return time - expected
 
@@ -213,13 +215,17 @@
     if elapsed < settings.fade_s / 100.0:
         return
     model.decayed_at = now
-    kept = exp(-elapsed / settings.fade_s)
+    retained = exp(-elapsed / settings.fade_s)
     for victim in model.victims.values():
         base = victim.mean[_BASE_INDEX]
         for name, i in victim.indices.items():
             prior = _compute_prior(model, name) * base
-            victim.mean[i] = prior + (victim.mean[i] - prior) * kept
-        first = np.full(len(victim.mean), (settings.prior_deviation * base) ** 2)
-        first[_BASE_INDEX] = (settings.base_deviation * base) ** 2
-        victim.covariance = victim.covariance * kept + np.diag(first) * (1.0 - kept)
+            victim.mean[i] = prior + (victim.mean[i] - prior) * retained
+        initial_variances = np.full(
+            len(victim.mean), (settings.prior_deviation * base) ** 2
+        )
+        initial_variances[_BASE_INDEX] = (settings.base_deviation * base) ** 2
+        victim.covariance = victim.covariance * retained + np.diag(
+            initial_variances
+        ) * (1.0 - retained)
         _update_relative_estimates(victim)
--- a/plantainyard/placement/observation.py
+++ b/plantainyard/placement/observation.py
@@ -55,7 +55,7 @@
 
     Parameters
     ----------
-    owner : JobState
+    job_state : JobState
         State of the job, with the sums of its reports.
     floor : float
         Minimum share of the declared cores to reserve.
@@ -68,10 +68,10 @@
     of expected sizes fit.
     """
     declared = job_state.job.size
-    count = job_state.usage_reports
+    count = job_state.usage_report_count
     weight = count / (count + _PRIOR_REPORTS)
-    mean = job_state.usage_cores / count
-    variance = max(0.0, job_state.usage_cores_squared / count - mean * mean)
+    mean = job_state.usage_cores_sum / count
+    variance = max(0.0, job_state.usage_cores_squared_sum / count - mean * mean)
     upper = declared.cores + weight * (mean + 2.0 * sqrt(variance) - declared.cores)
     expected = declared.cores + weight * (mean - declared.cores)
     cores = min(declared.cores, max(upper, declared.cores * floor))
@@ -91,7 +91,7 @@
         worker.distrust = min(1.0, worker.distrust + 0.2)
         return
     worker.distrust *= 0.98
-    worker.last_report = max(worker.last_report, report.time_s)
+    worker.last_report_at = max(worker.last_report_at, report.time_s)
     placement = find_placement(state, report.task)
     if placement is None or placement.worker != report.worker:
         return
@@ -108,11 +108,11 @@
 ) -> None:
     job_state = placement.job_state
     cores = report.cores / max(placement.share, 0.05)
-    fading = 0.98 if job_state.usage_reports > 50 else 1.0
-    job_state.usage_reports = job_state.usage_reports * fading + 1.0
-    job_state.usage_cores = job_state.usage_cores * fading + cores
-    job_state.usage_cores_squared = (
-        job_state.usage_cores_squared * fading + cores * cores
+    fading = 0.98 if job_state.usage_report_count > 50 else 1.0
+    job_state.usage_report_count = job_state.usage_report_count * fading + 1.0
+    job_state.usage_cores_sum = job_state.usage_cores_sum * fading + cores
+    job_state.usage_cores_squared_sum = (
+        job_state.usage_cores_squared_sum * fading + cores * cores
     )
     job_state.peak_memory_gb = max(job_state.peak_memory_gb * 0.999, report.memory_gb)
     if not state.rules.learns_sizes:
@@ -125,7 +125,7 @@
         job_state.idle_fraction += _IDLE_SMOOTHING * (
             has_no_latency - job_state.idle_fraction
         )
-        mean = job_state.usage_cores / job_state.usage_reports
+        mean = job_state.usage_cores_sum / job_state.usage_report_count
         job_state.utilization = (
             (1.0 - job_state.idle_fraction) * mean / job_state.job.size.cores
         )
--- a/plantainyard/placement/order.py
+++ b/plantainyard/placement/order.py
@@ -22,10 +22,10 @@
 __all__ = [
     "Choice",
     "Order",
+    "build_order",
     "get_rank",
     "list_order",
     "requeue_job",
-    "build_order",
     "select_next_jobs",
 ]
 
@@ -34,7 +34,7 @@
 
 
 class _Entry(NamedTuple):
-    served: float
+    used_cores: float
     since: float
     id: str
 
@@ -46,11 +46,11 @@
 
     Attributes
     ----------
-    value : float
-        Cost per core.
+    cost_per_core : float
+        Cost divided by the expected cores of the task.
     job_state : JobState
         State of the job.
-    task : Waiting
+    task : WaitingTask
         Next task of the job.
     worker : WorkerState
         The best worker.
@@ -58,7 +58,7 @@
         Profile of the worker by which the choice was made.
     """
 
-    value: float
+    cost_per_core: float
     job_state: JobState
     task: WaitingTask
     worker: WorkerState
@@ -100,7 +100,11 @@
     order = Order()
     starve_s = state.settings.starve_s
     for job_state in state.jobs.values():
-        if job_state.waiting and not job_state.given_up and job_state.peek_waiting(now):
+        if (
+            job_state.waiting_count
+            and not job_state.given_up
+            and job_state.peek_waiting(now)
+        ):
             _push_job(order, job_state)
             since = max(job_state.get_waiting_since(), job_state.last_placed_at)
             if now - since > starve_s:
@@ -194,7 +198,7 @@
     state: PlacementState, order: Order, job_state: JobState, now: float, placed: bool
 ) -> None:
     """Put a job back into the order after its turn, or skip it for this step."""
-    if not placed or not job_state.waiting or job_state.peek_waiting(now) is None:
+    if not placed or not job_state.waiting_count or job_state.peek_waiting(now) is None:
         order.skipped.add(job_state.job.id)
     rank, team = get_rank(job_state), job_state.job.team
     entries = order.jobs[rank, team].get(job_state.workload)
@@ -217,6 +221,6 @@
             job_state.job.id,
         )
         for job_state in state.jobs.values()
-        if job_state.waiting and not job_state.given_up
+        if job_state.waiting_count and not job_state.given_up
     )
     return (state.jobs[key[-1]] for key in sorted(keys))
--- a/plantainyard/placement/scores.py
+++ b/plantainyard/placement/scores.py
@@ -74,9 +74,10 @@
         State with the interference estimates and the weights.
     victim, aggressor : str
         The two workloads.
-    doubted : bool
-        Whether to add a multiple of the standard deviation to the estimate, which grows
-        with the weight of the tail. Used for the effect of batch tasks on services.
+    include_uncertainty : bool
+        Whether to add a multiple of the standard deviation to the estimate. The
+        multiple grows with the weight of the tail. Used for the effect of batch tasks
+        on services.
     """
     if state.rules.predict_slowdown is not None:
         return state.rules.predict_slowdown(victim, aggressor)
@@ -237,7 +238,7 @@
 
 
 def _compute_doubt(state: PlacementState, worker: WorkerState, now: float) -> float:
-    silent = worker.placed and now - worker.last_report > state.settings.silence_s
+    silent = worker.placed and now - worker.last_report_at > state.settings.silence_s
     failing = _FAILED_JOB_COST * len(worker.failed_jobs)
     return worker.distrust + failing + (_SILENT_WORKER_COST if silent else 0.0)
 
--- a/plantainyard/placement/state.py
+++ b/plantainyard/placement/state.py
@@ -79,19 +79,19 @@
 
     __slots__ = (
         "attempt",
-        "reported_cores",
         "ending",
         "evictions",
-        "exposures",
         "exposure_samples",
+        "exposures",
         "failures",
-        "throttled_at",
-        "number",
         "job_state",
+        "number",
         "placed_at",
+        "reported_cores",
         "share",
         "since",
         "started_at",
+        "throttled_at",
         "worker",
     )
 
@@ -142,7 +142,7 @@
         self.untried_ranges: deque[tuple[int, int, int, float, int]] = deque()
         self.retries: dict[int, WaitingTask] = {}
         self.retry_heap: list[tuple[float, int]] = []
-        self.waiting = 0
+        self.waiting_count = 0
         self.placed: dict[int, Placement] = {}
         self.last_placed_at = float("-inf")
         self.expected = job.size
@@ -155,11 +155,11 @@
         self.last_error = ""
         self.reason = ""
         self.queue_position = 0
-        self.reserved_workers = 0
+        self.reserved_worker_count = 0
         self.incomplete_since: float | None = None
-        self.usage_reports = 0.0
-        self.usage_cores = 0.0
-        self.usage_cores_squared = 0.0
+        self.usage_report_count = 0.0
+        self.usage_cores_sum = 0.0
+        self.usage_cores_squared_sum = 0.0
         self.peak_memory_gb = 0.0
         self.utilization = 1.0
         self.idle_fraction = 0.0
@@ -189,22 +189,22 @@
         )
         for low, high in taken:
             if first < low:
-                self._add_piece(first, low, attempt, since, failures)
+                self._add_untried(first, low, attempt, since, failures)
             first = max(first, high)
         if first < stop:
-            self._add_piece(first, stop, attempt, since, failures)
+            self._add_untried(first, stop, attempt, since, failures)
 
-    def _add_piece(
+    def _add_untried(
         self, first: int, stop: int, attempt: int, since: float, failures: int
     ) -> None:
         self.untried_ranges.append((first, stop, attempt, since, failures))
-        self.waiting += stop - first
+        self.waiting_count += stop - first
 
     def add_retry(self, task: WaitingTask, not_before: float) -> None:
         """Add a task that waits for another attempt until `not_before`."""
         self.retries[task.number] = task
         heapq.heappush(self.retry_heap, (not_before, task.number))
-        self.waiting += 1
+        self.waiting_count += 1
 
     def remove_range(self, first: int, stop: int) -> None:
         """Remove the waiting tasks ``first`` to ``stop - 1``."""
@@ -215,14 +215,14 @@
         self.untried_ranges = kept
         for number in [n for n in self.retries if first <= n < stop]:
             del self.retries[number]
-        self.waiting = len(self.retries) + sum(b - a for a, b, *_ in kept)
+        self.waiting_count = len(self.retries) + sum(b - a for a, b, *_ in kept)
 
     def clear_waiting(self) -> None:
         """Remove all waiting tasks."""
         self.untried_ranges.clear()
         self.retries.clear()
         self.retry_heap.clear()
-        self.waiting = 0
+        self.waiting_count = 0
 
     def peek_waiting(self, now: float) -> WaitingTask | None:
         """Return the task to place next, or None if there is none or all back off."""
@@ -237,7 +237,7 @@
 
     def take_waiting(self, task: WaitingTask) -> None:
         """Remove `task`, which `peek_waiting` returned, from the waiting tasks."""
-        self.waiting -= 1
+        self.waiting_count -= 1
         if task.number in self.retries:
             del self.retries[task.number]
             return
@@ -247,11 +247,11 @@
 
     def get_waiting_since(self) -> float:
         """Return the time since which the longest waiting task has waited."""
-        untried_ranges = (
+        untried_since = (
             since for _, _, _, since, _ in _list_first(self.untried_ranges)
         )
-        retries = (task.since for task in _list_first(self.retries.values()))
-        return min((*untried_ranges, *retries), default=float("inf"))
+        retries_since = (task.since for task in _list_first(self.retries.values()))
+        return min((*untried_since, *retries_since), default=float("inf"))
 
 
 def _list_first(values: Any, count: int = 4) -> list[Any]:
@@ -271,7 +271,7 @@
         self.expected_cores = 0.0
         self.spans: dict[TaskKey, Span] = {}
         self.past_spans: deque[tuple[float, Span]] = deque()
-        self.last_report = now
+        self.last_report_at = now
         self.service_count = 0
         self.failed_jobs: dict[str, float] = {}
         self.quarantined_until: float | None = None
@@ -280,7 +280,7 @@
         self.quarantine_count = 0
         self.reserved_for: str = ""
         self.reserved_until = 0.0
-        self.reserved_tasks = 0
+        self.reserved_task_count = 0
         self.reserved_size = _ZERO_SIZE
         self.latency_ratios: dict[TaskKey, float] = {}
         self.mitigated_at = float("-inf")
