--- a/plantainyard/placement/explanation.py
+++ b/plantainyard/placement/explanation.py
@@ -1,8 +1,8 @@
-"""Why a task is where it is, or why it waits."""
+"""Explanations of why a task is placed where it is, or why it waits."""
 
 from typing import NamedTuple
 
-from plantainyard.placement.filters import check_now, check_possible
+from plantainyard.placement.filters import check_possible, check_start
 from plantainyard.placement.order import list_order
 from plantainyard.placement.quotas import check_quota
 from plantainyard.placement.scores import compute_parts
@@ -13,18 +13,18 @@
 
 
 class WorkerVerdict(NamedTuple):
-    """How one worker looks to one task.
+    """Assessment of one worker for one task.
 
     Attributes
     ----------
     worker : str
         The worker.
     failing : str
-        What keeps the task off it; empty where it could go there.
+        Check that the worker fails for the task; empty if the task could start there.
     cost : float
-        Cost of going there now; less is better.
+        Cost of starting the task there now; lower is better.
     parts : dict
-        The parts of the cost by name.
+        Parts of the cost by name.
     """
 
     worker: str
@@ -34,20 +34,21 @@
 
 
 class Explanation(NamedTuple):
-    """Where a task stands.
+    """Placement status of a task.
 
     Attributes
     ----------
     status : str
         ``"placed"``, ``"waiting"``, ``"impossible"``, ``"given up"`` or ``"unknown"``.
     worker : str
-        Where it is placed.
+        Worker on which the task is placed, or empty.
     reason : str
-        Why it waits, which constraint no worker meets, or the last error.
+        Why the task waits, which constraint no worker meets, or the last error.
     place : int
-        Its job's place in the order from 1; 0 when it does not wait.
+        Position of the job in the order of waiting jobs, from 1; 0 if the task doesn't
+        wait.
     workers : tuple of WorkerVerdict
-        Every worker, the cheapest possible one first.
+        All workers: those on which the task could start, by cost, then the others.
     """
 
     status: str
@@ -58,59 +59,65 @@
 
 
 def explain(state: PlacementState, task: TaskKey) -> Explanation:
-    """Return why `task` is where it is, and why not elsewhere.
+    """Return where `task` is placed or why it waits, with an assessment of all workers.
 
     Notes
     -----
-    Costs a look at every worker; meant for operators' questions, not for decisions.
+    The cost is linear in the number of workers. Meant for operators' requests, not for
+    decisions.
     """
-    owner = state.jobs.get(task.job)
-    if owner is None:
+    job_state = state.jobs.get(task.job)
+    if job_state is None:
         return Explanation("unknown", "", "no such job here", 0, ())
     verdicts = tuple(
         sorted(
-            (_judge(state, owner, worker) for worker in state.ring),
+            (
+                _assess_worker(state, job_state, worker)
+                for worker in state.active_workers
+            ),
             key=lambda verdict: (bool(verdict.failing), verdict.cost, verdict.worker),
         )
     )
-    placement = owner.placed.get(task.number)
+    placement = job_state.placed.get(task.number)
     if placement is not None:
         phase = "running" if placement.started_at is not None else "being started"
         return Explanation("placed", placement.worker, phase, 0, verdicts)
-    if owner.given_up:
-        return Explanation("given up", "", owner.last_error, 0, verdicts)
-    if not owner.knows(task.number):
+    if job_state.given_up:
+        return Explanation("given up", "", job_state.last_error, 0, verdicts)
+    if not job_state.has_task(task.number):
         return Explanation(
             "unknown", "", "neither waiting nor placed here", 0, verdicts
         )
-    infos = [worker.info for worker in state.ring]
-    never = check_possible(owner.job, infos, state.shares.get(owner.job.team))
-    if never is not None:
-        return Explanation("impossible", "", never, 0, verdicts)
-    place = _find_place(state, owner)
-    reason = owner.reason or _find_reason(state, owner, verdicts)
+    worker_infos = [worker.info for worker in state.active_workers]
+    unmet_constraint = check_possible(
+        job_state.job, worker_infos, state.quotas.get(job_state.job.team)
+    )
+    if unmet_constraint is not None:
+        return Explanation("impossible", "", unmet_constraint, 0, verdicts)
+    place = _find_queue_position(state, job_state)
+    reason = job_state.reason or _find_reason(state, job_state, verdicts)
     return Explanation("waiting", "", reason, place, verdicts)
 
 
-def _judge(
-    state: PlacementState, owner: JobState, worker: WorkerState
+def _assess_worker(
+    state: PlacementState, job_state: JobState, worker: WorkerState
 ) -> WorkerVerdict:
-    parts = compute_parts(state, owner, worker, state.now)
-    failing = check_now(owner, worker, state.settings.crowd_max) or ""
+    parts = compute_parts(state, job_state, worker, state.now)
+    failing = check_start(job_state, worker, state.settings.crowd_max) or ""
     return WorkerVerdict(worker.info.id, failing, sum(parts), parts._asdict())
 
 
-def _find_place(state: PlacementState, owner: JobState) -> int:
+def _find_queue_position(state: PlacementState, job_state: JobState) -> int:
     order = list_order(state, state.now)
-    return next((i for i, other in enumerate(order, 1) if other is owner), 0)
+    return next((i for i, other in enumerate(order, 1) if other is job_state), 0)
 
 
 def _find_reason(
-    state: PlacementState, owner: JobState, verdicts: tuple[WorkerVerdict, ...]
+    state: PlacementState, job_state: JobState, verdicts: tuple[WorkerVerdict, ...]
 ) -> str:
-    if not check_quota(state, owner):
+    if not check_quota(state, job_state):
         return "team quota"
-    if owner.next_waiting(state.now) is None:
+    if job_state.peek_waiting(state.now) is None:
         return "backing off"
     if all(verdict.failing for verdict in verdicts):
         return "no room"
--- a/plantainyard/routing/queue.py
+++ b/plantainyard/routing/queue.py
@@ -1,11 +1,12 @@
-"""The gateway's queue: bounded, urgent before ordinary, teams fair by weight.
+"""Bounded queue of a gateway: urgent before ordinary work, weighted fair among teams.
 
 Notes
 -----
-Teams are served by stride scheduling: each team has a pass value, the least is served
-next, and being served adds the inverse of the team's weight. Urgent work goes first,
-but of the dequeued requests a fixed share is ordinary while both wait, so neither
-starves. Pushing and popping cost time proportional to the number of teams.
+Teams are served by stride scheduling: each team has a pass value, the team with the
+lowest one is served next, and each request served adds the inverse of the team's weight
+to it. Urgent requests go first, but while both classes wait, a fixed share of the
+dequeued requests is ordinary, so neither class starves. Pushing and popping take time
+proportional to the number of teams.
 
 References
 ----------
@@ -21,38 +22,45 @@
 from plantainyard.routing.values import Request, RoutingSettings
 
 __all__ = [
-    "GivenUp",
     "QueueState",
+    "Rejection",
     "drop_request",
     "estimate_wait",
     "expire_requests",
-    "measure_service",
     "pop_request",
     "push_request",
+    "record_service_time",
     "select_waiting",
 ]
 
 _SMOOTHING = 0.1
-_FIRST_SERVICE_S = 0.02
+"""Weight of a new sample in the estimates of the service time and its deviation."""
+
+_INITIAL_SERVICE_TIME_S = 0.02
+"""Estimate of the service time in seconds before the first sample."""
+
 _SLOW_DEVIATIONS = 4.0
-_LEAST_RETRY_S = 0.1
+"""Deviations by which a slow attempt exceeds the mean service time."""
+
+_MIN_RETRY_AFTER_S = 0.1
+"""Shortest retry time in seconds that a rejected request gets."""
 
 
-class GivenUp(NamedTuple):
-    """A request that leaves the queue without having been sent."""
+class Rejection(NamedTuple):
+    """A request that was removed from the queue or not queued, and was not sent."""
 
     request: Request
     reason: str
     retry_after_s: float
 
 
-class _Lane:
-    """The waiting requests of one class: a first-in-first-out line for each team."""
+class _ClassQueue:
+    """The waiting requests of one priority class: a FIFO queue for each team."""
 
     def __init__(self) -> None:
-        self.lines: dict[str, deque[Request]] = {}
+        self.team_queues: dict[str, deque[Request]] = {}
         self.passes: dict[str, float] = {}
-        self.floor = 0.0
+        self.global_pass = 0.0
 
 
 class QueueState:
@@ -61,207 +69,219 @@
     Parameters
     ----------
     weights : mapping of str to float
-        Weight of each team; a team that isn't named has weight 1.
+        Weight of each team; teams without an entry have weight 1.
     """
 
     def __init__(self, weights: Mapping[str, float] | None = None) -> None:
         self.weights = dict(weights or {})
-        self.urgent = _Lane()
-        self.ordinary = _Lane()
-        self.ordinary_debt = 0.0
+        self.urgent = _ClassQueue()
+        self.ordinary = _ClassQueue()
+        self.ordinary_deficit = 0.0
         self.count = 0
         self.size_bytes = 0
-        self.service_s = _FIRST_SERVICE_S
+        self.service_time_s = _INITIAL_SERVICE_TIME_S
         self.deviation_s = 0.0
-        self.latest_starts: dict[str, float] = {}
+        self.latest_send_times: dict[str, float] = {}
         self.slots = 1
 
 
 def push_request(
     state: QueueState, request: Request, settings: RoutingSettings, now: float
-) -> list[GivenUp]:
-    """Queue `request`; return whatever is given up for it, itself perhaps.
+) -> list[Rejection]:
+    """Queue `request`; return the requests rejected for it, possibly itself.
 
     Notes
     -----
-    A request whose deadline can't be met by the present estimate is given up here, at
-    once, so that its caller can go elsewhere while there is time. The time kept for
-    running is that of a slow sending, but half of what is left at most: an estimate
-    that has grown too long would otherwise refuse every request, and nothing would
-    ever correct it.
+    A request that can't meet its deadline by the current estimate is rejected at once,
+    so that its caller can go elsewhere while there is time. The time reserved for
+    running the request is that of a slow attempt, but at most half of the time left:
+    otherwise an estimate that has grown too long would reject every request, and no
+    new sample would ever correct it.
     """
     wait = estimate_wait(state, request.urgent)
-    slow_s = state.service_s + _SLOW_DEVIATIONS * state.deviation_s
-    latest = request.deadline - min(slow_s, (request.deadline - now) / 2)
+    slow_attempt_s = state.service_time_s + _SLOW_DEVIATIONS * state.deviation_s
+    latest = request.deadline - min(slow_attempt_s, (request.deadline - now) / 2)
     if now + wait > latest or now >= request.deadline:
-        return [_give_up(state, request, Reason.DEADLINE)]
+        return [_reject(state, request, Reason.DEADLINE)]
     if request.size_bytes > settings.queue_bytes:
-        return [_give_up(state, request, Reason.QUEUE_FULL)]
-    shed: list[GivenUp] = []
-    while not _has_room(state, request, settings):
-        victim = _pick_victim(state, request, settings)
+        return [_reject(state, request, Reason.QUEUE_FULL)]
+    shed: list[Rejection] = []
+    while not _fits(state, request, settings):
+        victim = _choose_shed(state, request, settings)
         if victim is None:
-            return [*shed, _give_up(state, request, Reason.QUEUE_FULL)]
+            return [*shed, _reject(state, request, Reason.QUEUE_FULL)]
         drop_request(state, victim)
-        shed.append(_give_up(state, victim, Reason.SHED))
+        shed.append(_reject(state, victim, Reason.SHED))
     _append(state, request)
-    state.latest_starts[request.key] = latest
+    state.latest_send_times[request.key] = latest
     return shed
 
 
 def pop_request(
     state: QueueState, settings: RoutingSettings, can_send: Callable[[Request], object]
 ) -> Request | None:
-    """Return the next request to send and take it out of the queue.
+    """Remove the next request to send from the queue and return it.
 
     Parameters
     ----------
     state : QueueState
-        Changed.
+        Updated.
     settings : RoutingSettings
         For the share of ordinary work.
     can_send : callable
-        Returns something true where a slot is free for a request.
+        Returns a true value if a slot is free for the request.
     """
     urgent = _pick_team(state.urgent, can_send)
     ordinary = _pick_team(state.ordinary, can_send)
     if urgent is not None and ordinary is not None:
-        state.ordinary_debt += settings.ordinary_share
-        take_ordinary = state.ordinary_debt >= 1.0
-        state.ordinary_debt -= 1.0 if take_ordinary else 0.0
+        state.ordinary_deficit += settings.ordinary_share
+        take_ordinary = state.ordinary_deficit >= 1.0
+        state.ordinary_deficit -= 1.0 if take_ordinary else 0.0
     else:
         take_ordinary = ordinary is not None
     team = ordinary if take_ordinary else urgent
     if team is None:
         return None
-    lane = state.ordinary if take_ordinary else state.urgent
-    request = next(r for r in lane.lines[team] if can_send(r))
+    queue = state.ordinary if take_ordinary else state.urgent
+    request = next(r for r in queue.team_queues[team] if can_send(r))
     drop_request(state, request)
-    lane.floor = max(lane.floor, lane.passes.get(team, 0.0))
-    lane.passes[team] = lane.floor + 1.0 / state.weights.get(team, 1.0)
+    queue.global_pass = max(queue.global_pass, queue.passes.get(team, 0.0))
+    queue.passes[team] = queue.global_pass + 1.0 / state.weights.get(team, 1.0)
     return request
 
 
-def expire_requests(state: QueueState, now: float) -> list[GivenUp]:
-    """Take out the requests whose deadline can't be met any more.
+def expire_requests(state: QueueState, now: float) -> list[Rejection]:
+    """Remove the requests that can no longer meet their deadline, and return them.
 
     Notes
     -----
-    What is sent too late runs in vain: its caller has gone when the answer comes, and
-    its slot is lost until the longest request has ended.
+    Running a request that is sent too late is useless: its caller has stopped waiting
+    when the answer arrives, and its slot stays occupied until the longest request has
+    ended.
     """
-    starts = state.latest_starts
-    late = [r for r in select_waiting(state) if now > starts[r.key]]
+    send_times = state.latest_send_times
+    late = [r for r in select_waiting(state) if now > send_times[r.key]]
     for request in late:
         drop_request(state, request)
-    return [_give_up(state, request, Reason.DEADLINE) for request in late]
+    return [_reject(state, request, Reason.DEADLINE) for request in late]
 
 
 def drop_request(state: QueueState, request: Request) -> None:
-    """Take `request` out of the queue."""
-    lane = state.urgent if request.urgent else state.ordinary
-    line = lane.lines[request.team]
-    line.remove(request)
-    del state.latest_starts[request.key]
+    """Remove `request` from the queue."""
+    queue = state.urgent if request.urgent else state.ordinary
+    team_queue = queue.team_queues[request.team]
+    team_queue.remove(request)
+    del state.latest_send_times[request.key]
     state.count -= 1
     state.size_bytes -= request.size_bytes
-    if not line:
-        del lane.lines[request.team]
-    # A team that is away keeps its pass only while that is ahead of the others; the
-    # memory of teams is bounded by those that were served a short time ago.
-    for team in [t for t, p in lane.passes.items() if p <= lane.floor]:
-        if team not in lane.lines:
-            del lane.passes[team]
+    if not team_queue:
+        del queue.team_queues[request.team]
+    # A team without waiting requests keeps its pass only while it is above the global
+    # pass, so only recently served teams are remembered and the memory stays bounded.
+    for team in [t for t, p in queue.passes.items() if p <= queue.global_pass]:
+        if team not in queue.team_queues:
+            del queue.passes[team]
 
 
 def estimate_wait(state: QueueState, urgent: bool) -> float:
-    """Return the expected seconds until a request pushed now is sent."""
-    ahead = _count_lane(state.urgent)
+    """Return the expected time in seconds until a request queued now is sent."""
+    ahead = _count_waiting(state.urgent)
     if not urgent:
-        ahead += _count_lane(state.ordinary)
-    return ahead * state.service_s / max(1, state.slots)
+        ahead += _count_waiting(state.ordinary)
+    return ahead * state.service_time_s / max(1, state.slots)
 
 
-def measure_service(state: QueueState, service_s: float) -> None:
-    """Take the duration of a sending into the estimate.
+def record_service_time(state: QueueState, service_time_s: float) -> None:
+    """Update the estimates of the service time and its deviation with one attempt.
 
     References
     ----------
-    RFC 6298, section 2, has the same estimate for round trips.
+    RFC 6298, section 2, uses the same estimator for round-trip times.
     """
-    error = service_s - state.service_s
-    state.service_s += _SMOOTHING * error
+    error = service_time_s - state.service_time_s
+    state.service_time_s += _SMOOTHING * error
     state.deviation_s += _SMOOTHING * (abs(error) - state.deviation_s)
 
 
 def select_waiting(state: QueueState) -> Iterable[Request]:
     """Return the waiting requests, urgent ones first."""
-    lines = chain(state.urgent.lines.values(), state.ordinary.lines.values())
-    return list(chain.from_iterable(lines))
+    team_queues = chain(
+        state.urgent.team_queues.values(), state.ordinary.team_queues.values()
+    )
+    return list(chain.from_iterable(team_queues))
 
 
-def _give_up(state: QueueState, request: Request, reason: str) -> GivenUp:
-    wait = estimate_wait(state, request.urgent) + state.service_s
-    return GivenUp(request, reason, max(_LEAST_RETRY_S, wait))
+def _reject(state: QueueState, request: Request, reason: str) -> Rejection:
+    wait = estimate_wait(state, request.urgent) + state.service_time_s
+    return Rejection(request, reason, max(_MIN_RETRY_AFTER_S, wait))
 
 
-def _has_room(state: QueueState, request: Request, settings: RoutingSettings) -> bool:
-    fits = state.size_bytes + request.size_bytes <= settings.queue_bytes
-    return fits and state.count < settings.queue_count
+def _fits(state: QueueState, request: Request, settings: RoutingSettings) -> bool:
+    has_bytes = state.size_bytes + request.size_bytes <= settings.queue_bytes
+    return has_bytes and state.count < settings.queue_count
 
 
 def _append(state: QueueState, request: Request) -> None:
-    lane = state.urgent if request.urgent else state.ordinary
-    if request.team not in lane.lines:
-        # Without the floor a team that was away would be owed all the turns since.
-        lane.passes[request.team] = max(lane.floor, lane.passes.get(request.team, 0.0))
-    lane.lines.setdefault(request.team, deque()).append(request)
+    queue = state.urgent if request.urgent else state.ordinary
+    if request.team not in queue.team_queues:
+        # Without this lower bound, a team that had nothing waiting for a while would be
+        # served alone until it had caught up.
+        queue.passes[request.team] = max(
+            queue.global_pass, queue.passes.get(request.team, 0.0)
+        )
+    queue.team_queues.setdefault(request.team, deque()).append(request)
     state.count += 1
     state.size_bytes += request.size_bytes
 
 
-def _pick_team(lane: _Lane, can_send: Callable[[Request], object]) -> str | None:
+def _pick_team(queue: _ClassQueue, can_send: Callable[[Request], object]) -> str | None:
     teams = (
         team
-        for team, line in lane.lines.items()
-        if any(can_send(request) for request in line)
+        for team, team_queue in queue.team_queues.items()
+        if any(can_send(request) for request in team_queue)
     )
-    return min(teams, key=lambda team: (lane.passes[team], team), default=None)
+    return min(teams, key=lambda team: (queue.passes[team], team), default=None)
 
 
-def _pick_victim(
+def _choose_shed(
     state: QueueState, request: Request, settings: RoutingSettings
 ) -> Request | None:
-    """Return the request to shed for `request`, or None where there is none.
+    """Return the request to shed in favour of `request`, or None.
 
-    The class beyond its part of the queue goes before the other; within a class the
-    newest of the team that takes up most of its weighted part, if that is more than
-    the newcomer's.
+    A class that exceeds its share of the queue is shed in favour of the other. Within
+    one class, the newest request of the team with the highest load for its weight is
+    shed, if that load is higher than the load of the team of `request`.
     """
-    # Without a part of its own in the queue, ordinary work would be shed for urgent
-    # work before its turn comes, and starve whatever its share of the slots is.
-    part = max(1, int(settings.ordinary_share * settings.queue_count))
-    ordinary = _count_lane(state.ordinary)
-    if request.urgent and ordinary > part:
-        return state.ordinary.lines[_find_heaviest(state, state.ordinary)][-1]
-    if not request.urgent and ordinary < part and state.urgent.lines:
-        return state.urgent.lines[_find_heaviest(state, state.urgent)][-1]
-    lane = state.urgent if request.urgent else state.ordinary
-    if not lane.lines:
+    # Without a reserved share of the queue, ordinary requests would be shed in favour
+    # of urgent ones before their turn, and would starve whatever share of the slots
+    # they are given.
+    reserved = max(1, int(settings.ordinary_share * settings.queue_count))
+    ordinary = _count_waiting(state.ordinary)
+    if request.urgent and ordinary > reserved:
+        return state.ordinary.team_queues[_find_heaviest(state, state.ordinary)][-1]
+    if not request.urgent and ordinary < reserved and state.urgent.team_queues:
+        return state.urgent.team_queues[_find_heaviest(state, state.urgent)][-1]
+    queue = state.urgent if request.urgent else state.ordinary
+    if not queue.team_queues:
         return None
-    heaviest = _find_heaviest(state, lane)
-    own = (len(lane.lines.get(request.team, ())) + 1) / _weigh(state, request.team)
-    load = len(lane.lines[heaviest]) / _weigh(state, heaviest)
-    return lane.lines[heaviest][-1] if load > own else None
+    heaviest = _find_heaviest(state, queue)
+    own_load = (len(queue.team_queues.get(request.team, ())) + 1) / _get_weight(
+        state, request.team
+    )
+    load = len(queue.team_queues[heaviest]) / _get_weight(state, heaviest)
+    return queue.team_queues[heaviest][-1] if load > own_load else None
 
 
-def _find_heaviest(state: QueueState, lane: _Lane) -> str:
-    return max(lane.lines, key=lambda t: (len(lane.lines[t]) / _weigh(state, t), t))
+def _find_heaviest(state: QueueState, queue: _ClassQueue) -> str:
+    return max(
+        queue.team_queues,
+        key=lambda t: (len(queue.team_queues[t]) / _get_weight(state, t), t),
+    )
 
 
-def _weigh(state: QueueState, team: str) -> float:
+def _get_weight(state: QueueState, team: str) -> float:
     return state.weights.get(team, 1.0)
 
 
-def _count_lane(lane: _Lane) -> int:
-    return sum(len(line) for line in lane.lines.values())
+def _count_waiting(queue: _ClassQueue) -> int:
+    return sum(len(team_queue) for team_queue in queue.team_queues.values())
--- a/plantainyard/state/jobs.py
+++ b/plantainyard/state/jobs.py
@@ -1,8 +1,9 @@
-"""The folded state of one job, kept compact whatever its number of tasks.
+"""Folded state of one job, stored compactly for any number of tasks.
 
-A task is in one of five places: waiting and never tried (in a range), waiting
-for another attempt, assigned, done, or cancelled. Only tried and assigned tasks
-cost memory each; done and cancelled ones are counted.
+A task is in one of five states: waiting and never attempted (stored in a range),
+waiting for another attempt, assigned, done, or cancelled. Only tasks that are
+assigned or wait for another attempt take memory individually; done and cancelled
+tasks are only counted.
 """
 
 from collections.abc import Iterator, Mapping
@@ -19,28 +20,28 @@
     "JobSummary",
     "Retry",
     "TaskCounts",
-    "Waiting",
+    "WaitingTask",
     "allot_tasks",
     "count_waiting",
     "iter_job_waiting",
-    "take_waiting",
+    "remove_waiting",
 ]
 
 
 class Assignment(NamedTuple):
-    """An attempt given to a worker; it may run there, and nowhere else.
+    """An attempt assigned to a worker, the only one that may run it.
 
     Attributes
     ----------
     attempt : int
-        Number of the attempt, from one.
+        Number of the attempt, starting at one.
     worker : str
         Id of the worker.
     checkpoint : str
         Checkpoint that this attempt resumes from; empty for none.
     incarnation : int
-        The worker's when the attempt was assigned, -1 for not known. After a restart
-        the worker can't tell whether the attempt ran.
+        The worker's incarnation when the attempt was assigned, -1 if it was not known.
+        After a restart the worker does not know whether the attempt ran.
     """
 
     attempt: int
@@ -52,7 +53,7 @@
 class Retry(NamedTuple):
     """A task that waits for another attempt after `attempts` of them ended.
 
-    `failed` tells that the last one failed.
+    `failed` is true if the last attempt failed.
     """
 
     attempts: int
@@ -61,13 +62,13 @@
 
 
 class Failure(NamedTuple):
-    """How often a task failed, and the last error."""
+    """The number of failed attempts of a task, and the last error."""
 
     failures: int
     error: str
 
 
-class Waiting(NamedTuple):
+class WaitingTask(NamedTuple):
     """A task that may be assigned.
 
     Attributes
@@ -75,7 +76,7 @@
     task : TaskKey
         The task.
     attempt : int
-        Number of the next attempt, from one.
+        Number of the next attempt, starting at one.
     checkpoint : str
         Checkpoint to resume from; empty for none.
     error : str
@@ -92,9 +93,9 @@
 
 
 class TaskCounts(NamedTuple):
-    """Where the tasks of a job are; the five sum to its task count.
+    """Numbers of a job's tasks in each state; the five sum to its task count.
 
-    `failed` counts those whose last attempt failed and that wait for another.
+    `failed` counts the tasks whose last attempt failed and that wait for another.
     """
 
     waiting: int
@@ -105,18 +106,18 @@
 
 
 class JobSummary(NamedTuple):
-    """What is kept of a completed job.
+    """The information that is kept about a completed job.
 
     Attributes
     ----------
     id, name, team : str
-        As declared.
+        Id, name and team of the job as declared.
     task_count, done, cancelled : int
-        Numbers of tasks.
+        Numbers of all tasks, of done tasks and of cancelled tasks.
     accepted, completed : int
-        Offsets of the accepting and of the completing record.
+        Offsets of the records that accepted and that completed the job.
     latency_critical : bool
-        Whether it was a service.
+        Whether the job was a service.
     """
 
     id: str
@@ -136,42 +137,42 @@
     Attributes
     ----------
     job : Job
-        As declared.
+        The job as declared.
     offset : int
-        Offset of the accepting record.
-    fresh : dict of str to Ranges
-        For each rack, the waiting tasks that were never assigned.
+        Offset of the record that accepted the job.
+    unattempted : dict of str to Ranges
+        For each rack, the numbers of the waiting tasks that were never assigned.
     retries : dict of str to dict of int to Retry
-        For each rack, the tasks that wait for another attempt.
+        For each rack, the tasks that wait for another attempt, by task number.
     failures : dict of int to Failure
-        For the tasks that failed at least once and are not done.
-    assigned, done, dropped : int
+        Failures of the tasks that failed at least once and are not done, by number.
+    assigned_count, done_count, cancelled_count : int
         Numbers of assigned, done and cancelled tasks.
     cancelled : bool
-        True once the job was cancelled.
+        True once the job has been cancelled.
     """
 
     __slots__ = (
-        "assigned",
+        "assigned_count",
         "cancelled",
-        "done",
-        "dropped",
+        "cancelled_count",
+        "done_count",
         "failures",
-        "fresh",
         "job",
         "offset",
         "retries",
+        "unattempted",
     )
 
     def __init__(self, job: Job, offset: int) -> None:
         self.job = job
         self.offset = offset
-        self.fresh: dict[str, Ranges] = {}
+        self.unattempted: dict[str, Ranges] = {}
         self.retries: dict[str, dict[int, Retry]] = {}
         self.failures: dict[int, Failure] = {}
-        self.assigned = 0
-        self.done = 0
-        self.dropped = 0
+        self.assigned_count = 0
+        self.done_count = 0
+        self.cancelled_count = 0
         self.cancelled = False
 
 
@@ -199,23 +200,23 @@
 
 def count_waiting(state: JobState, rack: str) -> int:
     """Return the number of tasks of the job that wait in `rack`."""
-    fresh = state.fresh.get(rack)
-    return (fresh.count if fresh else 0) + len(state.retries.get(rack, ()))
+    unattempted = state.unattempted.get(rack)
+    return (unattempted.count if unattempted else 0) + len(state.retries.get(rack, ()))
 
 
-def take_waiting(state: JobState, rack: str, number: int) -> Retry | None:
-    """Take a waiting task out of `rack`.
+def remove_waiting(state: JobState, rack: str, number: int) -> Retry | None:
+    """Remove a waiting task from `rack` and return its retry information.
 
     Returns
     -------
     Retry or None
-        The task's attempts so far and its checkpoint; None where the task does not
-        wait in this rack.
+        The task's attempts so far and its checkpoint; None if the task does not wait
+        in this rack.
     """
-    fresh = state.fresh.get(rack)
-    if fresh is not None and remove_number(fresh, number):
-        if not fresh.count:
-            del state.fresh[rack]
+    unattempted = state.unattempted.get(rack)
+    if unattempted is not None and remove_number(unattempted, number):
+        if not unattempted.count:
+            del state.unattempted[rack]
         return Retry(0)
     retries = state.retries.get(rack)
     if retries is None or number not in retries:
@@ -226,17 +227,17 @@
     return retry
 
 
-def iter_job_waiting(state: JobState, rack: str) -> Iterator[Waiting]:
-    """Yield the tasks of the job that wait in `rack`, retries first, lazily."""
+def iter_job_waiting(state: JobState, rack: str) -> Iterator[WaitingTask]:
+    """Lazily yield the tasks of the job that wait in `rack`, retries first."""
     for number, retry in state.retries.get(rack, {}).items():
         failure = state.failures.get(number, Failure(0, ""))
-        yield Waiting(
+        yield WaitingTask(
             TaskKey(state.job.id, number),
             retry.attempts + 1,
             retry.checkpoint,
             failure.error,
             failure.failures,
         )
-    fresh = state.fresh.get(rack)
-    for number in iter_numbers(fresh) if fresh else ():
-        yield Waiting(TaskKey(state.job.id, number), 1, "", "", 0)
+    unattempted = state.unattempted.get(rack)
+    for number in iter_numbers(unattempted) if unattempted else ():
+        yield WaitingTask(TaskKey(state.job.id, number), 1, "", "", 0)
--- a/plantainyard/state/snapshots.py
+++ b/plantainyard/state/snapshots.py
@@ -1,18 +1,19 @@
-"""Snapshots of folded states, and when one has to be written.
+"""Snapshots of folded states, and the schedule for writing them.
 
-The log forgets records after a time, so the state up to an offset goes into the
-stream itself. Folding a prefix, encoding, decoding and folding the rest gives the
-same state as folding everything, memories of forgotten things included, since
-these decide verdicts too.
+The log deletes records after the retention period, so the state up to an offset is
+written to the stream itself. Folding a prefix, encoding and decoding the state, and
+folding the rest gives the same state as folding all records. This includes the
+offsets of the newest forgotten decisions and deletions, because these affect whether
+later records are void.
 """
 
 import random
 from collections.abc import Mapping, Sequence
 from typing import Any, NamedTuple, TypeVar
 
-from plantainyard.state.changes import Verdict
 from plantainyard.state.configuration import ConfigState, ConfigValue, HistoryEntry
 from plantainyard.state.domain import Claim, DomainState
+from plantainyard.state.fold_results import RequestDecision
 from plantainyard.state.jobs import (
     Assignment,
     Failure,
@@ -21,20 +22,20 @@
     Retry,
 )
 from plantainyard.state.ranges import Ranges, list_ranges
-from plantainyard.state.requests import RequestMemory
+from plantainyard.state.requests import DecidedRequests
 from plantainyard.work import decode_job, encode_job, format_task, parse_task
 
 __all__ = [
+    "SnapshotSchedule",
     "SnapshotSettings",
-    "SnapshotWatch",
     "decode_config",
     "decode_domain",
     "encode_config",
     "encode_domain",
     "is_snapshot_due",
-    "note_record",
-    "note_snapshot",
-    "note_snapshot_tried",
+    "observe_record",
+    "observe_snapshot",
+    "record_snapshot_attempt",
 ]
 
 _Tuple = TypeVar("_Tuple", bound=tuple)
@@ -45,8 +46,8 @@
 
     Notes
     -----
-    The size goes with the assigned and the tried tasks; waiting and done ones cost
-    nothing each.
+    The size grows with the number of tasks that are assigned or wait for another
+    attempt. Other waiting tasks and done tasks don't add to it individually.
     """
     return {
         "next": state.next_offset,
@@ -63,12 +64,12 @@
 
 
 def decode_domain(data: Mapping[str, Any]) -> DomainState:
-    """Return the state that `encode_domain` wrote.
+    """Return the state encoded by `encode_domain`.
 
     Raises
     ------
     KeyError, TypeError, ValueError
-        If `data` is not such a state.
+        If `data` is not an encoded state.
     """
     state = DomainState()
     state.next_offset = data["next"]
@@ -81,9 +82,9 @@
         for rack, items in data["assigned"].items()
     }
     for task in (task for tasks in state.assigned.values() for task in tasks):
-        state.jobs[task.job].assigned += 1
+        state.jobs[task.job].assigned_count += 1
     for entry in entries:
-        for rack in (*entry.fresh, *entry.retries):
+        for rack in (*entry.unattempted, *entry.retries):
             state.waiting.setdefault(rack, set()).add(entry.job.id)
     summaries = (_make(JobSummary, fields) for fields in data["completed"])
     state.completed = {summary.id: summary for summary in summaries}
@@ -93,7 +94,7 @@
 
 
 def _make(kind: type[_Tuple], fields: Sequence[Any]) -> _Tuple:
-    # A newer version may have appended fields; an older one reads what it knows.
+    # A newer version may have appended fields; ignore those that are not known here.
     return kind(*fields[: len(kind._fields)])  # type: ignore[attr-defined]
 
 
@@ -106,21 +107,23 @@
     return {
         "job": encode_job(entry.job),
         "offset": entry.offset,
-        "fresh": {rack: list_ranges(tasks) for rack, tasks in entry.fresh.items()},
+        "fresh": {
+            rack: list_ranges(tasks) for rack, tasks in entry.unattempted.items()
+        },
         "retries": {
             rack: [[number, *retry] for number, retry in tasks.items()]
             for rack, tasks in entry.retries.items()
         },
         "failures": [[number, *entry.failures[number]] for number in entry.failures],
-        "done": entry.done,
-        "dropped": entry.dropped,
+        "done": entry.done_count,
+        "dropped": entry.cancelled_count,
         "cancelled": entry.cancelled,
     }
 
 
 def _decode_job_state(data: Mapping[str, Any]) -> JobState:
     entry = JobState(decode_job(data["job"]), data["offset"])
-    entry.fresh = {
+    entry.unattempted = {
         rack: Ranges((start, stop) for start, stop in pairs)
         for rack, pairs in data["fresh"].items()
     }
@@ -129,22 +132,26 @@
         for rack, items in data["retries"].items()
     }
     entry.failures = {item[0]: _make(Failure, item[1:]) for item in data["failures"]}
-    entry.done = data["done"]
-    entry.dropped = data["dropped"]
+    entry.done_count = data["done"]
+    entry.cancelled_count = data["dropped"]
     entry.cancelled = data["cancelled"]
     return entry
 
 
-def _encode_requests(memory: RequestMemory) -> dict[str, Any]:
-    verdicts = [[request, *verdict] for request, verdict in memory.verdicts.items()]
-    return {"verdicts": verdicts, "forgotten": memory.forgotten}
+def _encode_requests(decided: DecidedRequests) -> dict[str, Any]:
+    decisions = [
+        [request, *decision] for request, decision in decided.decisions.items()
+    ]
+    return {"verdicts": decisions, "forgotten": decided.newest_forgotten}
 
 
-def _decode_requests(data: Mapping[str, Any]) -> RequestMemory:
-    memory = RequestMemory()
-    memory.verdicts = {item[0]: _make(Verdict, item[1:]) for item in data["verdicts"]}
-    memory.forgotten = data["forgotten"]
-    return memory
+def _decode_requests(data: Mapping[str, Any]) -> DecidedRequests:
+    decided = DecidedRequests()
+    decided.decisions = {
+        item[0]: _make(RequestDecision, item[1:]) for item in data["verdicts"]
+    }
+    decided.newest_forgotten = data["forgotten"]
+    return decided
 
 
 def encode_config(state: ConfigState) -> dict[str, Any]:
@@ -154,7 +161,7 @@
         "version": state.version,
         "values": {key: list(entry) for key, entry in state.values.items()},
         "deleted": list(state.deleted.items()),
-        "floor": state.floor,
+        "floor": state.newest_forgotten_deletion,
         "requests": _encode_requests(state.requests),
         "history": [list(entry) for entry in state.history],
         "skipped": state.skipped,
@@ -162,12 +169,12 @@
 
 
 def decode_config(data: Mapping[str, Any]) -> ConfigState:
-    """Return the state that `encode_config` wrote.
+    """Return the state encoded by `encode_config`.
 
     Raises
     ------
     KeyError, TypeError, ValueError
-        If `data` is not such a state.
+        If `data` is not an encoded state.
     """
     state = ConfigState()
     state.next_offset = data["next"]
@@ -176,7 +183,7 @@
         key: _make(ConfigValue, entry) for key, entry in data["values"].items()
     }
     state.deleted = dict(data["deleted"])
-    state.floor = data["floor"]
+    state.newest_forgotten_deletion = data["floor"]
     state.requests = _decode_requests(data["requests"])
     state.history.extend(_make(HistoryEntry, entry) for entry in data["history"])
     state.skipped = data["skipped"]
@@ -184,19 +191,20 @@
 
 
 class SnapshotSettings(NamedTuple):
-    """When snapshots are written.
+    """Settings that determine when snapshots are written.
 
     Attributes
     ----------
     retention_s : float
-        Seconds that the log keeps a record at least.
+        Minimum seconds for which the log keeps a record.
     max_records : int
-        Records after which a snapshot is due whatever its age.
+        Number of records after which a snapshot is due whatever its age.
     low, high : float
-        An instance draws the age at which it writes between these fractions of the
-        retention. `high` leaves the rest of the retention to an outage of the log.
+        Each instance draws the age at which it writes a snapshot between these
+        fractions of the retention. The rest of the retention after `high` allows for
+        an outage of the log.
     retry_s : float
-        Seconds after a try before the next one.
+        Minimum seconds between two attempts to write a snapshot.
     """
 
     retention_s: float
@@ -206,27 +214,28 @@
     retry_s: float = 30.0
 
 
-class SnapshotWatch:
-    """Watches the age of one stream's newest snapshot.
+class SnapshotSchedule:
+    """The age of one stream's newest snapshot and the time for the next one.
 
     Attributes
     ----------
     settings : SnapshotSettings
-        When snapshots are written.
+        Settings that determine when snapshots are written.
     rng : random.Random
-        Draws this instance's moments, so that not all instances write at once.
+        Randomizes the time of writing, so that not all instances write at once.
     base_offset : int
-        Records below are covered by the newest snapshot.
+        The newest snapshot covers the records below this offset.
     base_time_s : float or None
         The log's time of the oldest record that the snapshot doesn't cover, or of
-        the snapshot itself; None before any record was seen.
+        the snapshot itself; None before any record was read.
     skew_s : float
-        Greatest seen difference of a record's time from the time of reading it;
-        added to the own clock, it estimates the log's.
+        Greatest observed difference between a record's time and the time of reading
+        it; added to the instance's clock, it gives an estimate of the log's clock.
     factor : float
-        This instance's draw between the settings' `low` and `high`, over one.
-    tried_at : float
-        Time of the last try.
+        Random fraction between the settings' `low` and `high`, drawn anew for each
+        snapshot.
+    attempted_at : float
+        Time of the last attempt to write a snapshot.
     """
 
     def __init__(self, settings: SnapshotSettings, rng: random.Random) -> None:
@@ -236,38 +245,45 @@
         self.base_time_s: float | None = None
         self.skew_s = float("-inf")
         self.factor = rng.uniform(settings.low, settings.high)
-        self.tried_at = float("-inf")
+        self.attempted_at = float("-inf")
 
 
-def note_record(watch: SnapshotWatch, time_s: float, now: float) -> None:
-    """Note that a record written at the log's `time_s` was read at `now`."""
-    watch.skew_s = max(watch.skew_s, time_s - now)
-    if watch.base_time_s is None:
-        watch.base_time_s = time_s
+def observe_record(schedule: SnapshotSchedule, time_s: float, now: float) -> None:
+    """Update the schedule for a record written at the log's `time_s`, read at `now`."""
+    schedule.skew_s = max(schedule.skew_s, time_s - now)
+    if schedule.base_time_s is None:
+        schedule.base_time_s = time_s
 
 
-def note_snapshot(watch: SnapshotWatch, covers: int, time_s: float, now: float) -> None:
-    """Note a snapshot, whoever wrote it; call it for restored ones too."""
-    note_record(watch, time_s, now)
-    if covers + 1 < watch.base_offset:
+def observe_snapshot(
+    schedule: SnapshotSchedule, covers: int, time_s: float, now: float
+) -> None:
+    """Update the schedule for a snapshot that was read or restored.
+
+    It must be called for the snapshots of all instances.
+    """
+    observe_record(schedule, time_s, now)
+    if covers + 1 < schedule.base_offset:
         return
-    watch.base_offset = covers + 1
-    watch.base_time_s = time_s
-    watch.factor = watch.rng.uniform(watch.settings.low, watch.settings.high)
+    schedule.base_offset = covers + 1
+    schedule.base_time_s = time_s
+    schedule.factor = schedule.rng.uniform(
+        schedule.settings.low, schedule.settings.high
+    )
 
 
-def note_snapshot_tried(watch: SnapshotWatch, now: float) -> None:
-    """Note that this instance submitted a snapshot."""
-    watch.tried_at = now
+def record_snapshot_attempt(schedule: SnapshotSchedule, now: float) -> None:
+    """Record that this instance submitted a snapshot."""
+    schedule.attempted_at = now
 
 
-def is_snapshot_due(watch: SnapshotWatch, next_offset: int, now: float) -> bool:
-    """Tell whether this instance should write a snapshot now.
+def is_snapshot_due(schedule: SnapshotSchedule, next_offset: int, now: float) -> bool:
+    """Return whether this instance should write a snapshot now.
 
     Parameters
     ----------
-    watch : SnapshotWatch
-        The stream's watch.
+    schedule : SnapshotSchedule
+        The stream's snapshot schedule.
     next_offset : int
         The folded state's next offset.
     now : float
@@ -275,15 +291,15 @@
 
     Notes
     -----
-    An idle stream needs one too: its only snapshot would be forgotten with age.
-    Two instances that write at once do no harm. An instance that is not current
-    must not ask.
+    An idle stream needs new snapshots too, because its only snapshot would expire.
+    It is harmless if two instances write a snapshot at the same time. This must not be
+    called by an instance that is not current.
     """
-    settings = watch.settings
-    if watch.base_time_s is None or now - watch.tried_at < settings.retry_s:
+    settings = schedule.settings
+    if schedule.base_time_s is None or now - schedule.attempted_at < settings.retry_s:
         return False
-    age = now + watch.skew_s - watch.base_time_s
-    if age >= watch.factor * settings.retention_s:
+    age = now + schedule.skew_s - schedule.base_time_s
+    if age >= schedule.factor * settings.retention_s:
         return True
-    portion = watch.factor / settings.high
-    return next_offset - watch.base_offset >= portion * settings.max_records
+    portion = schedule.factor / settings.high
+    return next_offset - schedule.base_offset >= portion * settings.max_records
