--- a/plantainyard/api/app.py
+++ b/plantainyard/api/app.py
@@ -9,9 +9,9 @@
 from plantainyard.api.calls import (
     SERVICE,
     STATUS_OK,
-    Answer,
+    CallResponse,
     Handlers,
-    answer_error,
+    build_error_response,
     serve_call,
 )
 from plantainyard.api.errors import STATUS_OF_CODE, ApiError, ErrorCode
@@ -21,12 +21,12 @@
 
 __all__ = ["Probes", "create_app", "has_token", "read_body"]
 
-BEARER = "bearer"
-CALLS = f"/{SERVICE}/"
-HEALTH = "/healthz"
-READY = "/readyz"
-DUMP = "/dump"
-NOT_READY = 503
+BEARER_SCHEME = "bearer"
+CALL_PREFIX = f"/{SERVICE}/"
+HEALTH_PATH = "/healthz"
+READY_PATH = "/readyz"
+DUMP_PATH = "/dump"
+STATUS_UNAVAILABLE = 503
 MALFORMED_STATUSES = frozenset(
     {STATUS_OF_CODE[ErrorCode.MALFORMED], STATUS_OF_CODE[ErrorCode.TOO_LARGE]}
 )
@@ -87,24 +87,30 @@
 
     def serve(environ: WSGIEnvironment, start: StartResponse) -> Iterable[bytes]:
         verb, path = environ["REQUEST_METHOD"], environ.get("PATH_INFO", "")
-        if verb == "GET" and path == HEALTH:
-            return _send(start, _answer_reasons(_ask(probes.healthy)))
-        if verb == "GET" and path == READY:
-            return _send(start, _answer_reasons(_ask(probes.ready)))
+        if verb == "GET" and path == HEALTH_PATH:
+            return _send(start, _build_probe_response(_run_probe(probes.healthy)))
+        if verb == "GET" and path == READY_PATH:
+            return _send(start, _build_probe_response(_run_probe(probes.ready)))
         if not has_token(environ, token.matches):
             add_count(meter, "calls.unauthorized")
             detail = "expected the header 'Authorization: Bearer <token>'"
-            return _send(start, answer_error(ApiError(ErrorCode.UNAUTHORIZED, detail)))
-        if verb == "GET" and path == DUMP:
-            return _send(start, Answer(STATUS_OK, json.dumps(probes.dump()).encode()))
-        if path.startswith(CALLS) and verb == "POST":
-            answer = _serve_operator(environ, handlers, path, limit)
-        elif fallback is not None and not path.startswith(CALLS):
-            if _find_length(environ) <= limit:
+            return _send(
+                start, build_error_response(ApiError(ErrorCode.UNAUTHORIZED, detail))
+            )
+        if verb == "GET" and path == DUMP_PATH:
+            return _send(
+                start, CallResponse(STATUS_OK, json.dumps(probes.dump()).encode())
+            )
+        if path.startswith(CALL_PREFIX) and verb == "POST":
+            answer = _serve_operator_call(environ, handlers, path, limit)
+        elif fallback is not None and not path.startswith(CALL_PREFIX):
+            if _read_content_length(environ) <= limit:
                 return fallback(environ, start)
-            answer = _answer_too_large(limit)
+            answer = _build_too_large_response(limit)
         else:
-            answer = answer_error(ApiError(ErrorCode.NOT_FOUND, METHOD_HINT, "path"))
+            answer = build_error_response(
+                ApiError(ErrorCode.NOT_FOUND, METHOD_HINT, "path")
+            )
         if answer.status in MALFORMED_STATUSES:
             add_count(meter, "calls.malformed")
         return _send(start, answer)
@@ -115,7 +121,7 @@
 def has_token(environ: WSGIEnvironment, matches: Callable[[str], bool]) -> bool:
     """Return whether the request carries a bearer token that `matches`."""
     scheme, _, offered = environ.get("HTTP_AUTHORIZATION", "").partition(" ")
-    return scheme.lower() == BEARER and matches(offered.strip())
+    return scheme.lower() == BEARER_SCHEME and matches(offered.strip())
 
 
 def read_body(environ: WSGIEnvironment, limit: int) -> bytes | None:
@@ -126,31 +132,31 @@
     The server has received the body as a whole and sets its length, for chunked
     bodies too, so that a slow sender holds no thread here.
     """
-    length = _find_length(environ)
+    length = _read_content_length(environ)
     return None if length > limit else environ["wsgi.input"].read(length)
 
 
-def _find_length(environ: WSGIEnvironment) -> int:
+def _read_content_length(environ: WSGIEnvironment) -> int:
     text = environ.get("CONTENT_LENGTH") or "0"
     return int(text) if text.isdecimal() else 0
 
 
-def _serve_operator(
+def _serve_operator_call(
     environ: WSGIEnvironment, handlers: Handlers, path: str, limit: int
-) -> Answer:
+) -> CallResponse:
     body = read_body(environ, limit)
     if body is None:
-        return _answer_too_large(limit)
+        return _build_too_large_response(limit)
     content_type = environ.get("CONTENT_TYPE", "")
-    return serve_call(handlers, path.removeprefix(CALLS), content_type, body)
+    return serve_call(handlers, path.removeprefix(CALL_PREFIX), content_type, body)
 
 
-def _answer_too_large(limit: int) -> Answer:
+def _build_too_large_response(limit: int) -> CallResponse:
     detail = f"expected a body of at most {limit} bytes"
-    return answer_error(ApiError(ErrorCode.TOO_LARGE, detail, "body"))
+    return build_error_response(ApiError(ErrorCode.TOO_LARGE, detail, "body"))
 
 
-def _ask(probe: Callable[[], Sequence[str]]) -> Sequence[str]:
+def _run_probe(probe: Callable[[], Sequence[str]]) -> Sequence[str]:
     """Return the reasons of `probe`, or that it has none to give.
 
     Notes
@@ -166,12 +172,12 @@
         return ["a part of the process doesn't answer"]
 
 
-def _answer_reasons(reasons: Sequence[str]) -> Answer:
+def _build_probe_response(reasons: Sequence[str]) -> CallResponse:
     body = json.dumps({"ok": not reasons, "reasons": list(reasons)}).encode()
-    return Answer(NOT_READY if reasons else STATUS_OK, body)
+    return CallResponse(STATUS_UNAVAILABLE if reasons else STATUS_OK, body)
 
 
-def _send(start: StartResponse, answer: Answer) -> list[bytes]:
+def _send(start: StartResponse, answer: CallResponse) -> list[bytes]:
     headers = [
         ("Content-Type", answer.content_type),
         ("Content-Length", str(len(answer.body))),
--- a/plantainyard/api/calls.py
+++ b/plantainyard/api/calls.py
@@ -24,11 +24,11 @@
 __all__ = [
     "METHODS",
     "SERVICE",
-    "Answer",
+    "CallResponse",
     "Handler",
     "Handlers",
     "Method",
-    "answer_error",
+    "build_error_response",
     "serve_call",
 ]
 
@@ -46,16 +46,16 @@
     ----------
     request, response : type
         Generated message classes.
-    changes : bool
+    is_mutating : bool
         Whether a call changes something, and so carries a request id.
     """
 
     request: type[Message]
     response: type[Message]
-    changes: bool
+    is_mutating: bool
 
 
-class Answer(NamedTuple):
+class CallResponse(NamedTuple):
     """An HTTP answer."""
 
     status: int
@@ -79,7 +79,7 @@
 
 def serve_call(
     handlers: Handlers, method_name: str, content_type: str, body: bytes
-) -> Answer:
+) -> CallResponse:
     """Decode, check, hand over and encode one call.
 
     Parameters
@@ -96,34 +96,38 @@
 
     Returns
     -------
-    Answer
+    CallResponse
         In the form of the request; errors are always JSON.
     """
     method = METHODS.get(method_name)
     if method is None or method_name not in handlers:
         detail = f"no such method; known are {', '.join(METHODS)}"
-        return answer_error(ApiError(ErrorCode.NOT_FOUND, detail, "method"))
+        return build_error_response(ApiError(ErrorCode.NOT_FOUND, detail, "method"))
     form = parse_content_type(content_type)
     if form is None:
         detail = f"expected {JSON} or {BINARY}"
-        return answer_error(ApiError(ErrorCode.MALFORMED, detail, "Content-Type"))
+        return build_error_response(
+            ApiError(ErrorCode.MALFORMED, detail, "Content-Type")
+        )
     decoded = decode_message(method.request, form, body)
     if isinstance(decoded, Err):
-        return answer_error(decoded.err_value)
+        return build_error_response(decoded.err_value)
     bad = check_request(decoded.ok_value)
     if bad is not None:
         detail = f"expected {bad.expected}"
-        return answer_error(ApiError(ErrorCode.MALFORMED, detail, bad.path))
+        return build_error_response(ApiError(ErrorCode.MALFORMED, detail, bad.path))
     handled = _handle(method_name, method, handlers[method_name], decoded.ok_value)
     if isinstance(handled, Ok):
-        return Answer(STATUS_OK, encode_message(handled.ok_value, form), form)
-    return answer_error(handled.err_value)
+        return CallResponse(STATUS_OK, encode_message(handled.ok_value, form), form)
+    return build_error_response(handled.err_value)
 
 
-def answer_error(error: ApiError) -> Answer:
+def build_error_response(error: ApiError) -> CallResponse:
     """Return the HTTP answer that tells of `error`."""
     status = STATUS_OF_CODE[error.code]
-    return Answer(status, encode_error(error), JSON, math.ceil(error.retry_after_s))
+    return CallResponse(
+        status, encode_error(error), JSON, math.ceil(error.retry_after_s)
+    )
 
 
 def _handle(
@@ -140,9 +144,9 @@
         _logger.exception(
             "handler failed", extra={"step": step, "request_id": request_id}
         )
-        code = ErrorCode.UNKNOWN if method.changes else ErrorCode.INTERNAL
+        code = ErrorCode.UNKNOWN if method.is_mutating else ErrorCode.INTERNAL
         return Err(ApiError(code, "a fault of the daemon; see its log", step=step))
-    if method.changes:
+    if method.is_mutating:
         outcome = handled.err_value.code if isinstance(handled, Err) else "accepted"
         log_step(_logger, logging.INFO, outcome, step, request_id=request_id)
     return handled
--- a/plantainyard/api/checks.py
+++ b/plantainyard/api/checks.py
@@ -18,7 +18,7 @@
     find_key,
 )
 
-__all__ = ["CHECKS", "BadField", "check_request"]
+__all__ = ["CHECKS", "InvalidField", "check_request"]
 
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_-]{0,63}")
 # Callers are told 128; instances put the home domain in front when they pass one on.
@@ -27,141 +27,154 @@
     "instance": build_instance_draining_key,
     "worker": build_worker_draining_key,
 }
-MAX_TITLE = 200
+MAX_JOB_NAME_LENGTH = 200
 MAX_TASKS = 1_000_000
 MAX_RUNNERS = 100_000
-MAX_SIZE = 1_000_000.0
+MAX_RESOURCE = 1_000_000.0
 MAX_RUN_S = 366 * 86_400.0
 MAX_PAYLOAD_BYTES = 65_536
-MAX_PAGE = 1_000
-MAX_PLACES = 10_000
-MAX_CANCELLED = 10_000
-MAX_KEY = 200
+MAX_PAGE_SIZE = 1_000
+MAX_LISTED_TASKS = 10_000
+MAX_CANCELLED_JOBS = 10_000
+MAX_KEY_LENGTH = 200
 MAX_SLOTS = 1_000_000
 NO_VERSION = -1
 
 
-class BadField(NamedTuple):
+class InvalidField(NamedTuple):
     """A field whose value is impossible."""
 
     path: str
     expected: str
 
 
-def check_request(request: Message) -> BadField | None:
+def check_request(request: Message) -> InvalidField | None:
     """Return the first field of `request` that is missing or impossible, or None."""
     check = CHECKS.get(request.DESCRIPTOR.name, lambda _: ())
     return next(iter(check(request)), None)
 
 
-def _name(path: str, value: str) -> Iterator[BadField]:
+def _check_name(path: str, value: str) -> Iterator[InvalidField]:
     if not NAME.fullmatch(value):
-        yield BadField(path, "1 to 64 letters, digits, '-' and '_'")
+        yield InvalidField(path, "1 to 64 letters, digits, '-' and '_'")
 
 
-def _integer(path: str, value: int, low: int, high: int) -> Iterator[BadField]:
+def _check_integer(
+    path: str, value: int, low: int, high: int
+) -> Iterator[InvalidField]:
     if not low <= value <= high:
-        yield BadField(path, f"an integer from {low} to {high}")
+        yield InvalidField(path, f"an integer from {low} to {high}")
 
 
-def _number(path: str, value: float, high: float) -> Iterator[BadField]:
+def _check_number(path: str, value: float, high: float) -> Iterator[InvalidField]:
     if not (math.isfinite(value) and 0 < value <= high):
-        yield BadField(path, f"a number above 0, to {high:g}")
+        yield InvalidField(path, f"a number above 0, to {high:g}")
 
 
-def _request_id(request: Any) -> Iterator[BadField]:
+def _check_request_id(request: Any) -> Iterator[InvalidField]:
     if not REQUEST_ID.fullmatch(request.request_id):
-        yield BadField("request_id", "8 to 128 letters, digits, '.', '_' and '-'")
+        yield InvalidField("request_id", "8 to 128 letters, digits, '.', '_' and '-'")
 
 
-def _size(size: schema.Size) -> Iterator[BadField]:
-    yield from _number("size.cores", size.cores, MAX_SIZE)
-    yield from _number("size.memory_gb", size.memory_gb, MAX_SIZE)
-    yield from _integer("size.accelerators", size.accelerators, 0, int(MAX_SIZE))
+def _check_size(size: schema.Size) -> Iterator[InvalidField]:
+    yield from _check_number("size.cores", size.cores, MAX_RESOURCE)
+    yield from _check_number("size.memory_gb", size.memory_gb, MAX_RESOURCE)
+    yield from _check_integer(
+        "size.accelerators", size.accelerators, 0, int(MAX_RESOURCE)
+    )
 
 
-def _constraints(limits: schema.Constraints) -> Iterator[BadField]:
+def _check_constraints(limits: schema.Constraints) -> Iterator[InvalidField]:
     for field, names in (("regions", limits.regions), ("domains", limits.domains)):
         for i, name in enumerate(names):
-            yield from _name(f"constraints.{field}[{i}]", name)
+            yield from _check_name(f"constraints.{field}[{i}]", name)
     if limits.accelerator:
-        yield from _name("constraints.accelerator", limits.accelerator)
+        yield from _check_name("constraints.accelerator", limits.accelerator)
 
 
-def _work(request: Any) -> Iterator[BadField]:
-    yield from _request_id(request)
-    yield from _name("team", request.team)
-    yield from _size(request.size)
-    yield from _constraints(request.constraints)
+def _check_declaration(request: Any) -> Iterator[InvalidField]:
+    yield from _check_request_id(request)
+    yield from _check_name("team", request.team)
+    yield from _check_size(request.size)
+    yield from _check_constraints(request.constraints)
     if request.workload:
-        yield from _name("workload", request.workload)
+        yield from _check_name("workload", request.workload)
     if len(request.payload.encode()) > MAX_PAYLOAD_BYTES:
-        yield BadField("payload", f"at most {MAX_PAYLOAD_BYTES} bytes")
+        yield InvalidField("payload", f"at most {MAX_PAYLOAD_BYTES} bytes")
 
 
-def _create_service(request: schema.CreateServiceRequest) -> Iterator[BadField]:
-    yield from _name("name", request.name)
-    yield from _work(request)
+def _check_create_service(
+    request: schema.CreateServiceRequest,
+) -> Iterator[InvalidField]:
+    yield from _check_name("name", request.name)
+    yield from _check_declaration(request)
     if not request.runners:
-        yield BadField("runners", "at least one failure domain")
+        yield InvalidField("runners", "at least one failure domain")
     allowed = request.constraints.domains
     for domain, number in request.runners.items():
-        yield from _name("runners", domain)
-        yield from _integer(f"runners.{domain}", number, 1, MAX_RUNNERS)
+        yield from _check_name("runners", domain)
+        yield from _check_integer(f"runners.{domain}", number, 1, MAX_RUNNERS)
         if allowed and domain not in allowed:
-            yield BadField(f"runners.{domain}", "a domain that constraints.domains has")
-    yield from _integer("slots", request.slots, 1, MAX_SLOTS)
-    yield from _integer("connections", request.connections, 1, MAX_SLOTS)
+            yield InvalidField(
+                f"runners.{domain}", "a domain that constraints.domains has"
+            )
+    yield from _check_integer("slots", request.slots, 1, MAX_SLOTS)
+    yield from _check_integer("connections", request.connections, 1, MAX_SLOTS)
 
 
-def _create_job(request: schema.CreateJobRequest) -> Iterator[BadField]:
-    if not 0 < len(request.name) <= MAX_TITLE or not request.name.isprintable():
-        yield BadField("name", f"1 to {MAX_TITLE} printable characters")
-    yield from _work(request)
-    yield from _integer("task_count", request.task_count, 1, MAX_TASKS)
-    yield from _number("run_s", request.run_s, MAX_RUN_S)
+def _check_create_job(request: schema.CreateJobRequest) -> Iterator[InvalidField]:
+    if (
+        not 0 < len(request.name) <= MAX_JOB_NAME_LENGTH
+        or not request.name.isprintable()
+    ):
+        yield InvalidField("name", f"1 to {MAX_JOB_NAME_LENGTH} printable characters")
+    yield from _check_declaration(request)
+    yield from _check_integer("task_count", request.task_count, 1, MAX_TASKS)
+    yield from _check_number("run_s", request.run_s, MAX_RUN_S)
 
 
-def _list_jobs(request: schema.ListJobsRequest) -> Iterator[BadField]:
-    yield from _integer("page_size", request.page_size, 0, MAX_PAGE)
+def _check_list_jobs(request: schema.ListJobsRequest) -> Iterator[InvalidField]:
+    yield from _check_integer("page_size", request.page_size, 0, MAX_PAGE_SIZE)
 
 
-def _describe_job(request: schema.DescribeJobRequest) -> Iterator[BadField]:
+def _check_describe_job(request: schema.DescribeJobRequest) -> Iterator[InvalidField]:
     if not request.job_id:
-        yield BadField("job_id", "the id of a job")
-    yield from _integer("tasks_limit", request.tasks_limit, 0, MAX_PLACES)
+        yield InvalidField("job_id", "the id of a job")
+    yield from _check_integer("tasks_limit", request.tasks_limit, 0, MAX_LISTED_TASKS)
 
 
-def _explain_task(request: schema.ExplainTaskRequest) -> Iterator[BadField]:
+def _check_explain_task(request: schema.ExplainTaskRequest) -> Iterator[InvalidField]:
     if not request.job_id:
-        yield BadField("job_id", "the id of a job")
-    yield from _integer("number", request.number, 0, MAX_TASKS)
+        yield InvalidField("job_id", "the id of a job")
+    yield from _check_integer("number", request.number, 0, MAX_TASKS)
 
 
-def _cancel_jobs(request: schema.CancelJobsRequest) -> Iterator[BadField]:
-    yield from _request_id(request)
-    if not 0 < len(request.job_ids) <= MAX_CANCELLED:
-        yield BadField("job_ids", f"1 to {MAX_CANCELLED} job ids")
+def _check_cancel_jobs(request: schema.CancelJobsRequest) -> Iterator[InvalidField]:
+    yield from _check_request_id(request)
+    if not 0 < len(request.job_ids) <= MAX_CANCELLED_JOBS:
+        yield InvalidField("job_ids", f"1 to {MAX_CANCELLED_JOBS} job ids")
     for i, job_id in enumerate(request.job_ids):
         if not job_id:
-            yield BadField(f"job_ids[{i}]", "the id of a job")
+            yield InvalidField(f"job_ids[{i}]", "the id of a job")
 
 
-def _apply_configuration(
+def _check_apply_configuration(
     request: schema.ApplyConfigurationRequest,
-) -> Iterator[BadField]:
-    yield from _request_id(request)
+) -> Iterator[InvalidField]:
+    yield from _check_request_id(request)
     if not request.HasField("base_version") or request.base_version < NO_VERSION:
-        yield BadField("base_version", "the version read before, -1 for none")
+        yield InvalidField("base_version", "the version read before, -1 for none")
     if not request.changes:
-        yield BadField("changes", "at least one key")
+        yield InvalidField("changes", "at least one key")
     for key, value in request.changes.items():
-        if len(key) > MAX_KEY:
-            yield BadField(f"changes.{key}", f"a key of at most {MAX_KEY} characters")
+        if len(key) > MAX_KEY_LENGTH:
+            yield InvalidField(
+                f"changes.{key}", f"a key of at most {MAX_KEY_LENGTH} characters"
+            )
         elif not all(map(math.isfinite, _iter_numbers(value))):
-            yield BadField(f"changes.{key}", "finite numbers")
+            yield InvalidField(f"changes.{key}", "finite numbers")
         elif expected := check_change(key, read_value(value)):
-            yield BadField(f"changes.{key}", expected)
+            yield InvalidField(f"changes.{key}", expected)
 
 
 def _iter_numbers(value: Value) -> Iterator[float]:
@@ -176,27 +189,29 @@
     yield from chain.from_iterable(map(_iter_numbers, inner))
 
 
-def _history(request: schema.GetConfigurationHistoryRequest) -> Iterator[BadField]:
-    yield from _integer("limit", request.limit, 0, MAX_PAGE)
+def _check_history(
+    request: schema.GetConfigurationHistoryRequest,
+) -> Iterator[InvalidField]:
+    yield from _check_integer("limit", request.limit, 0, MAX_PAGE_SIZE)
 
 
-def _drain(request: schema.DrainRequest) -> Iterator[BadField]:
-    yield from _request_id(request)
+def _check_drain(request: schema.DrainRequest) -> Iterator[InvalidField]:
+    yield from _check_request_id(request)
     target = request.WhichOneof("target")
     if target is None:
-        yield BadField("instance", "an instance or a worker")
+        yield InvalidField("instance", "an instance or a worker")
     elif find_key(DRAINING_KEYS[target](getattr(request, target))) is None:
-        yield BadField(target, "letters, digits, '.', '-' and '_'")
-
-
-CHECKS: dict[str, Callable[[Any], Iterable[BadField]]] = {
-    "CreateServiceRequest": _create_service,
-    "CreateJobRequest": _create_job,
-    "ListJobsRequest": _list_jobs,
-    "DescribeJobRequest": _describe_job,
-    "ExplainTaskRequest": _explain_task,
-    "CancelJobsRequest": _cancel_jobs,
-    "ApplyConfigurationRequest": _apply_configuration,
-    "GetConfigurationHistoryRequest": _history,
-    "DrainRequest": _drain,
+        yield InvalidField(target, "letters, digits, '.', '-' and '_'")
+
+
+CHECKS: dict[str, Callable[[Any], Iterable[InvalidField]]] = {
+    "CreateServiceRequest": _check_create_service,
+    "CreateJobRequest": _check_create_job,
+    "ListJobsRequest": _check_list_jobs,
+    "DescribeJobRequest": _check_describe_job,
+    "ExplainTaskRequest": _check_explain_task,
+    "CancelJobsRequest": _check_cancel_jobs,
+    "ApplyConfigurationRequest": _check_apply_configuration,
+    "GetConfigurationHistoryRequest": _check_history,
+    "DrainRequest": _check_drain,
 }
--- a/plantainyard/api/codec.py
+++ b/plantainyard/api/codec.py
@@ -24,7 +24,7 @@
 JSON = "application/json"
 BINARY = "application/x-protobuf"
 BINARY_NAMES = frozenset({BINARY, "application/protobuf"})
-WELL_KNOWN = "google.protobuf."
+WELL_KNOWN_PACKAGE = "google.protobuf."
 PARSE_ERRORS = (
     json_format.ParseError,
     ValueError,
@@ -34,7 +34,7 @@
     RecursionError,
     EncodeError,
 )
-EXPECTED = {
+EXPECTED_TYPES = {
     FieldDescriptor.CPPTYPE_INT32: "an integer of 32 bits",
     FieldDescriptor.CPPTYPE_INT64: "an integer of 64 bits",
     FieldDescriptor.CPPTYPE_DOUBLE: "a number",
@@ -43,10 +43,10 @@
     FieldDescriptor.CPPTYPE_MESSAGE: "an object",
 }
 
-SomeMessage = TypeVar("SomeMessage", bound=Message)
+MessageT = TypeVar("MessageT", bound=Message)
 
 
-class Fault(NamedTuple):
+class FieldError(NamedTuple):
     """A field that can't be read, and why."""
 
     path: str
@@ -68,8 +68,8 @@
 
 
 def decode_message(
-    message_class: type[SomeMessage], content_type: str, body: bytes
-) -> Result[SomeMessage, ApiError]:
+    message_class: type[MessageT], content_type: str, body: bytes
+) -> Result[MessageT, ApiError]:
     """Return the message in `body`, or an error that names the field at fault.
 
     Parameters
@@ -105,8 +105,8 @@
 
 
 def _decode_binary(
-    message_class: type[SomeMessage], body: bytes
-) -> Result[SomeMessage, ApiError]:
+    message_class: type[MessageT], body: bytes
+) -> Result[MessageT, ApiError]:
     message = message_class()
     try:
         message.ParseFromString(body)
@@ -132,10 +132,10 @@
 
 
 def _decode_json(
-    message_class: type[SomeMessage], body: bytes
-) -> Result[SomeMessage, ApiError]:
+    message_class: type[MessageT], body: bytes
+) -> Result[MessageT, ApiError]:
     try:
-        data = json.loads(body or b"{}", object_pairs_hook=_refuse_duplicates)
+        data = json.loads(body or b"{}", object_pairs_hook=_reject_duplicates)
     except (ValueError, RecursionError) as error:
         return Err(ApiError(ErrorCode.MALFORMED, f"not a JSON object: {error}"))
     if not isinstance(data, dict):
@@ -145,13 +145,13 @@
         json_format.ParseDict(data, message)
         message.SerializeToString()
     except PARSE_ERRORS as error:
-        found = _find_fault(data, message.DESCRIPTOR, "")
-        fault = found or Fault("", str(error).partition("\n")[0])
+        found = _find_field_error(data, message.DESCRIPTOR, "")
+        fault = found or FieldError("", str(error).partition("\n")[0])
         return Err(ApiError(ErrorCode.MALFORMED, fault.detail, fault.path))
     return Ok(message)
 
 
-def _refuse_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _reject_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     data = dict(pairs)
     if len(data) != len(pairs):
         names = [name for name, _ in pairs]
@@ -160,7 +160,9 @@
     return data
 
 
-def _find_fault(data: dict[str, Any], message: Any, path: str) -> Fault | None:
+def _find_field_error(
+    data: dict[str, Any], message: Any, path: str
+) -> FieldError | None:
     """Return the first field of `data` that `message` can't take.
 
     The library's own texts name only part of a path, and differ between versions.
@@ -171,17 +173,19 @@
     for name, value in data.items():
         if name not in names:
             known = ", ".join(field.name for field in message.fields)
-            return Fault(f"{path}{name}", f"unknown field; known are {known or 'none'}")
-        if fault := _find_value_fault(
+            return FieldError(
+                f"{path}{name}", f"unknown field; known are {known or 'none'}"
+            )
+        if fault := _find_value_error(
             message_class, names[name], value, f"{path}{name}"
         ):
             return fault
     return None
 
 
-def _find_value_fault(
+def _find_value_error(
     message_class: type[Message], field: FieldDescriptor, value: Any, path: str
-) -> Fault | None:
+) -> FieldError | None:
     inner = field.message_type if _is_plain_message(field) else None
     if inner is not None:
         if field.is_repeated and isinstance(value, list):
@@ -190,7 +194,7 @@
             places = [(path, value)]
         for place, item in places:
             if isinstance(item, dict) and (
-                fault := _find_fault(item, inner, f"{place}.")
+                fault := _find_field_error(item, inner, f"{place}.")
             ):
                 return fault
     whole = message_class()
@@ -198,7 +202,7 @@
         json_format.ParseDict({field.name: value}, whole)
         whole.SerializeToString()
     except PARSE_ERRORS:
-        return Fault(path, f"expected {_describe_expected(field)}")
+        return FieldError(path, f"expected {_describe_expected(field)}")
     return None
 
 
@@ -208,10 +212,13 @@
         return f"an object whose values are each {_describe_expected(value)}"
     if field.enum_type is not None:
         one = f"one of {', '.join(value.name for value in field.enum_type.values)}"
-    elif field.message_type and field.message_type.full_name == f"{WELL_KNOWN}Value":
+    elif (
+        field.message_type
+        and field.message_type.full_name == f"{WELL_KNOWN_PACKAGE}Value"
+    ):
         one = "a JSON value"
     else:
-        one = EXPECTED[field.cpp_type]
+        one = EXPECTED_TYPES[field.cpp_type]
     return f"a list whose items are each {one}" if field.is_repeated else one
 
 
@@ -225,5 +232,5 @@
     return (
         message is not None
         and not _is_map(field)
-        and not message.full_name.startswith(WELL_KNOWN)
+        and not message.full_name.startswith(WELL_KNOWN_PACKAGE)
     )
--- a/plantainyard/api/convert.py
+++ b/plantainyard/api/convert.py
@@ -10,7 +10,7 @@
 from plantainyard.work import Constraints, Job, Size
 
 __all__ = [
-    "iter_service_parts",
+    "iter_service_jobs",
     "read_changes",
     "read_constraints",
     "read_job",
@@ -60,7 +60,7 @@
     )
 
 
-def iter_service_parts(
+def iter_service_jobs(
     request: schema.CreateServiceRequest, job_id: str
 ) -> Iterator[Job]:
     """Yield the job of each failure domain that a service has runners in.
--- a/plantainyard/api/gauges.py
+++ b/plantainyard/api/gauges.py
@@ -10,10 +10,10 @@
 __all__ = ["record_process", "record_status"]
 
 LIVE = "live"
-MS_IN_S = 1_000
-LONGEST_S = 1e9
+MS_PER_S = 1_000
+MAX_AGE_S = 1e9
 STATM = Path("/proc/self/statm")
-RESIDENT_FIELD = 1
+RESIDENT_PAGES_FIELD = 1
 
 
 def record_status(meter: Meter, status: schema.StatusResponse) -> None:
@@ -37,21 +37,21 @@
     set_gauge(meter, "requests.queued", status.requests_queued)
     set_gauge(meter, "requests.in_progress", status.requests_in_progress)
     set_gauge(meter, "config.version", status.configuration_version)
-    set_gauge(meter, "config.age", _clip(status.configuration_age_s))
+    set_gauge(meter, "config.age", _limit_age(status.configuration_age_s))
     ages = [age.age_s for age in status.streams]
-    set_gauge(meter, "log.age", _clip(max(ages, default=0.0)))
+    set_gauge(meter, "log.age", _limit_age(max(ages, default=0.0)))
     set_gauge(meter, "peers.live", sum(peer.state == LIVE for peer in status.peers))
     set_gauge(meter, "process.ready", int(status.ready))
 
 
-def _clip(age_s: float) -> float:
+def _limit_age(age_s: float) -> float:
     """Return an age that a gauge can have, also where something never was."""
-    return min(age_s, LONGEST_S)
+    return min(age_s, MAX_AGE_S)
 
 
 def record_process(meter: Meter) -> None:
     """Record the processor time since the last call, and the resident memory."""
-    spent_ms = int(time.process_time() * MS_IN_S)
+    spent_ms = int(time.process_time() * MS_PER_S)
     add_count(meter, "process.cpu", spent_ms - meter.counts.get("process.cpu", 0))
-    pages = int(STATM.read_text("ascii").split()[RESIDENT_FIELD])
+    pages = int(STATM.read_text("ascii").split()[RESIDENT_PAGES_FIELD])
     set_gauge(meter, "process.memory", pages * resource.getpagesize())
--- a/plantainyard/api/tests/test_calls.py
+++ b/plantainyard/api/tests/test_calls.py
@@ -18,7 +18,7 @@
     create_app,
     decode_error,
     encode_error,
-    iter_service_parts,
+    iter_service_jobs,
     read_changes,
     serve_call,
 )
@@ -55,7 +55,7 @@
 
 
 def accept_job(accepted: dict):
-    """Answer as a daemon does: the job's id follows from the request id."""
+    """CallResponse as a daemon does: the job's id follows from the request id."""
 
     def handle(request):
         job_id = accepted.setdefault(request.request_id, f"j{len(accepted)}")
@@ -204,7 +204,7 @@
     request = schema.CreateServiceRequest(
         name="orders", runners={"tema-harbour": 2, "accra-central": 3}, slots=8
     )
-    parts = list(iter_service_parts(request, "s1"))
+    parts = list(iter_service_jobs(request, "s1"))
     assert [(p.id, p.task_count, p.constraints.domains) for p in parts] == [
         ("s1.accra-central", 3, ("accra-central",)),
         ("s1.tema-harbour", 2, ("tema-harbour",)),
--- a/plantainyard/commands/caller.py
+++ b/plantainyard/commands/caller.py
@@ -78,7 +78,7 @@
     try:
         return _call_in_rounds(world, access, method, request, timeout_s)
     except KeyboardInterrupt:
-        if METHODS[method].changes:
+        if METHODS[method].is_mutating:
             note = f"{method} may have been done; repeat with --request_id={request_id}"
             print(f"\nInterrupted: {note}", file=world.err)
         raise
@@ -87,7 +87,7 @@
 def _call_in_rounds(
     world: World, access: Access, method: str, request: Message, timeout_s: float
 ) -> Result[Any, Failure]:
-    changes = METHODS[method].changes
+    changes = METHODS[method].is_mutating
     request_id = getattr(request, "request_id", "")
     lost: Failure | None = None
     failures: list[Failure] = []
@@ -158,7 +158,7 @@
     told = ApiError(
         ErrorCode.UNKNOWN, describe_error(error), step=error.step, peer=error.peer
     )
-    if error.kind == ErrorKind.UNREACHABLE or not METHODS[method].changes:
+    if error.kind == ErrorKind.UNREACHABLE or not METHODS[method].is_mutating:
         return Failure(ExitCode.UNREACHABLE, told._replace(code=ErrorCode.REFUSED))
     return Failure(ExitCode.UNKNOWN, told)
 
@@ -182,7 +182,7 @@
 def _judge_strange(method: str, address: str, answer: HttpResponse) -> Failure:
     """Judge an answer that is none of the schema's, say of something in between."""
     detail = f"status {answer.status} with a body that is not of the schema"
-    if METHODS[method].changes:
+    if METHODS[method].is_mutating:
         return Failure(
             ExitCode.UNKNOWN, ApiError(ErrorCode.UNKNOWN, detail, peer=address)
         )
--- a/plantainyard/gateway/__init__.py
+++ b/plantainyard/gateway/__init__.py
@@ -5,22 +5,22 @@
     describe_gateway,
     drain_gateway,
     is_alive,
-    read_room,
+    post_event,
+    read_free_credits,
     run_gateway,
-    tell_event,
 )
-from plantainyard.gateway.peers import ask_owner, call_peer
+from plantainyard.gateway.peers import call_peer, send_credit_request
 from plantainyard.gateway.server import serve_gateway
 
 __all__ = [
     "Gateway",
-    "ask_owner",
+    "send_credit_request",
     "call_peer",
     "describe_gateway",
     "drain_gateway",
     "is_alive",
-    "read_room",
+    "read_free_credits",
     "run_gateway",
     "serve_gateway",
-    "tell_event",
+    "post_event",
 ]
--- a/plantainyard/gateway/actor.py
+++ b/plantainyard/gateway/actor.py
@@ -1,7 +1,7 @@
 """The actor that owns a gateway's state.
 
-A caller's thread tells the actor of its request and waits on a ticket of its own. The
-actor decides and puts what is to be done on the ticket; the caller's thread does it,
+A caller's thread tells the actor of its request and waits on a channel of its own. The
+actor decides and puts what is to be done on the channel; the caller's thread does it,
 so that the actor never waits for a runner or a peer.
 """
 
@@ -15,7 +15,7 @@
 import pykka
 
 from plantainyard.clock import read_clock
-from plantainyard.gateway.tuning import build_routing_settings
+from plantainyard.gateway.routing_settings import build_routing_settings
 from plantainyard.routing import (
     Action,
     Answer,
@@ -40,25 +40,25 @@
 
 __all__ = [
     "Gateway",
-    "Ticket",
-    "close_ticket",
+    "ActionChannel",
+    "close_channel",
     "describe_gateway",
     "drain_gateway",
     "is_alive",
-    "open_ticket",
-    "read_room",
+    "open_channel",
+    "read_free_credits",
     "run_gateway",
-    "tell_event",
+    "post_event",
 ]
 
-_TICK_S = 0.1
+_TICK_INTERVAL_S = 0.1
 _DUMP_TIMEOUT_S = 2.0
 _STOP_TIMEOUT_S = 5.0
 
 _logger = logging.getLogger(__name__)
 
 
-class Ticket:
+class ActionChannel:
     """Where a caller's thread waits for what it is to do next.
 
     Parameters
@@ -79,16 +79,16 @@
     ----------
     ref : pykka.ActorRef
         The actor that owns the state.
-    tickets : dict of str to Ticket
+    channels : dict of str to ActionChannel
         Those of the requests in progress.
     lock : threading.Lock
-        Held while the tickets change.
+        Held while the channels change.
     drained : threading.Event
         Set once nothing is in progress after `drain_gateway`.
     """
 
     ref: pykka.ActorRef[Any]
-    tickets: dict[str, Ticket]
+    channels: dict[str, ActionChannel]
     lock: threading.Lock
     drained: threading.Event
 
@@ -97,7 +97,7 @@
     """Asks the actor for its state as plain values."""
 
 
-class _Room(NamedTuple):
+class _ReadFreeCredits(NamedTuple):
     """Asks the actor for its free credits."""
 
 
@@ -116,7 +116,7 @@
     def on_receive(self, message: Any) -> Any:
         if isinstance(message, _Dump):
             return self._dump()
-        if isinstance(message, _Room):
+        if isinstance(message, _ReadFreeCredits):
             return count_free_credits(self.state, read_clock())
         events = [message]
         while events:
@@ -149,12 +149,12 @@
         after this one, may have it.
     ask : callable
         Takes a credit ask to its rack's owner without waiting, and later tells the
-        answer with `tell_event`.
+        answer with `post_event`.
     """
     instance = settings.instance
     place = Location(instance.id, instance.domain, instance.region)
     state = GatewayState(place, name, build_routing_settings(settings))
-    tickets: dict[str, Ticket] = {}
+    channels: dict[str, ActionChannel] = {}
     lock, drained = threading.Lock(), threading.Event()
 
     def perform(action: Action) -> Event | None:
@@ -164,11 +164,11 @@
             case Drained():
                 drained.set()
             case Send() | Forward() | Answer():
-                return _deliver(tickets, lock, action)
+                return _deliver(channels, lock, action)
         return None
 
     ref = _GatewayActor.start(state, perform)
-    gateway = Gateway(ref, tickets, lock, drained)
+    gateway = Gateway(ref, channels, lock, drained)
     try:
         with _run_ticks(gateway):
             yield gateway
@@ -176,34 +176,34 @@
         ref.stop(block=True, timeout=_STOP_TIMEOUT_S)
 
 
-def tell_event(gateway: Gateway, event: Event) -> None:
+def post_event(gateway: Gateway, event: Event) -> None:
     """Hand an event to the actor without waiting; an actor that ended takes none."""
     with contextlib.suppress(pykka.ActorDeadError):
         gateway.ref.tell(event)
 
 
-def open_ticket(gateway: Gateway, arrival: RequestArrived) -> Ticket:
-    """Hand a request to the actor and return the ticket to wait on."""
-    ticket = Ticket(arrival.request.key)
+def open_channel(gateway: Gateway, arrival: RequestArrived) -> ActionChannel:
+    """Hand a request to the actor and return the channel to wait on."""
+    channel = ActionChannel(arrival.request.key)
     with gateway.lock:
-        gateway.tickets[ticket.key] = ticket
-    tell_event(gateway, arrival)
-    return ticket
+        gateway.channels[channel.key] = channel
+    post_event(gateway, arrival)
+    return channel
 
 
-def close_ticket(gateway: Gateway, ticket: Ticket) -> None:
-    """End the waiting on a ticket and give back what was not done."""
+def close_channel(gateway: Gateway, channel: ActionChannel) -> None:
+    """End the waiting on a channel and give back what was not done."""
     with gateway.lock:
-        gateway.tickets.pop(ticket.key, None)
-    while not ticket.actions.empty():
-        event = _refuse(ticket.actions.get())
+        gateway.channels.pop(channel.key, None)
+    while not channel.actions.empty():
+        event = _build_not_sent_event(channel.actions.get())
         if event is not None:
-            tell_event(gateway, event)
+            post_event(gateway, event)
 
 
 def drain_gateway(gateway: Gateway, grace_s: float) -> None:
     """Begin the planned stop; `Gateway.drained` tells the end."""
-    tell_event(gateway, Drain(grace_s))
+    post_event(gateway, Drain(grace_s))
 
 
 def describe_gateway(gateway: Gateway) -> dict[str, Any]:
@@ -212,9 +212,9 @@
     return dict(dump)
 
 
-def read_room(gateway: Gateway) -> dict[str, int]:
+def read_free_credits(gateway: Gateway) -> dict[str, int]:
     """Return the free credits for each service, for the heartbeats to peers."""
-    room: Any = gateway.ref.ask(_Room(), timeout=_DUMP_TIMEOUT_S)
+    room: Any = gateway.ref.ask(_ReadFreeCredits(), timeout=_DUMP_TIMEOUT_S)
     return dict(room)
 
 
@@ -224,19 +224,21 @@
 
 
 def _deliver(
-    tickets: dict[str, Ticket], lock: threading.Lock, action: Send | Forward | Answer
+    channels: dict[str, ActionChannel],
+    lock: threading.Lock,
+    action: Send | Forward | Answer,
 ) -> Event | None:
     with lock:
-        ticket = tickets.get(action.key)
-        if ticket is not None:
-            ticket.actions.put(action)
+        channel = channels.get(action.key)
+        if channel is not None:
+            channel.actions.put(action)
             return None
     # The caller's thread has gone: nobody would do the sending, and its slot would
     # stay taken for ever.
-    return _refuse(action)
+    return _build_not_sent_event(action)
 
 
-def _refuse(action: Action) -> Event | None:
+def _build_not_sent_event(action: Action) -> Event | None:
     if isinstance(action, Send):
         return AttemptEnded(action.key, SendResult.NOT_SENT)
     if isinstance(action, Forward):
@@ -249,8 +251,8 @@
     stop = threading.Event()
 
     def run() -> None:
-        while not stop.wait(_TICK_S):
-            tell_event(gateway, Tick())
+        while not stop.wait(_TICK_INTERVAL_S):
+            post_event(gateway, Tick())
 
     thread = threading.Thread(target=run, name="gateway-ticks", daemon=True)
     thread.start()
--- a/plantainyard/gateway/app.py
+++ b/plantainyard/gateway/app.py
@@ -14,21 +14,25 @@
 from plantainyard.api.app import read_body
 from plantainyard.clock import read_clock
 from plantainyard.gateway.actor import (
+    ActionChannel,
     Gateway,
-    Ticket,
-    close_ticket,
+    close_channel,
     is_alive,
-    open_ticket,
-    tell_event,
+    open_channel,
+    post_event,
 )
-from plantainyard.gateway.intake import Intake, read_caller, read_forward
-from plantainyard.gateway.sending import (
+from plantainyard.gateway.attempts import (
+    RunnerAttempt,
     Sender,
-    Sending,
-    give_up_sending,
-    pack_answer,
+    abandon_attempt,
+    build_forward_answer,
     send_forward,
-    start_sending,
+    start_attempt,
+)
+from plantainyard.gateway.parsing import (
+    IncomingRequest,
+    parse_caller_request,
+    parse_forward_request,
 )
 from plantainyard.metrics import Meter, add_count, add_timing
 from plantainyard.protocol import (
@@ -59,11 +63,11 @@
 
 _PREFIX = "/v1/services/"
 _SUFFIX = "/requests"
-_SPARE_THREADS = 4
-_ALIVE_CHECK_S = 0.5
+_RESERVED_THREADS = 4
+_ALIVE_CHECK_INTERVAL_S = 0.5
 _GRACE_S = 1.0
-_RETRY_S = 1.0
-_MS = 1000.0
+_RETRY_AFTER_S = 1.0
+_MS_PER_S = 1000.0
 _JSON = "application/json"
 
 
@@ -80,14 +84,14 @@
     """
     limit = settings.limits.body_bytes
     token = settings.security.token.reveal()
-    room = max(1, settings.limits.caller_threads - _SPARE_THREADS)
+    room = max(1, settings.limits.caller_threads - _RESERVED_THREADS)
     places = threading.BoundedSemaphore(room)
 
-    def handle(intake: Intake) -> FinalAnswer:
+    def handle(intake: IncomingRequest) -> FinalAnswer:
         if not places.acquire(blocking=False):
-            return _refuse_full(intake.request)
+            return _build_full_answer(intake.request)
         try:
-            return _carry(gateway, sender, intake)
+            return _process_request(gateway, sender, intake)
         finally:
             places.release()
 
@@ -115,7 +119,7 @@
         start: StartResponse, environ: WSGIEnvironment, service: str, body: bytes
     ) -> Iterable[bytes]:
         begun = read_clock()
-        read = read_caller(environ, service, body, settings)
+        read = parse_caller_request(environ, service, body, settings)
         if isinstance(read, Err):
             add_count(meter, "calls.malformed")
             detail = read.err_value
@@ -123,60 +127,65 @@
             return _send_answer(start, answer, "")
         answer = handle(read.ok_value)
         add_count(meter, f"requests.{answer.outcome}")
-        add_timing(meter, "requests.latency", (read_clock() - begun) * _MS)
+        add_timing(meter, "requests.latency", (read_clock() - begun) * _MS_PER_S)
         return _send_answer(start, answer, read.ok_value.request.id)
 
     return serve
 
 
 def _serve_peer(
-    start: StartResponse, body: bytes, handle: Callable[[Intake], FinalAnswer]
+    start: StartResponse, body: bytes, handle: Callable[[IncomingRequest], FinalAnswer]
 ) -> Iterable[bytes]:
     read = decode_message(body, ForwardAsk, "peer")
     if isinstance(read, Err):
         return _send_error(start, HTTPStatus.BAD_REQUEST, read.err_value.detail)
-    intake = read_forward(read.ok_value)
+    intake = parse_forward_request(read.ok_value)
     if isinstance(intake, Err):
         return _send_error(start, HTTPStatus.BAD_REQUEST, intake.err_value)
     answer = handle(intake.ok_value)
-    message = pack_answer(answer, read.ok_value.request_id)
+    message = build_forward_answer(answer, read.ok_value.request_id)
     return _send(start, HTTPStatus.OK, encode_message(message), _JSON, [])
 
 
-def _carry(gateway: Gateway, sender: Sender, intake: Intake) -> FinalAnswer:
-    """Do what the actor puts on the request's ticket until it has an answer."""
+def _process_request(
+    gateway: Gateway, sender: Sender, intake: IncomingRequest
+) -> FinalAnswer:
+    """Do what the actor puts on the request's channel until it has an answer."""
     sent = False
-    sending: Sending | None = None
-    ticket = open_ticket(gateway, RequestArrived(intake.request, time.time()))
+    sending: RunnerAttempt | None = None
+    channel = open_channel(gateway, RequestArrived(intake.request, time.time()))
     try:
         while True:
-            action = _await_action(gateway, ticket, intake.request, sending)
+            action = _await_action(gateway, channel, intake.request, sending)
             match action:
                 case Answer():
                     return action.answer
                 case Send():
                     sent = True
-                    sending = start_sending(
+                    sending = start_attempt(
                         sender,
                         action,
                         intake.body,
                         intake.content_type,
-                        partial(tell_event, gateway),
+                        partial(post_event, gateway),
                     )
                 case Forward():
                     sent = True
                     ended = send_forward(
                         sender, action, intake.body, intake.content_type
                     )
-                    tell_event(gateway, ended)
+                    post_event(gateway, ended)
                 case _:
-                    return _give_up(intake.request, sent)
+                    return _build_lost_answer(intake.request, sent)
     finally:
-        close_ticket(gateway, ticket)
+        close_channel(gateway, channel)
 
 
 def _await_action(
-    gateway: Gateway, ticket: Ticket, request: Request, sending: Sending | None
+    gateway: Gateway,
+    channel: ActionChannel,
+    request: Request,
+    sending: RunnerAttempt | None,
 ) -> Action | None:
     """Return the next action, or None once the actor is dead or far too late.
 
@@ -185,31 +194,32 @@
     last = request.deadline + _GRACE_S
     while (now := read_clock()) < last and is_alive(gateway):
         if sending is not None and now >= request.deadline:
-            event = give_up_sending(sending)
+            event = abandon_attempt(sending)
             sending = None
             if event is not None:
-                tell_event(gateway, event)
+                post_event(gateway, event)
         waits = sending is not None and now < request.deadline
         wait_s = min(
-            _ALIVE_CHECK_S, request.deadline - now if waits else _ALIVE_CHECK_S
+            _ALIVE_CHECK_INTERVAL_S,
+            request.deadline - now if waits else _ALIVE_CHECK_INTERVAL_S,
         )
         with contextlib.suppress(Empty):
-            return ticket.actions.get(timeout=wait_s)
+            return channel.actions.get(timeout=wait_s)
     return None
 
 
-def _give_up(request: Request, sent: bool) -> FinalAnswer:
+def _build_lost_answer(request: Request, sent: bool) -> FinalAnswer:
     # Without the actor nobody knows whether the id ran before; a request that can be
     # repeated and that reached nobody did not run.
     safe = request.idempotent and not sent
     outcome = Outcome.REFUSED if safe else Outcome.UNKNOWN
-    return FinalAnswer(outcome, Reason.ANSWER_LOST, _RETRY_S)
+    return FinalAnswer(outcome, Reason.ANSWER_LOST, _RETRY_AFTER_S)
 
 
-def _refuse_full(request: Request) -> FinalAnswer:
+def _build_full_answer(request: Request) -> FinalAnswer:
     # The id of a non-idempotent request was not judged: it may have run before.
     outcome = Outcome.REFUSED if request.idempotent else Outcome.UNKNOWN
-    return FinalAnswer(outcome, Reason.QUEUE_FULL, _RETRY_S)
+    return FinalAnswer(outcome, Reason.QUEUE_FULL, _RETRY_AFTER_S)
 
 
 def _send_answer(
--- a/plantainyard/gateway/sending.py
+++ b/plantainyard/gateway/attempts.py
@@ -38,17 +38,17 @@
 
 __all__ = [
     "Sender",
-    "Sending",
-    "give_up_sending",
-    "pack_answer",
+    "RunnerAttempt",
+    "abandon_attempt",
+    "build_forward_answer",
     "send_forward",
     "send_to_runner",
-    "start_sending",
+    "start_attempt",
 ]
 
-LEAVING_HEADER = "Leaving"
-RUNNER_CONNECT_S = 0.25
-SERVER_ERROR = 500
+_LEAVING_HEADER = "Leaving"
+_RUNNER_CONNECT_TIMEOUT_S = 0.25
+_SERVER_ERROR = 500
 
 
 class Sender(NamedTuple):
@@ -76,7 +76,7 @@
     request_max_s: float
 
 
-class Sending:
+class RunnerAttempt:
     """A sending to a runner on a thread of its own.
 
     Parameters
@@ -90,16 +90,16 @@
         self.lock = threading.Lock()
         self.begun = float("nan")
         self.is_ended = False
-        self.is_given_up = False
+        self.is_abandoned = False
 
 
-def start_sending(
+def start_attempt(
     sender: Sender,
     action: Send,
     body: bytes,
     content_type: str,
     tell: Callable[[Event], object],
-) -> Sending:
+) -> RunnerAttempt:
     """Send a request to its runner on another thread; `tell` gets the end of it.
 
     Notes
@@ -108,39 +108,39 @@
     given up would else be held until the longest request has ended, and under
     overload such slots add up to a good part of all.
     """
-    sending = Sending(action)
-    sender.threads.submit(_run_sending, sender, sending, body, content_type, tell)
+    sending = RunnerAttempt(action)
+    sender.threads.submit(_run_attempt, sender, sending, body, content_type, tell)
     return sending
 
 
-def give_up_sending(sending: Sending) -> AttemptEnded | None:
+def abandon_attempt(sending: RunnerAttempt) -> AttemptEnded | None:
     """End the waiting for a sending; return its end, or None where it had ended."""
     with sending.lock:
-        if sending.is_ended or sending.is_given_up:
+        if sending.is_ended or sending.is_abandoned:
             return None
-        sending.is_given_up = True
+        sending.is_abandoned = True
         key, begun = sending.action.key, sending.begun
     if math.isnan(begun):
         return AttemptEnded(key, SendResult.NOT_SENT)
     return AttemptEnded(key, SendResult.LOST, read_clock() - begun)
 
 
-def _run_sending(
+def _run_attempt(
     sender: Sender,
-    sending: Sending,
+    sending: RunnerAttempt,
     body: bytes,
     content_type: str,
     tell: Callable[[Event], object],
 ) -> None:
     action = sending.action
     with sending.lock:
-        if sending.is_given_up:
+        if sending.is_abandoned:
             return
         sending.begun = read_clock()
     event = send_to_runner(sender, action, body, content_type)
     with sending.lock:
         sending.is_ended = True
-        is_late = sending.is_given_up
+        is_late = sending.is_abandoned
     if not is_late:
         tell(event)
     elif event.result != SendResult.LOST:
@@ -168,7 +168,7 @@
         The clock.
     """
     client = build_runner_client(action.runner.address, sender.runners)
-    peer = client.peer._replace(connect_s=RUNNER_CONNECT_S)
+    peer = client.peer._replace(connect_s=_RUNNER_CONNECT_TIMEOUT_S)
     now = read_time()
     told_s = min(action.timeout_s, action.request.deadline - now)
     # The thread may have slept since the decision: past the credit's end the slot may
@@ -184,7 +184,7 @@
         headers,
         told_s,
     )
-    return _judge_answer(action.key, answer, read_time() - now)
+    return _classify_answer(action.key, answer, read_time() - now)
 
 
 def send_forward(
@@ -212,14 +212,14 @@
         peer, sender.token, FORWARD_PATH, ask, ForwardAnswer, action.timeout_s
     )
     if isinstance(result, Err):
-        return ForwardEnded(action.key, _judge_error(result.err_value))
-    answer = _unpack_answer(result.ok_value)
+        return ForwardEnded(action.key, _classify_error(result.err_value))
+    answer = _read_forward_answer(result.ok_value)
     if answer is None or result.ok_value.request_id != request.id:
         return ForwardEnded(action.key, SendResult.LOST)
     return ForwardEnded(action.key, SendResult.ANSWERED, answer)
 
 
-def pack_answer(answer: FinalAnswer, request_id: str) -> ForwardAnswer:
+def build_forward_answer(answer: FinalAnswer, request_id: str) -> ForwardAnswer:
     """Return `answer` as the message that `send_forward` reads."""
     response = answer.response
     return ForwardAnswer(
@@ -234,7 +234,7 @@
     )
 
 
-def _unpack_answer(message: ForwardAnswer) -> FinalAnswer | None:
+def _read_forward_answer(message: ForwardAnswer) -> FinalAnswer | None:
     try:
         body = base64.b64decode(message.body, validate=True)
     except (ValueError, binascii.Error):
@@ -249,7 +249,7 @@
     )
 
 
-def _judge_answer(key: str, sent: RunnerAnswer, latency_s: float) -> AttemptEnded:
+def _classify_answer(key: str, sent: RunnerAnswer, latency_s: float) -> AttemptEnded:
     answer = sent.answer
     if answer is None:
         lost = sent.outcome != RunnerOutcome.NOT_RUN
@@ -260,16 +260,16 @@
         answer.body,
         answer.headers.get("Content-Type", "application/octet-stream"),
     )
-    leaving = answer.headers.get(LEAVING_HEADER, "").lower() == "true"
+    leaving = answer.headers.get(_LEAVING_HEADER, "").lower() == "true"
     result = SendResult.ANSWERED
     if sent.outcome == RunnerOutcome.NOT_RUN:
         result = SendResult.NOT_RUN
-    elif answer.status >= SERVER_ERROR:
+    elif answer.status >= _SERVER_ERROR:
         result = SendResult.FAILED
     kept = None if result == SendResult.NOT_RUN else response
     return AttemptEnded(key, result, latency_s, kept, leaving, sent.retry_after_s)
 
 
-def _judge_error(error: CallError) -> str:
+def _classify_error(error: CallError) -> str:
     sure = error.kind in (ErrorKind.UNREACHABLE, ErrorKind.REFUSED)
     return SendResult.NOT_RUN if sure else SendResult.LOST
--- a/plantainyard/gateway/intake.py
+++ b/plantainyard/gateway/parsing.py
@@ -24,18 +24,23 @@
 from plantainyard.routing import Request
 from plantainyard.settings import Settings
 
-__all__ = ["Intake", "build_request_id", "read_caller", "read_forward"]
+__all__ = [
+    "IncomingRequest",
+    "build_request_id",
+    "parse_caller_request",
+    "parse_forward_request",
+]
 
 _ID_LENGTH = 200
-_MS = 1000.0
+_MS_PER_S = 1000.0
 _FLAGS = {"true": True, "1": True, "false": False, "0": False, "": False}
 _UUID_VERSION = 7
 _VARIANT = 2
 
-_numbers = itertools.count(1)
+_key_numbers = itertools.count(1)
 
 
-class Intake(NamedTuple):
+class IncomingRequest(NamedTuple):
     """A request as decisions need it, and its body."""
 
     request: Request
@@ -43,9 +48,9 @@
     content_type: str
 
 
-def read_caller(
+def parse_caller_request(
     environ: Mapping[str, Any], service: str, body: bytes, settings: Settings
-) -> Result[Intake, str]:
+) -> Result[IncomingRequest, str]:
     """Return the request in a caller's call, or what is wrong with it.
 
     Parameters
@@ -59,23 +64,25 @@
     settings : Settings
         For the deadline of a request that names none, and the longest.
     """
-    idempotent = _FLAGS.get(_get(environ, IDEMPOTENT_HEADER).lower())
+    idempotent = _FLAGS.get(_read_header(environ, IDEMPOTENT_HEADER).lower())
     if idempotent is None:
         return Err(f"{IDEMPOTENT_HEADER}: expected true or false")
-    urgent = _FLAGS.get(_get(environ, URGENT_HEADER).lower())
+    urgent = _FLAGS.get(_read_header(environ, URGENT_HEADER).lower())
     if urgent is None:
         return Err(f"{URGENT_HEADER}: expected true or false")
-    longest = int(settings.requests.request_max_s * _MS)
-    text = _get(environ, DEADLINE_HEADER) or str(settings.requests.default_deadline_ms)
+    longest = int(settings.requests.request_max_s * _MS_PER_S)
+    text = _read_header(environ, DEADLINE_HEADER) or str(
+        settings.requests.default_deadline_ms
+    )
     if not (text.isascii() and text.isdecimal() and 0 < int(text[:12]) <= longest):
         return Err(f"{DEADLINE_HEADER}: expected an integer from 1 to {longest}")
-    request_id = _get(environ, REQUEST_ID_HEADER)
+    request_id = _read_header(environ, REQUEST_ID_HEADER)
     if not request_id and not idempotent:
         return Err(f"{REQUEST_ID_HEADER}: required unless {IDEMPOTENT_HEADER} is true")
     request_id = request_id or build_request_id(time.time())
-    if fault := _find_id_fault(request_id):
+    if fault := _find_id_error(request_id):
         return Err(f"{REQUEST_ID_HEADER}: {fault}")
-    team = _get(environ, TEAM_HEADER)
+    team = _read_header(environ, TEAM_HEADER)
     if len(team) > _ID_LENGTH:
         return Err(f"{TEAM_HEADER}: longer than {_ID_LENGTH} characters")
     request = Request(
@@ -83,17 +90,17 @@
         request_id,
         service,
         team,
-        read_clock() + int(text) / _MS,
+        read_clock() + int(text) / _MS_PER_S,
         urgent,
         idempotent,
         len(body),
-        digest=_hash_content(service, body),
+        digest=_compute_digest(service, body),
     )
     content_type = environ.get("CONTENT_TYPE") or "application/octet-stream"
-    return Ok(Intake(request, body, content_type))
+    return Ok(IncomingRequest(request, body, content_type))
 
 
-def read_forward(ask: ForwardAsk) -> Result[Intake, str]:
+def parse_forward_request(ask: ForwardAsk) -> Result[IncomingRequest, str]:
     """Return the request in a peer's message, or what is wrong with it."""
     try:
         body = base64.b64decode(ask.body, validate=True)
@@ -101,7 +108,7 @@
         return Err("body: not base64")
     if ask.hops > MAX_HOPS:
         return Err(f"hops: more than {MAX_HOPS}")
-    if fault := _find_id_fault(ask.request_id):
+    if fault := _find_id_error(ask.request_id):
         return Err(f"request_id: {fault}")
     request = Request(
         _make_key(),
@@ -113,10 +120,10 @@
         ask.idempotent,
         len(body),
         ask.hops,
-        _hash_content(ask.service, body),
+        _compute_digest(ask.service, body),
         ask.judged,
     )
-    return Ok(Intake(request, body, ask.content_type))
+    return Ok(IncomingRequest(request, body, ask.content_type))
 
 
 def build_request_id(wall_s: float) -> str:
@@ -128,16 +135,16 @@
     """
     bits = uuid.uuid4().int & ((1 << 62) - 1)
     filler = uuid.uuid4().int & 0xFFF
-    value = int(wall_s * _MS) << 80 | _UUID_VERSION << 76 | filler << 64
+    value = int(wall_s * _MS_PER_S) << 80 | _UUID_VERSION << 76 | filler << 64
     return str(uuid.UUID(int=value | _VARIANT << 62 | bits))
 
 
-def _get(environ: Mapping[str, Any], header: str) -> str:
+def _read_header(environ: Mapping[str, Any], header: str) -> str:
     value: str = environ.get("HTTP_" + header.upper().replace("-", "_"), "")
     return value.strip()
 
 
-def _find_id_fault(request_id: str) -> str:
+def _find_id_error(request_id: str) -> str:
     if len(request_id) > _ID_LENGTH:
         return f"longer than {_ID_LENGTH} characters"
     if not (request_id.isascii() and request_id.isprintable()) or not request_id:
@@ -146,8 +153,8 @@
 
 
 def _make_key() -> str:
-    return str(next(_numbers))
+    return str(next(_key_numbers))
 
 
-def _hash_content(service: str, body: bytes) -> int:
+def _compute_digest(service: str, body: bytes) -> int:
     return xxhash.xxh64_intdigest(body, xxhash.xxh32_intdigest(service.encode()))
--- a/plantainyard/gateway/peers.py
+++ b/plantainyard/gateway/peers.py
@@ -18,10 +18,10 @@
 )
 from plantainyard.transport import HttpPeer, send_request
 
-__all__ = ["ask_owner", "call_peer"]
+__all__ = ["send_credit_request", "call_peer"]
 
 _OK = 200
-_NOT_ACTED = frozenset({400, 401, 403, 404, 405, 413, 429, 503})
+_REFUSED_STATUSES = frozenset({400, 401, 403, 404, 405, 413, 429, 503})
 _M = TypeVar("_M")
 
 
@@ -67,13 +67,15 @@
         return result
     answer = result.ok_value
     if answer.status != _OK:
-        kind = ErrorKind.REFUSED if answer.status in _NOT_ACTED else ErrorKind.LOST
+        kind = (
+            ErrorKind.REFUSED if answer.status in _REFUSED_STATUSES else ErrorKind.LOST
+        )
         detail = f"status {answer.status}"
         return Err(CallError(kind, step, peer.address, detail))
     return decode_message(answer.body, expected, peer.address)
 
 
-def ask_owner(
+def send_credit_request(
     peer: HttpPeer, token: str, ask: CreditAsk, timeout_s: float
 ) -> Result[CreditAnswer, CallError]:
     """Send a credit ask to the owner of its rack."""
--- a/plantainyard/gateway/tuning.py
+++ b/plantainyard/gateway/routing_settings.py
@@ -5,9 +5,9 @@
 
 __all__ = ["build_routing_settings"]
 
-_ASKS_IN_LEASE = 6.0
-_BYTES_IN_MB = 1_000_000
-_QUEUE_SHARE = 0.25
+_REQUESTS_PER_CREDIT_TERM = 6.0
+_BYTES_PER_MB = 1_000_000
+_QUEUE_MEMORY_SHARE = 0.25
 
 
 def build_routing_settings(settings: Settings) -> RoutingSettings:
@@ -21,11 +21,13 @@
     requests, limits = settings.requests, settings.limits
     return RoutingSettings(
         credit_s=requests.credit_s,
-        credit_request_interval_s=min(0.5, requests.credit_s / _ASKS_IN_LEASE),
+        credit_request_interval_s=min(
+            0.5, requests.credit_s / _REQUESTS_PER_CREDIT_TERM
+        ),
         request_max_s=requests.request_max_s,
         drift=settings.platform.clock_drift,
         queue_count=limits.queue_requests,
-        queue_bytes=int(_QUEUE_SHARE * limits.memory_mb * _BYTES_IN_MB),
+        queue_bytes=int(_QUEUE_MEMORY_SHARE * limits.memory_mb * _BYTES_PER_MB),
         retry_share=requests.retry_share,
         attempts_max=requests.attempts,
         id_memory_s=requests.id_memory_s,
--- a/plantainyard/gateway/server.py
+++ b/plantainyard/gateway/server.py
@@ -7,14 +7,14 @@
 from plantainyard.clients import build_pool
 from plantainyard.gateway.actor import Gateway
 from plantainyard.gateway.app import build_app
-from plantainyard.gateway.sending import Sender
+from plantainyard.gateway.attempts import Sender
 from plantainyard.metrics import Meter
 from plantainyard.serving import serve_app
 from plantainyard.settings import Settings
 
 __all__ = ["serve_gateway"]
 
-_IDLE_CONNECTIONS = 3
+_CONNECTIONS_PER_RUNNER = 3
 
 
 @contextlib.contextmanager
@@ -37,7 +37,7 @@
     """
     # Each gateway keeps few idle connections: a runner holds about 60, which eight
     # gateways with one for every slot would exceed.
-    runners = build_pool(connections_per_peer=_IDLE_CONNECTIONS)
+    runners = build_pool(connections_per_peer=_CONNECTIONS_PER_RUNNER)
     peers = build_pool(connections_per_peer=settings.limits.caller_threads)
     token = settings.security.token.reveal()
     limits = settings.limits
--- a/plantainyard/gateway/tests/test_sending.py
+++ b/plantainyard/gateway/tests/test_attempts.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from plantainyard.gateway import sending
+from plantainyard.gateway import attempts
 from plantainyard.protocol import RunnerInfo
 from plantainyard.routing import (
     AttemptEnded,
@@ -36,16 +36,16 @@
         may_end.wait(30)
         return AttemptEnded("a", result, 2.0)
 
-    monkeypatch.setattr(sending, "send_to_runner", send)
+    monkeypatch.setattr(attempts, "send_to_runner", send)
     heard: list[object] = []
     with ThreadPoolExecutor(1) as threads:
-        sender = sending.Sender(None, None, "", "i1", threads, 30.0)  # type: ignore[arg-type]
-        first = sending.start_sending(sender, ACTION, b"", "", heard.append)
-        second = sending.start_sending(sender, ACTION, b"", "", heard.append)
-        not_begun = sending.give_up_sending(second)
+        sender = attempts.Sender(None, None, "", "i1", threads, 30.0)  # type: ignore[arg-type]
+        first = attempts.start_attempt(sender, ACTION, b"", "", heard.append)
+        second = attempts.start_attempt(sender, ACTION, b"", "", heard.append)
+        not_begun = attempts.abandon_attempt(second)
         while not first.begun > 0:
             assert not first.is_ended
-        lost = sending.give_up_sending(first)
+        lost = attempts.abandon_attempt(first)
         may_end.set()
     assert not_begun == AttemptEnded("a", SendResult.NOT_SENT)
     assert lost is not None and lost.result == SendResult.LOST
--- a/plantainyard/gateway/tests/test_gateway_http.py
+++ b/plantainyard/gateway/tests/test_gateway_http.py
@@ -17,12 +17,12 @@
 from plantainyard.gateway import (
     describe_gateway,
     drain_gateway,
+    post_event,
     run_gateway,
     serve_gateway,
-    tell_event,
 )
-from plantainyard.gateway.intake import build_request_id
-from plantainyard.gateway.tuning import build_routing_settings
+from plantainyard.gateway.parsing import build_request_id
+from plantainyard.gateway.routing_settings import build_routing_settings
 from plantainyard.metrics import create_meter
 from plantainyard.protocol import RunnerInfo
 from plantainyard.routing import (
@@ -115,15 +115,15 @@
 
     def ask(action):
         answer = owned.ask(action.ask)
-        tell_event(handles[0], CreditAnswerReceived(answer))
+        post_event(handles[0], CreditAnswerReceived(answer))
 
     with run_gateway(settings, settings.instance.id, ask) as gateway:
         handles.append(gateway)
         owner = Owner("i1", "d1", "reg")
-        tell_event(gateway, OwnersChanged({"k1": owner}))
+        post_event(gateway, OwnersChanged({"k1": owner}))
         if settings.instance.id == "i1":
             since = time.time() - 100
-            tell_event(gateway, AuthorityChanged("k1", float("inf"), True, since))
+            post_event(gateway, AuthorityChanged("k1", float("inf"), True, since))
         with serve_gateway(settings, gateway, create_meter(Metrics())) as address:
             yield gateway, f"http://{address}"
 
@@ -190,7 +190,7 @@
     """
     with open_site(gateways=("i1", "i2")) as (runners, [(_, one), (two_ref, two)]):
         peer = Peer("i1", "d1", "reg", one, {"billing": 1})
-        tell_event(two_ref, PeersChanged((peer,)))
+        post_event(two_ref, PeersChanged((peer,)))
         name = build_request_id(time.time())
         with ThreadPoolExecutor(8) as pool:
             calls = [pool.submit(post, a, name, b"[1]") for a in [one, two] * 4]
--- a/plantainyard/operators/creation.py
+++ b/plantainyard/operators/creation.py
@@ -11,7 +11,7 @@
 from plantainyard.api import (
     ApiError,
     ErrorCode,
-    iter_service_parts,
+    iter_service_jobs,
     read_job,
 )
 from plantainyard.api import operators_pb2 as schema
@@ -94,7 +94,7 @@
     if not workers:
         return Err(_refuse_unread())
     stem = make_job_id(request.request_id)
-    parts = list(iter_service_parts(request, stem))
+    parts = list(iter_service_jobs(request, stem))
     unknown = {d for d in request.runners if not any(w.domain == d for w in workers)}
     if unknown:
         field = f"runners.{min(unknown)}"
--- a/plantainyard/presence.py
+++ b/plantainyard/presence.py
@@ -13,9 +13,9 @@
 from plantainyard.clients import Instance, build_peer
 from plantainyard.clock import read_clock
 from plantainyard.gateway import (
-    ask_owner,
-    read_room,
-    tell_event,
+    post_event,
+    read_free_credits,
+    send_credit_request,
 )
 from plantainyard.logs import log_call_error
 from plantainyard.node import (
@@ -131,7 +131,7 @@
     local.authority_ends = ask_actor(node.domain, Query(find_untils))
     local.config = cast(ConfigView, ask_actor(node.config, ReadConfig()))
     node.domain.tell(ConfigKnown(read_clock() - local.config.age_s))
-    local.free_credits = read_room(node.gateway)
+    local.free_credits = read_free_credits(node.gateway)
     local.ready = not find_waits(node)
     local.draining = ask_actor(node.domain, Query(lambda actor, _: actor.node.stopping))
 
@@ -140,13 +140,13 @@
     """Update the gateway's live peers and rack owners, and the streams' roles."""
     views: tuple[PeerView, ...] = ask_actor(node.peers, Query(read_peers))
     live = [view for view in views if view.is_live and view.heartbeat is not None]
-    tell_event(node.gateway, PeersChanged(tuple(_build_peer_info(v) for v in live)))
+    post_event(node.gateway, PeersChanged(tuple(_build_peer_info(v) for v in live)))
     instances: tuple[Instance, ...] = ask_actor(
         node.peers, Query(lambda actor, _: actor.instances)
     )
     owners = _find_owners(local, live, instances)
     _restart_histories(local, node, owners)
-    tell_event(node.gateway, OwnersChanged(owners))
+    post_event(node.gateway, OwnersChanged(owners))
     _assign_stream_roles(node, live)
 
 
@@ -197,7 +197,7 @@
             event = AuthorityChanged(
                 rack, local.authority_ends.get(rack, 0.0), True, since
             )
-            tell_event(node.gateway, event)
+            post_event(node.gateway, event)
     local.known_racks = racks
 
 
@@ -239,7 +239,7 @@
     if node is None:
         return
     if action.owner == node.settings.instance.id:
-        tell_event(
+        post_event(
             node.gateway, CreditAnswerReceived(ask_actor(node.lender, action.ask))
         )
         return
@@ -249,8 +249,8 @@
         return
     target = build_peer(make_url(peer.control_address), node.pool)
     token = node.settings.security.token.reveal()
-    result = ask_owner(target, token, action.ask, _PEER_TIMEOUT_S)
+    result = send_credit_request(target, token, action.ask, _PEER_TIMEOUT_S)
     if isinstance(result, Err):
         log_call_error(_logger, result.err_value, level=logging.DEBUG)
         return
-    tell_event(node.gateway, CreditAnswerReceived(result.ok_value))
+    post_event(node.gateway, CreditAnswerReceived(result.ok_value))
--- a/plantainyard/process.py
+++ b/plantainyard/process.py
@@ -22,11 +22,11 @@
     Gateway,
     call_peer,
     drain_gateway,
+    post_event,
     run_gateway,
     serve_gateway,
-    tell_event,
 )
-from plantainyard.gateway.tuning import build_routing_settings
+from plantainyard.gateway.routing_settings import build_routing_settings
 from plantainyard.metrics import Meter, create_meter, flush_meter
 from plantainyard.node import (
     CONFIG_STREAM,
@@ -295,7 +295,7 @@
         if update.epoch:
             lender.tell(update)
             changed = AuthorityChanged(update.rack, update.until, gained, time.time())
-            tell_event(gateway, changed)
+            post_event(gateway, changed)
         elif epoch:
             # Waits until both have stopped using the authority, because a successor
             # may act as soon as this function returns.
