--- a/plantainyard/gateway/__init__.py
+++ b/plantainyard/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The callers' side of an instance: its HTTP server and the actor behind it."""
+"""The gateway of an instance: the HTTP server for callers and its actor."""
 
 from plantainyard.gateway.actor import (
     Gateway,
--- a/plantainyard/gateway/actor.py
+++ b/plantainyard/gateway/actor.py
@@ -1,8 +1,8 @@
 """The actor that owns a gateway's state.
 
-A caller's thread tells the actor of its request and waits on a channel of its own. The
-actor decides and puts what is to be done on the channel; the caller's thread does it,
-so that the actor never waits for a runner or a peer.
+The thread that serves a caller posts the request to the actor and waits on a channel
+of its own. The actor decides what to do and puts the actions on that channel. The
+thread performs them, so that the actor never waits for a runner or a peer.
 """
 
 import contextlib
@@ -52,14 +52,19 @@
 ]
 
 _TICK_INTERVAL_S = 0.1
-_DUMP_TIMEOUT_S = 2.0
+"""Seconds between two `Tick` events."""
+
+_ACTOR_REPLY_TIMEOUT_S = 2.0
+"""Longest wait in seconds for the actor's reply to a read of its state."""
+
 _STOP_TIMEOUT_S = 5.0
+"""Longest wait in seconds for the actor to stop."""
 
 _logger = logging.getLogger(__name__)
 
 
 class ActionChannel:
-    """Where a caller's thread waits for what it is to do next.
+    """Queue of actions for the thread that serves one request.
 
     Parameters
     ----------
@@ -80,11 +85,11 @@
     ref : pykka.ActorRef
         The actor that owns the state.
     channels : dict of str to ActionChannel
-        Those of the requests in progress.
+        Channels of the requests in progress, by request key.
     lock : threading.Lock
-        Held while the channels change.
+        Guards `channels`.
     drained : threading.Event
-        Set once nothing is in progress after `drain_gateway`.
+        Set after `drain_gateway` once no request is in progress.
     """
 
     ref: pykka.ActorRef[Any]
@@ -93,16 +98,16 @@
     drained: threading.Event
 
 
-class _Dump(NamedTuple):
-    """Asks the actor for its state as plain values."""
+class _ReadState(NamedTuple):
+    """Message that requests the actor's state as plain values."""
 
 
 class _ReadFreeCredits(NamedTuple):
-    """Asks the actor for its free credits."""
+    """Message that requests the actor's free credits."""
 
 
 class _GatewayActor(pykka.ThreadingActor):
-    """Owner of a `GatewayState`."""
+    """Actor that owns a `GatewayState` and applies events to it one at a time."""
 
     use_daemon_thread = True
 
@@ -114,8 +119,8 @@
         self.perform = perform
 
     def on_receive(self, message: Any) -> Any:
-        if isinstance(message, _Dump):
-            return self._dump()
+        if isinstance(message, _ReadState):
+            return self._dump_state()
         if isinstance(message, _ReadFreeCredits):
             return count_free_credits(self.state, read_clock())
         events = [message]
@@ -129,38 +134,43 @@
     ) -> None:
         _logger.error("gateway actor failed", exc_info=exception_value)
 
-    def _dump(self) -> dict[str, object]:
+    def _dump_state(self) -> dict[str, object]:
         inbox: Any = self.actor_inbox
         return {"mailbox": inbox.qsize(), **dump_gateway(self.state, read_clock())}
 
 
 @contextlib.contextmanager
 def run_gateway(
-    settings: Settings, name: str, ask: Callable[[RequestCredits], object]
+    settings: Settings, name: str, request_credits: Callable[[RequestCredits], object]
 ) -> Iterator[Gateway]:
-    """Run the actor for the length of the context.
+    """Run the actor and its timer for the duration of the context.
 
     Parameters
     ----------
     settings : Settings
-        Place and limits.
+        Location and limits of the instance.
     name : str
-        Name of this process towards the owners of racks; no other process, and none
-        after this one, may have it.
-    ask : callable
-        Takes a credit ask to its rack's owner without waiting, and later tells the
-        answer with `post_event`.
+        Name of this process in its credit requests to the owners of racks. It must be
+        unique, also among processes that start later.
+    request_credits : callable
+        Sends a credit request to the owner of its rack without blocking, and later
+        passes the owner's answer on with `post_event`.
+
+    Yields
+    ------
+    Gateway
+        The running gateway.
     """
     instance = settings.instance
-    place = Location(instance.id, instance.domain, instance.region)
-    state = GatewayState(place, name, build_routing_settings(settings))
+    location = Location(instance.id, instance.domain, instance.region)
+    state = GatewayState(location, name, build_routing_settings(settings))
     channels: dict[str, ActionChannel] = {}
     lock, drained = threading.Lock(), threading.Event()
 
     def perform(action: Action) -> Event | None:
         match action:
             case RequestCredits():
-                ask(action)
+                request_credits(action)
             case Drained():
                 drained.set()
             case Send() | Forward() | Answer():
@@ -177,13 +187,13 @@
 
 
 def post_event(gateway: Gateway, event: Event) -> None:
-    """Hand an event to the actor without waiting; an actor that ended takes none."""
+    """Post an event to the actor without waiting; drop it if the actor has ended."""
     with contextlib.suppress(pykka.ActorDeadError):
         gateway.ref.tell(event)
 
 
 def open_channel(gateway: Gateway, arrival: RequestArrived) -> ActionChannel:
-    """Hand a request to the actor and return the channel to wait on."""
+    """Post a request to the actor and return the channel of its actions."""
     channel = ActionChannel(arrival.request.key)
     with gateway.lock:
         gateway.channels[channel.key] = channel
@@ -192,7 +202,7 @@
 
 
 def close_channel(gateway: Gateway, channel: ActionChannel) -> None:
-    """End the waiting on a channel and give back what was not done."""
+    """Remove a channel and report its unperformed actions to the actor as not sent."""
     with gateway.lock:
         gateway.channels.pop(channel.key, None)
     while not channel.actions.empty():
@@ -202,24 +212,24 @@
 
 
 def drain_gateway(gateway: Gateway, grace_s: float) -> None:
-    """Begin the planned stop; `Gateway.drained` tells the end."""
+    """Begin a planned stop; `Gateway.drained` is set when it is complete."""
     post_event(gateway, Drain(grace_s))
 
 
 def describe_gateway(gateway: Gateway) -> dict[str, Any]:
     """Return the gateway's state as plain values."""
-    dump: Any = gateway.ref.ask(_Dump(), timeout=_DUMP_TIMEOUT_S)
-    return dict(dump)
+    state: Any = gateway.ref.ask(_ReadState(), timeout=_ACTOR_REPLY_TIMEOUT_S)
+    return dict(state)
 
 
 def read_free_credits(gateway: Gateway) -> dict[str, int]:
-    """Return the free credits for each service, for the heartbeats to peers."""
-    room: Any = gateway.ref.ask(_ReadFreeCredits(), timeout=_DUMP_TIMEOUT_S)
-    return dict(room)
+    """Return the free credits of each service, for the heartbeats to peers."""
+    credits: Any = gateway.ref.ask(_ReadFreeCredits(), timeout=_ACTOR_REPLY_TIMEOUT_S)
+    return dict(credits)
 
 
 def is_alive(gateway: Gateway) -> bool:
-    """Tell whether the actor still takes events."""
+    """Return whether the actor still accepts events."""
     return bool(gateway.ref.is_alive())
 
 
@@ -233,8 +243,8 @@
         if channel is not None:
             channel.actions.put(action)
             return None
-    # The caller's thread has gone: nobody would do the sending, and its slot would
-    # stay taken for ever.
+    # The thread of this request has ended, so no one would perform the action and its
+    # slot would stay taken forever.
     return _build_not_sent_event(action)
 
 
--- a/plantainyard/gateway/app.py
+++ b/plantainyard/gateway/app.py
@@ -1,4 +1,7 @@
-"""The WSGI application of the callers' port."""
+"""The WSGI application of the port for callers.
+
+It serves callers' requests and those that other instances forward.
+"""
 
 import contextlib
 import threading
@@ -63,10 +66,19 @@
 
 _PREFIX = "/v1/services/"
 _SUFFIX = "/requests"
+
 _RESERVED_THREADS = 4
+"""Server threads that only reject requests, so that callers needn't queue for one."""
+
 _ALIVE_CHECK_INTERVAL_S = 0.5
+"""Longest time in seconds between two checks that the actor is alive."""
+
 _GRACE_S = 1.0
+"""Seconds after the deadline for which the actor's answer is still awaited."""
+
 _RETRY_AFTER_S = 1.0
+"""Seconds after which a rejected caller may retry."""
+
 _MS_PER_S = 1000.0
 _JSON = "application/json"
 
@@ -74,26 +86,37 @@
 def build_app(
     settings: Settings, gateway: Gateway, sender: Sender, meter: Meter
 ) -> WSGIApplication:
-    """Return the application: callers' requests and those that peers forward.
+    """Return the application that serves callers' and forwarded requests.
+
+    Parameters
+    ----------
+    settings : Settings
+        Limits, the bearer token and the default deadline.
+    gateway : Gateway
+        The running gateway, which decides about each request.
+    sender : Sender
+        Connections and threads for sending to runners and peers.
+    meter : Meter
+        Receives the counts and latencies of requests.
 
     Notes
     -----
-    The server holds a thread for each request in progress. The last few threads are
-    kept for answering at once that no more is taken: without them callers would wait
-    in the server's own queue, which knows no deadline.
+    The server holds one thread for each request in progress. A few threads are
+    reserved for rejecting further requests at once. Without them, callers would wait
+    in the server's own queue, which has no deadlines.
     """
     limit = settings.limits.body_bytes
     token = settings.security.token.reveal()
-    room = max(1, settings.limits.caller_threads - _RESERVED_THREADS)
-    places = threading.BoundedSemaphore(room)
+    capacity = max(1, settings.limits.caller_threads - _RESERVED_THREADS)
+    free_threads = threading.BoundedSemaphore(capacity)
 
-    def handle(intake: IncomingRequest) -> FinalAnswer:
-        if not places.acquire(blocking=False):
-            return _build_full_answer(intake.request)
+    def handle(incoming: IncomingRequest) -> FinalAnswer:
+        if not free_threads.acquire(blocking=False):
+            return _build_full_answer(incoming.request)
         try:
-            return _process_request(gateway, sender, intake)
+            return _process_request(gateway, sender, incoming)
         finally:
-            places.release()
+            free_threads.release()
 
     def serve(environ: WSGIEnvironment, start: StartResponse) -> Iterable[bytes]:
         path = environ.get("PATH_INFO", "")
@@ -118,17 +141,17 @@
     def _serve_caller(
         start: StartResponse, environ: WSGIEnvironment, service: str, body: bytes
     ) -> Iterable[bytes]:
-        begun = read_clock()
-        read = parse_caller_request(environ, service, body, settings)
-        if isinstance(read, Err):
+        started_at = read_clock()
+        parsed = parse_caller_request(environ, service, body, settings)
+        if isinstance(parsed, Err):
             add_count(meter, "calls.malformed")
-            detail = read.err_value
+            detail = parsed.err_value
             answer = FinalAnswer(Outcome.REFUSED, Reason.MALFORMED, detail=detail)
             return _send_answer(start, answer, "")
-        answer = handle(read.ok_value)
+        answer = handle(parsed.ok_value)
         add_count(meter, f"requests.{answer.outcome}")
-        add_timing(meter, "requests.latency", (read_clock() - begun) * _MS_PER_S)
-        return _send_answer(start, answer, read.ok_value.request.id)
+        add_timing(meter, "requests.latency", (read_clock() - started_at) * _MS_PER_S)
+        return _send_answer(start, answer, parsed.ok_value.request.id)
 
     return serve
 
@@ -136,47 +159,47 @@
 def _serve_peer(
     start: StartResponse, body: bytes, handle: Callable[[IncomingRequest], FinalAnswer]
 ) -> Iterable[bytes]:
-    read = decode_message(body, ForwardAsk, "peer")
-    if isinstance(read, Err):
-        return _send_error(start, HTTPStatus.BAD_REQUEST, read.err_value.detail)
-    intake = parse_forward_request(read.ok_value)
-    if isinstance(intake, Err):
-        return _send_error(start, HTTPStatus.BAD_REQUEST, intake.err_value)
-    answer = handle(intake.ok_value)
-    message = build_forward_answer(answer, read.ok_value.request_id)
-    return _send(start, HTTPStatus.OK, encode_message(message), _JSON, [])
+    message = decode_message(body, ForwardAsk, "peer")
+    if isinstance(message, Err):
+        return _send_error(start, HTTPStatus.BAD_REQUEST, message.err_value.detail)
+    incoming = parse_forward_request(message.ok_value)
+    if isinstance(incoming, Err):
+        return _send_error(start, HTTPStatus.BAD_REQUEST, incoming.err_value)
+    answer = handle(incoming.ok_value)
+    reply = build_forward_answer(answer, message.ok_value.request_id)
+    return _send(start, HTTPStatus.OK, encode_message(reply), _JSON, [])
 
 
 def _process_request(
-    gateway: Gateway, sender: Sender, intake: IncomingRequest
+    gateway: Gateway, sender: Sender, incoming: IncomingRequest
 ) -> FinalAnswer:
-    """Do what the actor puts on the request's channel until it has an answer."""
-    sent = False
-    sending: RunnerAttempt | None = None
-    channel = open_channel(gateway, RequestArrived(intake.request, time.time()))
+    """Perform the actor's actions for a request until one is its answer."""
+    was_sent = False
+    attempt: RunnerAttempt | None = None
+    channel = open_channel(gateway, RequestArrived(incoming.request, time.time()))
     try:
         while True:
-            action = _await_action(gateway, channel, intake.request, sending)
+            action = _await_action(gateway, channel, incoming.request, attempt)
             match action:
                 case Answer():
                     return action.answer
                 case Send():
-                    sent = True
-                    sending = start_attempt(
+                    was_sent = True
+                    attempt = start_attempt(
                         sender,
                         action,
-                        intake.body,
-                        intake.content_type,
+                        incoming.body,
+                        incoming.content_type,
                         partial(post_event, gateway),
                     )
                 case Forward():
-                    sent = True
-                    ended = send_forward(
-                        sender, action, intake.body, intake.content_type
+                    was_sent = True
+                    event = send_forward(
+                        sender, action, incoming.body, incoming.content_type
                     )
-                    post_event(gateway, ended)
+                    post_event(gateway, event)
                 case _:
-                    return _build_lost_answer(intake.request, sent)
+                    return _build_lost_answer(incoming.request, was_sent)
     finally:
         close_channel(gateway, channel)
 
@@ -185,39 +208,39 @@
     gateway: Gateway,
     channel: ActionChannel,
     request: Request,
-    sending: RunnerAttempt | None,
+    attempt: RunnerAttempt | None,
 ) -> Action | None:
-    """Return the next action, or None once the actor is dead or far too late.
+    """Return the next action, or None if the actor has ended or is too late.
 
-    At the deadline a sending that is still going on is given up.
+    An attempt that is still in progress at the deadline is abandoned.
     """
-    last = request.deadline + _GRACE_S
-    while (now := read_clock()) < last and is_alive(gateway):
-        if sending is not None and now >= request.deadline:
-            event = abandon_attempt(sending)
-            sending = None
+    give_up_at = request.deadline + _GRACE_S
+    while (now := read_clock()) < give_up_at and is_alive(gateway):
+        if attempt is not None and now >= request.deadline:
+            event = abandon_attempt(attempt)
+            attempt = None
             if event is not None:
                 post_event(gateway, event)
-        waits = sending is not None and now < request.deadline
+        is_attempt_open = attempt is not None and now < request.deadline
         wait_s = min(
             _ALIVE_CHECK_INTERVAL_S,
-            request.deadline - now if waits else _ALIVE_CHECK_INTERVAL_S,
+            request.deadline - now if is_attempt_open else _ALIVE_CHECK_INTERVAL_S,
         )
         with contextlib.suppress(Empty):
             return channel.actions.get(timeout=wait_s)
     return None
 
 
-def _build_lost_answer(request: Request, sent: bool) -> FinalAnswer:
-    # Without the actor nobody knows whether the id ran before; a request that can be
-    # repeated and that reached nobody did not run.
-    safe = request.idempotent and not sent
-    outcome = Outcome.REFUSED if safe else Outcome.UNKNOWN
+def _build_lost_answer(request: Request, was_sent: bool) -> FinalAnswer:
+    # Without the actor it is unknown whether a request with this id ran before. Only an
+    # idempotent request that was not sent may be reported as not run.
+    is_not_run = request.idempotent and not was_sent
+    outcome = Outcome.REFUSED if is_not_run else Outcome.UNKNOWN
     return FinalAnswer(outcome, Reason.ANSWER_LOST, _RETRY_AFTER_S)
 
 
 def _build_full_answer(request: Request) -> FinalAnswer:
-    # The id of a non-idempotent request was not judged: it may have run before.
+    # The id of a non-idempotent request was not checked, so it may have run before.
     outcome = Outcome.REFUSED if request.idempotent else Outcome.UNKNOWN
     return FinalAnswer(outcome, Reason.QUEUE_FULL, _RETRY_AFTER_S)
 
@@ -225,20 +248,20 @@
 def _send_answer(
     start: StartResponse, answer: FinalAnswer, request_id: str
 ) -> Iterable[bytes]:
-    shown = build_body(answer, request_id)
+    response = build_body(answer, request_id)
     headers = [(REQUEST_ID_HEADER, request_id), *build_headers(answer)]
     status = HTTPStatus(get_status(answer))
-    return _send(start, status, shown.body, shown.content_type, headers)
+    return _send(start, status, response.body, response.content_type, headers)
 
 
 def _send_error(
     start: StartResponse, status: HTTPStatus, detail: str
 ) -> Iterable[bytes]:
-    """Answer a call that is no request at all: nothing ran."""
+    """Reject a call that isn't a valid request, so nothing ran."""
     answer = FinalAnswer(Outcome.REFUSED, Reason.MALFORMED, detail=detail)
-    shown = build_body(answer, "")
+    response = build_body(answer, "")
     headers = build_headers(answer)
-    return _send(start, status, shown.body, shown.content_type, headers)
+    return _send(start, status, response.body, response.content_type, headers)
 
 
 def _send(
@@ -248,6 +271,6 @@
     content_type: str,
     headers: list[tuple[str, str]],
 ) -> Iterable[bytes]:
-    length = [("Content-Type", content_type), ("Content-Length", str(len(body)))]
-    start(f"{status.value} {status.phrase}", length + headers)
+    entity = [("Content-Type", content_type), ("Content-Length", str(len(body)))]
+    start(f"{status.value} {status.phrase}", entity + headers)
     return [body]
--- a/plantainyard/gateway/attempts.py
+++ b/plantainyard/gateway/attempts.py
@@ -1,4 +1,7 @@
-"""Sendings to runners, each on a thread of its own, and to peers."""
+"""Attempts to send a request to a runner or to forward it to a peer.
+
+Each attempt at a runner has a thread of its own, which outlives the caller's wait.
+"""
 
 import base64
 import binascii
@@ -47,12 +50,16 @@
 ]
 
 _LEAVING_HEADER = "Leaving"
+"""Response header with which a runner says that it is about to stop."""
+
 _RUNNER_CONNECT_TIMEOUT_S = 0.25
+"""Longest wait in seconds for a connection to a runner."""
+
 _SERVER_ERROR = 500
 
 
 class Sender(NamedTuple):
-    """What a sending needs.
+    """Connections and threads with which requests are sent.
 
     Attributes
     ----------
@@ -61,11 +68,12 @@
     token : str
         Bearer token of the instances.
     instance : str
-        This instance's id.
+        Id of this instance.
     threads : Executor
-        Threads on which sendings to runners wait.
+        Threads that wait for runners' responses.
     request_max_s : float
-        How long a runner's answer is waited for, be its caller gone or not.
+        Longest wait for a runner's response in seconds, also after the caller's
+        deadline.
     """
 
     runners: urllib3.PoolManager
@@ -77,18 +85,18 @@
 
 
 class RunnerAttempt:
-    """A sending to a runner on a thread of its own.
+    """State of one attempt at a runner, shared by its thread and the caller's thread.
 
     Parameters
     ----------
     action : Send
-        What is sent.
+        The request, its runner and its time limits.
     """
 
     def __init__(self, action: Send) -> None:
         self.action = action
         self.lock = threading.Lock()
-        self.begun = float("nan")
+        self.started_at = float("nan")
         self.is_ended = False
         self.is_abandoned = False
 
@@ -98,53 +106,65 @@
     action: Send,
     body: bytes,
     content_type: str,
-    tell: Callable[[Event], object],
+    on_end: Callable[[Event], object],
 ) -> RunnerAttempt:
-    """Send a request to its runner on another thread; `tell` gets the end of it.
+    """Send a request to its runner on another thread and return the attempt.
+
+    Parameters
+    ----------
+    sender : Sender
+        Connections and threads.
+    action : Send
+        The request, its runner and its time limits.
+    body, content_type
+        Body of the caller's request and its type.
+    on_end : callable
+        Called on the other thread with the event that ends the attempt.
 
     Notes
     -----
-    The thread listens on after the caller's deadline. The slot of a request that was
-    given up would else be held until the longest request has ended, and under
-    overload such slots add up to a good part of all.
+    The thread waits for the response beyond the caller's deadline, so that the slot of
+    an abandoned attempt is freed when the runner responds. Otherwise it would be held
+    for the longest time that a request may take, and under overload such slots would
+    add up to a large part of the capacity.
     """
-    sending = RunnerAttempt(action)
-    sender.threads.submit(_run_attempt, sender, sending, body, content_type, tell)
-    return sending
+    attempt = RunnerAttempt(action)
+    sender.threads.submit(_run_attempt, sender, attempt, body, content_type, on_end)
+    return attempt
 
 
-def abandon_attempt(sending: RunnerAttempt) -> AttemptEnded | None:
-    """End the waiting for a sending; return its end, or None where it had ended."""
-    with sending.lock:
-        if sending.is_ended or sending.is_abandoned:
+def abandon_attempt(attempt: RunnerAttempt) -> AttemptEnded | None:
+    """Abandon an attempt and return its end, or None if it has ended already."""
+    with attempt.lock:
+        if attempt.is_ended or attempt.is_abandoned:
             return None
-        sending.is_abandoned = True
-        key, begun = sending.action.key, sending.begun
-    if math.isnan(begun):
+        attempt.is_abandoned = True
+        key, started_at = attempt.action.key, attempt.started_at
+    if math.isnan(started_at):
         return AttemptEnded(key, SendResult.NOT_SENT)
-    return AttemptEnded(key, SendResult.LOST, read_clock() - begun)
+    return AttemptEnded(key, SendResult.LOST, read_clock() - started_at)
 
 
 def _run_attempt(
     sender: Sender,
-    sending: RunnerAttempt,
+    attempt: RunnerAttempt,
     body: bytes,
     content_type: str,
-    tell: Callable[[Event], object],
+    on_end: Callable[[Event], object],
 ) -> None:
-    action = sending.action
-    with sending.lock:
-        if sending.is_abandoned:
+    action = attempt.action
+    with attempt.lock:
+        if attempt.is_abandoned:
             return
-        sending.begun = read_clock()
+        attempt.started_at = read_clock()
     event = send_to_runner(sender, action, body, content_type)
-    with sending.lock:
-        sending.is_ended = True
-        is_late = sending.is_abandoned
-    if not is_late:
-        tell(event)
+    with attempt.lock:
+        attempt.is_ended = True
+        was_abandoned = attempt.is_abandoned
+    if not was_abandoned:
+        on_end(event)
     elif event.result != SendResult.LOST:
-        tell(LateAttemptEnded(action.key, action.runner.id, event.latency_s))
+        on_end(LateAttemptEnded(action.key, action.runner.id, event.latency_s))
 
 
 def send_to_runner(
@@ -154,26 +174,26 @@
     content_type: str,
     read_time: Callable[[], float] = read_clock,
 ) -> AttemptEnded:
-    """Send a request to its runner, once, and say how it ended.
+    """Send a request to its runner, without retries, and return the attempt's end.
 
     Parameters
     ----------
     sender : Sender
-        Connections.
+        Connections and threads.
     action : Send
-        What the deciding part asked for.
+        The request, its runner and its time limits.
     body, content_type
-        The caller's body.
+        Body of the caller's request and its type.
     read_time : callable
-        The clock.
+        Returns the current time in seconds.
     """
     client = build_runner_client(action.runner.address, sender.runners)
     peer = client.peer._replace(connect_s=_RUNNER_CONNECT_TIMEOUT_S)
     now = read_time()
-    told_s = min(action.timeout_s, action.request.deadline - now)
-    # The thread may have slept since the decision: past the credit's end the slot may
-    # be another gateway's, and the runner would be given more than it can hold.
-    if not check_credit(action.not_after, now) or told_s <= 0:
+    time_left_s = min(action.timeout_s, action.request.deadline - now)
+    # This thread may have been suspended since the decision. After the credit expires,
+    # the slot may belong to another gateway and the runner would be overloaded.
+    if not check_credit(action.not_after, now) or time_left_s <= 0:
         return AttemptEnded(action.key, SendResult.NOT_SENT)
     headers = {"Content-Type": content_type}
     answer = run_request(
@@ -182,7 +202,7 @@
         action.request.id,
         sender.request_max_s,
         headers,
-        told_s,
+        time_left_s,
     )
     return _classify_answer(action.key, answer, read_time() - now)
 
@@ -190,9 +210,9 @@
 def send_forward(
     sender: Sender, action: Forward, body: bytes, content_type: str
 ) -> ForwardEnded:
-    """Send a request to a peer, once, and say how it ended."""
+    """Forward a request to a peer, without retries, and return the attempt's end."""
     request = action.request
-    ask = ForwardAsk(
+    message = ForwardAsk(
         request.id,
         request.service,
         request.team,
@@ -209,7 +229,7 @@
     url = address if "://" in address else f"http://{address}"
     peer: HttpPeer = build_peer(url, sender.peers)
     result = call_peer(
-        peer, sender.token, FORWARD_PATH, ask, ForwardAnswer, action.timeout_s
+        peer, sender.token, FORWARD_PATH, message, ForwardAnswer, action.timeout_s
     )
     if isinstance(result, Err):
         return ForwardEnded(action.key, _classify_error(result.err_value))
@@ -220,7 +240,7 @@
 
 
 def build_forward_answer(answer: FinalAnswer, request_id: str) -> ForwardAnswer:
-    """Return `answer` as the message that `send_forward` reads."""
+    """Return `answer` as the message that answers a forwarded request."""
     response = answer.response
     return ForwardAnswer(
         request_id,
@@ -249,27 +269,29 @@
     )
 
 
-def _classify_answer(key: str, sent: RunnerAnswer, latency_s: float) -> AttemptEnded:
-    answer = sent.answer
-    if answer is None:
-        lost = sent.outcome != RunnerOutcome.NOT_RUN
-        result = SendResult.LOST if lost else SendResult.NOT_RUN
+def _classify_answer(key: str, answer: RunnerAnswer, latency_s: float) -> AttemptEnded:
+    response = answer.answer
+    if response is None:
+        may_have_run = answer.outcome != RunnerOutcome.NOT_RUN
+        result = SendResult.LOST if may_have_run else SendResult.NOT_RUN
         return AttemptEnded(key, result, latency_s)
-    response = Response(
-        answer.status,
-        answer.body,
-        answer.headers.get("Content-Type", "application/octet-stream"),
+    runner_response = Response(
+        response.status,
+        response.body,
+        response.headers.get("Content-Type", "application/octet-stream"),
     )
-    leaving = answer.headers.get(_LEAVING_HEADER, "").lower() == "true"
+    is_leaving = response.headers.get(_LEAVING_HEADER, "").lower() == "true"
     result = SendResult.ANSWERED
-    if sent.outcome == RunnerOutcome.NOT_RUN:
+    if answer.outcome == RunnerOutcome.NOT_RUN:
         result = SendResult.NOT_RUN
-    elif answer.status >= _SERVER_ERROR:
+    elif response.status >= _SERVER_ERROR:
         result = SendResult.FAILED
-    kept = None if result == SendResult.NOT_RUN else response
-    return AttemptEnded(key, result, latency_s, kept, leaving, sent.retry_after_s)
+    kept_response = None if result == SendResult.NOT_RUN else runner_response
+    return AttemptEnded(
+        key, result, latency_s, kept_response, is_leaving, answer.retry_after_s
+    )
 
 
 def _classify_error(error: CallError) -> str:
-    sure = error.kind in (ErrorKind.UNREACHABLE, ErrorKind.REFUSED)
-    return SendResult.NOT_RUN if sure else SendResult.LOST
+    did_not_run = error.kind in (ErrorKind.UNREACHABLE, ErrorKind.REFUSED)
+    return SendResult.NOT_RUN if did_not_run else SendResult.LOST
--- a/plantainyard/gateway/parsing.py
+++ b/plantainyard/gateway/parsing.py
@@ -1,4 +1,4 @@
-"""Reading of callers' and peers' requests, with checks that name the fault."""
+"""Parsing and checking of requests from callers and from peers."""
 
 import base64
 import binascii
@@ -31,9 +31,11 @@
     "parse_forward_request",
 ]
 
-_ID_LENGTH = 200
+_MAX_LENGTH = 200
+"""Largest number of characters in a request id or a team name."""
+
 _MS_PER_S = 1000.0
-_FLAGS = {"true": True, "1": True, "false": False, "0": False, "": False}
+_BOOLEANS = {"true": True, "1": True, "false": False, "0": False, "": False}
 _UUID_VERSION = 7
 _VARIANT = 2
 
@@ -41,7 +43,7 @@
 
 
 class IncomingRequest(NamedTuple):
-    """A request as decisions need it, and its body."""
+    """A request with its body; routing uses only `request`."""
 
     request: Request
     body: bytes
@@ -51,46 +53,52 @@
 def parse_caller_request(
     environ: Mapping[str, Any], service: str, body: bytes, settings: Settings
 ) -> Result[IncomingRequest, str]:
-    """Return the request in a caller's call, or what is wrong with it.
+    """Return the request of a caller, or a description of what is wrong with it.
 
     Parameters
     ----------
     environ : mapping
         The WSGI environment.
     service : str
-        From the path.
+        Name of the service, from the path.
     body : bytes
-        The whole body.
+        The complete body.
     settings : Settings
-        For the deadline of a request that names none, and the longest.
+        Gives the default deadline and the longest one.
     """
-    idempotent = _FLAGS.get(_read_header(environ, IDEMPOTENT_HEADER).lower())
+    idempotent = _BOOLEANS.get(_read_header(environ, IDEMPOTENT_HEADER).lower())
     if idempotent is None:
         return Err(f"{IDEMPOTENT_HEADER}: expected true or false")
-    urgent = _FLAGS.get(_read_header(environ, URGENT_HEADER).lower())
+    urgent = _BOOLEANS.get(_read_header(environ, URGENT_HEADER).lower())
     if urgent is None:
         return Err(f"{URGENT_HEADER}: expected true or false")
-    longest = int(settings.requests.request_max_s * _MS_PER_S)
-    text = _read_header(environ, DEADLINE_HEADER) or str(
+    max_deadline_ms = int(settings.requests.request_max_s * _MS_PER_S)
+    deadline_ms = _read_header(environ, DEADLINE_HEADER) or str(
         settings.requests.default_deadline_ms
     )
-    if not (text.isascii() and text.isdecimal() and 0 < int(text[:12]) <= longest):
-        return Err(f"{DEADLINE_HEADER}: expected an integer from 1 to {longest}")
+    if not (
+        deadline_ms.isascii()
+        and deadline_ms.isdecimal()
+        and 0 < int(deadline_ms[:12]) <= max_deadline_ms
+    ):
+        return Err(
+            f"{DEADLINE_HEADER}: expected an integer from 1 to {max_deadline_ms}"
+        )
     request_id = _read_header(environ, REQUEST_ID_HEADER)
     if not request_id and not idempotent:
         return Err(f"{REQUEST_ID_HEADER}: required unless {IDEMPOTENT_HEADER} is true")
     request_id = request_id or build_request_id(time.time())
-    if fault := _find_id_error(request_id):
-        return Err(f"{REQUEST_ID_HEADER}: {fault}")
+    if error := _find_id_error(request_id):
+        return Err(f"{REQUEST_ID_HEADER}: {error}")
     team = _read_header(environ, TEAM_HEADER)
-    if len(team) > _ID_LENGTH:
-        return Err(f"{TEAM_HEADER}: longer than {_ID_LENGTH} characters")
+    if len(team) > _MAX_LENGTH:
+        return Err(f"{TEAM_HEADER}: longer than {_MAX_LENGTH} characters")
     request = Request(
         _make_key(),
         request_id,
         service,
         team,
-        read_clock() + int(text) / _MS_PER_S,
+        read_clock() + int(deadline_ms) / _MS_PER_S,
         urgent,
         idempotent,
         len(body),
@@ -100,43 +108,43 @@
     return Ok(IncomingRequest(request, body, content_type))
 
 
-def parse_forward_request(ask: ForwardAsk) -> Result[IncomingRequest, str]:
-    """Return the request in a peer's message, or what is wrong with it."""
+def parse_forward_request(message: ForwardAsk) -> Result[IncomingRequest, str]:
+    """Return the request in a peer's message, or a description of what is wrong."""
     try:
-        body = base64.b64decode(ask.body, validate=True)
+        body = base64.b64decode(message.body, validate=True)
     except (ValueError, binascii.Error):
         return Err("body: not base64")
-    if ask.hops > MAX_HOPS:
+    if message.hops > MAX_HOPS:
         return Err(f"hops: more than {MAX_HOPS}")
-    if fault := _find_id_error(ask.request_id):
-        return Err(f"request_id: {fault}")
+    if error := _find_id_error(message.request_id):
+        return Err(f"request_id: {error}")
     request = Request(
         _make_key(),
-        ask.request_id,
-        ask.service,
-        ask.team,
-        read_clock() + ask.remaining_s,
-        ask.urgent,
-        ask.idempotent,
+        message.request_id,
+        message.service,
+        message.team,
+        read_clock() + message.remaining_s,
+        message.urgent,
+        message.idempotent,
         len(body),
-        ask.hops,
-        _compute_digest(ask.service, body),
-        ask.judged,
+        message.hops,
+        _compute_digest(message.service, body),
+        message.judged,
     )
-    return Ok(IncomingRequest(request, body, ask.content_type))
+    return Ok(IncomingRequest(request, body, message.content_type))
 
 
 def build_request_id(wall_s: float) -> str:
-    """Return a new UUIDv7 issued at `wall_s`.
+    """Return a new UUIDv7 for the wall-clock time `wall_s`.
 
     References
     ----------
     RFC 9562, section 5.7.
     """
-    bits = uuid.uuid4().int & ((1 << 62) - 1)
-    filler = uuid.uuid4().int & 0xFFF
-    value = int(wall_s * _MS_PER_S) << 80 | _UUID_VERSION << 76 | filler << 64
-    return str(uuid.UUID(int=value | _VARIANT << 62 | bits))
+    rand_b = uuid.uuid4().int & ((1 << 62) - 1)
+    rand_a = uuid.uuid4().int & 0xFFF
+    high_bits = int(wall_s * _MS_PER_S) << 80 | _UUID_VERSION << 76 | rand_a << 64
+    return str(uuid.UUID(int=high_bits | _VARIANT << 62 | rand_b))
 
 
 def _read_header(environ: Mapping[str, Any], header: str) -> str:
@@ -145,8 +153,8 @@
 
 
 def _find_id_error(request_id: str) -> str:
-    if len(request_id) > _ID_LENGTH:
-        return f"longer than {_ID_LENGTH} characters"
+    if len(request_id) > _MAX_LENGTH:
+        return f"longer than {_MAX_LENGTH} characters"
     if not (request_id.isascii() and request_id.isprintable()) or not request_id:
         return "expected printable ASCII characters"
     return ""
--- a/plantainyard/gateway/peers.py
+++ b/plantainyard/gateway/peers.py
@@ -1,4 +1,4 @@
-"""Calls to other instances: one message there, one message back."""
+"""Calls to other instances: one request message and one response message each."""
 
 from typing import TypeVar
 
@@ -22,7 +22,9 @@
 
 _OK = 200
 _REFUSED_STATUSES = frozenset({400, 401, 403, 404, 405, 413, 429, 503})
-_M = TypeVar("_M")
+"""HTTP statuses with which a peer says that it did not act on the request."""
+
+_T = TypeVar("_T")
 
 
 def call_peer(
@@ -30,30 +32,31 @@
     token: str,
     path: str,
     message: Message,
-    expected: type[_M],
+    expected: type[_T],
     timeout_s: float,
-) -> Result[_M, CallError]:
-    """Send `message` to a peer, once, and return its answer.
+) -> Result[_T, CallError]:
+    """Send `message` to a peer, without retries, and return its response.
 
     Parameters
     ----------
     peer : HttpPeer
         The other instance.
     token : str
-        The bearer token.
+        Bearer token of the instances.
     path : str
         One of the paths in `protocol.constants`.
     message : Message
-        What to send.
+        The message to send.
     expected : type
-        Type of the answer.
+        Type of the response message.
     timeout_s : float
-        Longest wait for the whole answer.
+        Longest wait for the whole response, in seconds.
 
     Returns
     -------
     Result
-        The answer; ``REFUSED`` where the peer answered that it did not act.
+        The response message, or the error. Its kind is ``REFUSED`` if the peer's status
+        says that it did not act, and ``LOST`` for any other status than 200.
     """
     headers = {
         "Authorization": build_authorization(token),
@@ -65,18 +68,20 @@
     result = send_request(peer, step, "POST", path, body, headers, timeout_s)
     if isinstance(result, Err):
         return result
-    answer = result.ok_value
-    if answer.status != _OK:
+    response = result.ok_value
+    if response.status != _OK:
         kind = (
-            ErrorKind.REFUSED if answer.status in _REFUSED_STATUSES else ErrorKind.LOST
+            ErrorKind.REFUSED
+            if response.status in _REFUSED_STATUSES
+            else ErrorKind.LOST
         )
-        detail = f"status {answer.status}"
+        detail = f"status {response.status}"
         return Err(CallError(kind, step, peer.address, detail))
-    return decode_message(answer.body, expected, peer.address)
+    return decode_message(response.body, expected, peer.address)
 
 
 def send_credit_request(
-    peer: HttpPeer, token: str, ask: CreditAsk, timeout_s: float
+    peer: HttpPeer, token: str, request: CreditAsk, timeout_s: float
 ) -> Result[CreditAnswer, CallError]:
-    """Send a credit ask to the owner of its rack."""
-    return call_peer(peer, token, CREDITS_PATH, ask, CreditAnswer, timeout_s)
+    """Send a credit request to the owner of its rack and return the response."""
+    return call_peer(peer, token, CREDITS_PATH, request, CreditAnswer, timeout_s)
--- a/plantainyard/gateway/routing_settings.py
+++ b/plantainyard/gateway/routing_settings.py
@@ -1,4 +1,4 @@
-"""Translation of an instance's settings into those of routing."""
+"""Conversion of an instance's settings to those of routing."""
 
 from plantainyard.routing import RoutingSettings
 from plantainyard.settings import Settings
@@ -6,17 +6,21 @@
 __all__ = ["build_routing_settings"]
 
 _REQUESTS_PER_CREDIT_TERM = 6.0
+"""Credit requests in the term of one credit, if that is more than one every 0.5 s."""
+
 _BYTES_PER_MB = 1_000_000
+
 _QUEUE_MEMORY_SHARE = 0.25
+"""Share of the memory for bodies that queued requests may use."""
 
 
 def build_routing_settings(settings: Settings) -> RoutingSettings:
-    """Return the routing settings of `settings`.
+    """Return the routing settings that follow from `settings`.
 
     Notes
     -----
-    Bodies that wait take a quarter of the memory for bodies; the rest is left to the
-    requests in progress and their answers.
+    The bodies of queued requests may use a quarter of the memory for bodies. The rest
+    is for the requests in progress and their responses.
     """
     requests, limits = settings.requests, settings.limits
     return RoutingSettings(
--- a/plantainyard/gateway/server.py
+++ b/plantainyard/gateway/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server of the callers' port."""
+"""The HTTP server of the port for callers."""
 
 import contextlib
 from collections.abc import Iterator
@@ -15,36 +15,43 @@
 __all__ = ["serve_gateway"]
 
 _CONNECTIONS_PER_RUNNER = 3
+"""Idle connections that the gateway keeps to each runner.
+
+A runner accepts about 60 connections. Eight gateways would exceed that if each kept
+one for every slot.
+"""
 
 
 @contextlib.contextmanager
 def serve_gateway(settings: Settings, gateway: Gateway, meter: Meter) -> Iterator[str]:
-    """Serve callers for the length of the context and yield the ``ip:port``.
+    """Serve callers for the duration of the context and yield the ``ip:port``.
 
     Parameters
     ----------
     settings : Settings
-        The address and the limits.
+        Address and limits of the instance.
     gateway : Gateway
         The running gateway.
     meter : Meter
-        Counts outcomes.
+        Receives the counts of outcomes.
 
     Notes
     -----
-    For a planned stop call `actor.drain_gateway` first and wait for
-    `Gateway.drained`; on leaving, answers that are still being written are finished.
+    For a planned stop, call `actor.drain_gateway` first and wait for
+    `Gateway.drained`. Responses that are being written when the context ends are
+    completed.
     """
-    # Each gateway keeps few idle connections: a runner holds about 60, which eight
-    # gateways with one for every slot would exceed.
-    runners = build_pool(connections_per_peer=_CONNECTIONS_PER_RUNNER)
-    peers = build_pool(connections_per_peer=settings.limits.caller_threads)
+    runner_pool = build_pool(connections_per_peer=_CONNECTIONS_PER_RUNNER)
+    peer_pool = build_pool(connections_per_peer=settings.limits.caller_threads)
     token = settings.security.token.reveal()
     limits = settings.limits
-    # Twice the requests in progress: those whose callers have gone go on for a while.
+    # Twice the requests in progress: an attempt continues for a while after its
+    # caller's deadline.
     threads = ThreadPoolExecutor(2 * limits.caller_threads)
-    longest_s = settings.requests.request_max_s
-    sender = Sender(runners, peers, token, settings.instance.id, threads, longest_s)
+    request_max_s = settings.requests.request_max_s
+    sender = Sender(
+        runner_pool, peer_pool, token, settings.instance.id, threads, request_max_s
+    )
     app = build_app(settings, gateway, sender, meter)
     try:
         with serve_app(
@@ -57,5 +64,5 @@
             yield address
     finally:
         threads.shutdown(wait=False, cancel_futures=True)
-        runners.clear()
-        peers.clear()
+        runner_pool.clear()
+        peer_pool.clear()
--- a/plantainyard/gateway/tests/test_attempts.py
+++ b/plantainyard/gateway/tests/test_attempts.py
@@ -1,3 +1,5 @@
+"""Attempts at runners that outlast their caller's deadline."""
+
 import threading
 from concurrent.futures import ThreadPoolExecutor
 
@@ -18,35 +20,37 @@
 
 
 @pytest.mark.parametrize(
-    ("result", "told"),
+    ("result", "expected"),
     [
         (SendResult.ANSWERED, [LateAttemptEnded("a", "r1", 2.0)]),
         (SendResult.LOST, []),
     ],
 )
-def test_only_a_known_end_gives_a_slot_back(monkeypatch, result, told):
-    """A runner is overfilled after a connection broke.
+def test_abandoned_attempt_frees_its_slot_only_on_a_response(
+    monkeypatch, result, expected
+):
+    """Guards against overloading a runner after its connection broke.
 
-    The caller's time is up, and the listening goes on; then the connection breaks
-    while the runner still works on the request.
+    The caller's deadline has passed while the thread still waits for the response.
+    Then the connection breaks while the runner is still processing the request.
     """
-    may_end = threading.Event()
+    may_respond = threading.Event()
 
     def send(*_):
-        may_end.wait(30)
+        may_respond.wait(30)
         return AttemptEnded("a", result, 2.0)
 
     monkeypatch.setattr(attempts, "send_to_runner", send)
-    heard: list[object] = []
+    events: list[object] = []
     with ThreadPoolExecutor(1) as threads:
         sender = attempts.Sender(None, None, "", "i1", threads, 30.0)  # type: ignore[arg-type]
-        first = attempts.start_attempt(sender, ACTION, b"", "", heard.append)
-        second = attempts.start_attempt(sender, ACTION, b"", "", heard.append)
-        not_begun = attempts.abandon_attempt(second)
-        while not first.begun > 0:
+        first = attempts.start_attempt(sender, ACTION, b"", "", events.append)
+        second = attempts.start_attempt(sender, ACTION, b"", "", events.append)
+        not_started = attempts.abandon_attempt(second)
+        while not first.started_at > 0:
             assert not first.is_ended
-        lost = attempts.abandon_attempt(first)
-        may_end.set()
-    assert not_begun == AttemptEnded("a", SendResult.NOT_SENT)
-    assert lost is not None and lost.result == SendResult.LOST
-    assert heard == told
+        abandoned = attempts.abandon_attempt(first)
+        may_respond.set()
+    assert not_started == AttemptEnded("a", SendResult.NOT_SENT)
+    assert abandoned is not None and abandoned.result == SendResult.LOST
+    assert events == expected
--- a/plantainyard/gateway/tests/test_gateway_http.py
+++ b/plantainyard/gateway/tests/test_gateway_http.py
@@ -1,4 +1,4 @@
-"""The callers' port against real stand-in runners, over loopback."""
+"""The port for callers with stand-in runners, over loopback HTTP."""
 
 import contextlib
 import itertools
@@ -61,8 +61,8 @@
     return Settings(instance, platform, security, requests=requests)
 
 
-class Owned:
-    """A lender for one rack, called directly by the gateways."""
+class LocalLender:
+    """Lender of one rack's credits that the gateways call directly."""
 
     def __init__(self, settings, runners):
         self.lock = threading.Lock()
@@ -72,16 +72,16 @@
         for info in runners:
             self.lend(self.state, RunnerUp(info, True), read_clock())
 
-    def ask(self, ask):
+    def request_credits(self, request):
         with self.lock:
-            return self.lend(self.state, ask, read_clock())[0]
+            return self.lend(self.state, request, read_clock())[0]
 
 
 @contextlib.contextmanager
 def open_site(
     runner_count=2, slots=2, gateways=("i1",), request_max_s=30.0, threads=64
 ):
-    """Yield the runners, the gateways and their addresses."""
+    """Yield the runners' states, and each gateway with its address."""
     settings = build_settings("i1", request_max_s)
     settings = settings._replace(limits=Limits(caller_threads=threads))
     with contextlib.ExitStack() as stack:
@@ -96,12 +96,12 @@
                 state.name, "billing", address, "k1", "d1", "reg", slots, 60
             )
             infos.append(info)
-        owned = Owned(settings, infos)
+        lender = LocalLender(settings, infos)
         started = [
             stack.enter_context(
                 open_gateway(
                     settings._replace(instance=settings.instance._replace(id=name)),
-                    owned,
+                    lender,
                 )
             )
             for name in gateways
@@ -110,14 +110,14 @@
 
 
 @contextlib.contextmanager
-def open_gateway(settings, owned):
+def open_gateway(settings, lender):
     handles: list[Any] = []
 
-    def ask(action):
-        answer = owned.ask(action.ask)
+    def request_credits(action):
+        answer = lender.request_credits(action.ask)
         post_event(handles[0], CreditAnswerReceived(answer))
 
-    with run_gateway(settings, settings.instance.id, ask) as gateway:
+    with run_gateway(settings, settings.instance.id, request_credits) as gateway:
         handles.append(gateway)
         owner = Owner("i1", "d1", "reg")
         post_event(gateway, OwnersChanged({"k1": owner}))
@@ -138,12 +138,12 @@
     return HTTP.request("POST", address + URL, body=body, headers=named)
 
 
-def test_each_of_many_callers_gets_its_own_whole_answer():
-    """Answers cut short, swapped or late reach nobody.
+def test_each_of_many_callers_gets_its_own_complete_response():
+    """Guards against a caller receiving the response to another request.
 
-    A user sees another customer's invoice: a runner's answer was late, the caller
-    had gone, and the next request on the same connection read it. Or the answer was
-    cut short, or carried another request's id.
+    A response that arrives after its caller's deadline could be read as the response
+    to the next request on the same connection. Truncated responses, and those with
+    another request's id, must not reach a caller either.
     """
     with open_site(runner_count=3, request_max_s=0.5) as (runners, [(_, address)]):
         runners[0].faults = RunnerFaults(truncate_next=4)
@@ -166,12 +166,12 @@
         assert all(r.max_in_progress <= 2 for r in runners)
 
 
-def test_a_late_answer_gives_its_slot_back():
-    """After a few slow answers an instance refuses everything for half a minute.
+def test_a_late_response_frees_its_slot():
+    """Guards against refusing every request for 30 s after a few slow responses.
 
-    A caller's time is up while its request is at the runner, which can't take more:
-    the slot counts as used until the longest request has ended, unless somebody
-    listens for the answer that comes after the caller has gone.
+    A caller's deadline passes while its request occupies a runner's only slot. Unless
+    the gateway keeps waiting for the response, the slot counts as used for the longest
+    time that a request may take.
     """
     with open_site(runner_count=1, slots=1) as ([runner], [(_, address)]):
         runner.faults = RunnerFaults(delay_next=1, delay_ms=600)
@@ -183,10 +183,10 @@
 
 
 def test_one_id_at_two_gateways_runs_once():
-    """A repeated charge is charged once, and both callers get the answer.
+    """Guards against running a repeated charge twice; all callers get its response.
 
-    A caller times out, or its balancer repeats the call at another instance while
-    the first is in progress; each instance for itself would let the id run.
+    A caller, or its load balancer, repeats a call at another instance while the first
+    is in progress. Each instance on its own would run the request with this id.
     """
     with open_site(gateways=("i1", "i2")) as (runners, [(_, one), (two_ref, two)]):
         peer = Peer("i1", "d1", "reg", one, {"billing": 1})
@@ -200,11 +200,11 @@
         assert post(two, name, b"[2]").status == 400
 
 
-def test_a_drain_cuts_off_no_request():
-    """A planned stop at full load loses nothing.
+def test_a_drain_completes_every_request():
+    """Guards against losing requests in a planned stop at full load.
 
-    Callers see broken connections at every replacement of an instance when the
-    server closes while requests are queued or at a runner.
+    Callers would see broken connections whenever an instance is replaced, if the server
+    closed while requests are queued or at a runner.
     """
     body = json.dumps({"work_ms": 60, "pad": "x" * 900_000}).encode()
     with ThreadPoolExecutor(8) as pool:
@@ -229,7 +229,7 @@
         ({"Idempotent": "false"}, "Plantainyard-Request-Id"),
     ],
 )
-def test_malformed_input_is_answered_with_the_field(headers, field):
+def test_error_response_names_the_malformed_field(headers, field):
     with open_site(runner_count=1) as (_, [(_, address)]):
         answer = post(address, **headers)
         assert answer.status == 400
@@ -239,11 +239,11 @@
         assert huge.status == 413
 
 
-def test_overload_is_answered_at_once():
-    """More callers than threads: the rest hear at once when to come back.
+def test_overload_is_rejected_at_once():
+    """Guards against callers that wait past their deadlines in the server's own queue.
 
-    Without it they wait in the server's own queue, past their deadlines, and the
-    instance looks dead.
+    With more callers than threads, the excess ones must receive ``Retry-After`` at
+    once. Otherwise the instance seems to be unreachable.
     """
     with (
         open_site(runner_count=1, slots=1, threads=12) as (_, [(_, address)]),
