--- a/plantainyard/execution/commands.py
+++ b/plantainyard/execution/commands.py
@@ -12,13 +12,13 @@
 from plantainyard.state import Assignment
 from plantainyard.work import Job, TaskKey
 
-from .views import AttemptKey, WorkerView, estimate_clock, note_until
+from .views import AttemptKey, WorkerView, estimate_clock, record_lease_end
 
 __all__ = [
     "LeaseTerms",
     "build_commands",
     "keep_only_renewals",
-    "note_sent",
+    "record_sent_leases",
     "withhold_leases",
 ]
 
@@ -84,7 +84,7 @@
         for key in wanted
         if key not in view.running
         and key not in view.finished
-        and key not in view.seen
+        and key not in view.seen_attempts
         and wanted[key].incarnation in (-1, view.incarnation)
         and key.task not in cancelled
         and not view.info.leaving
@@ -133,12 +133,12 @@
     return commands._replace(start=(), renew=())
 
 
-def note_sent(view: WorkerView, commands: Commands) -> None:
+def record_sent_leases(view: WorkerView, commands: Commands) -> None:
     """Remember the lease ends that are about to be sent."""
     for renewal in commands.renew:
-        note_until(view, AttemptKey(renewal.task, renewal.attempt), renewal.until)
+        record_lease_end(view, AttemptKey(renewal.task, renewal.attempt), renewal.until)
     for start in commands.start:
-        note_until(view, AttemptKey(start.task, start.attempt), start.until)
+        record_lease_end(view, AttemptKey(start.task, start.attempt), start.until)
 
 
 def _build_start(
--- a/plantainyard/execution/events.py
+++ b/plantainyard/execution/events.py
@@ -35,7 +35,7 @@
     """
 
     workers: tuple[WorkerInfo, ...]
-    gone: frozenset[str] = frozenset()
+    terminated: frozenset[str] = frozenset()
 
 
 class WorkerAnswered(NamedTuple):
--- a/plantainyard/execution/planning.py
+++ b/plantainyard/execution/planning.py
@@ -2,8 +2,8 @@
 
 The policy decides from events. Here the folded records of the log and the answers
 of the workers become those events, and the policy's actions become items for the
-log and wishes for the workers. A new owner feeds the whole rack with `learn_rack`
-and then each record with `learn_record`.
+log and wishes for the workers. A new owner feeds the whole rack with `load_rack`
+and then each record with `process_record`.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -36,13 +36,13 @@
     "Decision",
     "PlanState",
     "Recording",
-    "start_plan",
+    "create_plan",
     "decide",
-    "learn_rack",
-    "learn_record",
-    "learn_usage",
-    "learn_workers",
-    "withdraw",
+    "load_rack",
+    "process_record",
+    "process_usage",
+    "update_workers",
+    "withdraw_placements",
 ]
 
 _SUSPECT_AFTER = 2
@@ -62,8 +62,8 @@
     """
 
     assign: tuple[AssignItem, ...] = ()
-    give_up: tuple[placement.GiveUp, ...] = ()
-    notes: tuple[placement.Action, ...] = ()
+    abandoned: tuple[placement.GiveUp, ...] = ()
+    other_actions: tuple[placement.Action, ...] = ()
 
 
 class Recording:
@@ -92,7 +92,7 @@
     recording.size += len(line)
 
 
-def start_plan(record_bytes: int) -> "PlanState":
+def create_plan(record_bytes: int) -> "PlanState":
     """Return a fresh plan, recorded where `record_bytes` is above zero."""
     if not record_bytes:
         return PlanState(placement.create_state())
@@ -135,11 +135,11 @@
         self.recording = recording
         self.pending: dict[TaskKey, AssignItem] = {}
         self.suspects: set[str] = set()
-        self.reasons: dict[str, placement.HoldBack] = {}
+        self.wait_reasons: dict[str, placement.HoldBack] = {}
         self.workers: tuple[WorkerInfo, ...] = ()
 
 
-def learn_rack(plan: PlanState, domain: DomainState, rack: str, now: float) -> None:
+def load_rack(plan: PlanState, domain: DomainState, rack: str, now: float) -> None:
     """Feed the policy with all that the log says of `rack`.
 
     Notes
@@ -149,7 +149,7 @@
     assigned = get_assigned(domain, rack)
     for entry in list_jobs(domain):
         if not entry.cancelled:
-            _learn_waiting(plan, entry, rack, now)
+            _add_waiting(plan, entry, rack, now)
     for task, assignment in assigned.items():
         job = domain.jobs.get(task.job)
         if job is not None:
@@ -160,7 +160,7 @@
     plan.step(plan.policy, placement.Cancelled(tuple(domain.cancelled)), now)
 
 
-def _learn_waiting(plan: PlanState, entry: JobState, rack: str, now: float) -> None:
+def _add_waiting(plan: PlanState, entry: JobState, rack: str, now: float) -> None:
     fresh = entry.unattempted.get(rack)
     for first, stop in list_ranges(fresh) if fresh else ():
         waiting = placement.TasksWaiting(entry.job, first, stop, 1, now)
@@ -178,7 +178,7 @@
         plan.step(plan.policy, again, now)
 
 
-def learn_record(
+def process_record(
     plan: PlanState,
     domain: DomainState,
     rack: str,
@@ -205,27 +205,27 @@
     """
     if change.parts:
         for part, verdict in zip(data["records"], change.parts, strict=True):
-            learn_record(plan, domain, rack, part, verdict, now)
+            process_record(plan, domain, rack, part, verdict, now)
         return
     if change.type == RecordType.ASSIGN and data.get("rack") == rack:
-        _learn_assign(plan, domain, data, change, now)
+        _process_assign(plan, domain, data, change, now)
     elif not change.applied:
         return
     elif change.type == RecordType.ACCEPT:
         entry = domain.jobs.get(data["job"]["id"])
         if entry is not None:
-            _learn_waiting(plan, entry, rack, now)
+            _add_waiting(plan, entry, rack, now)
     elif change.type == RecordType.RESULTS and data["rack"] == rack:
-        _learn_results(plan, domain, data, change, now)
+        _process_results(plan, domain, data, change, now)
     elif change.type == RecordType.CANCEL:
         plan.step(plan.policy, placement.Cancelled(tuple(data["jobs"])), now)
         for job in data["jobs"]:
-            plan.reasons.pop(job, None)
+            plan.wait_reasons.pop(job, None)
     elif change.type == RecordType.MOVE:
-        _learn_move(plan, domain, rack, data, now)
+        _process_move(plan, domain, rack, data, now)
 
 
-def _learn_assign(
+def _process_assign(
     plan: PlanState,
     domain: DomainState,
     data: Mapping[str, Any],
@@ -246,7 +246,7 @@
             plan.step(plan.policy, started, now)
 
 
-def _learn_results(
+def _process_results(
     plan: PlanState,
     domain: DomainState,
     data: Mapping[str, Any],
@@ -265,7 +265,7 @@
         _end(plan, task, attempt, "", outcome, detail, now)
 
 
-def _learn_move(
+def _process_move(
     plan: PlanState,
     domain: DomainState,
     rack: str,
@@ -279,7 +279,7 @@
             plan.step(plan.policy, gone, now)
     elif data["to_rack"] == rack:
         for job in {task.job for task in tasks} & domain.jobs.keys():
-            _learn_waiting(plan, domain.jobs[job], rack, now)
+            _add_waiting(plan, domain.jobs[job], rack, now)
 
 
 def _end(
@@ -295,12 +295,12 @@
     plan.step(plan.policy, ended, now)
 
 
-def learn_workers(plan: PlanState, rack: RackState, now: float) -> None:
+def update_workers(plan: PlanState, rack: RackState, now: float) -> None:
     """Tell the policy which workers may take tasks, and which are in doubt."""
     workers = tuple(
         view.info
         for view in rack.views.values()
-        if not view.gone and not view.info.leaving
+        if not view.terminated and not view.info.leaving
     )
     if workers != plan.workers:
         plan.workers = workers
@@ -317,7 +317,7 @@
     return view.fenced and view.failures < _SUSPECT_AFTER
 
 
-def learn_usage(
+def process_usage(
     plan: PlanState, view: WorkerView, usage: Iterable[Usage], now: float
 ) -> None:
     """Feed a worker's late reports to the policy, at the times they are about."""
@@ -350,7 +350,7 @@
     )
     plan.pending.update({item.task: item for item in assign})
     for action in actions:
-        _note_wish(plan, rack, action)
+        _record_action(plan, rack, action)
     known = (placement.Place, placement.HoldBack, placement.GiveUp)
     return Decision(
         assign,
@@ -359,7 +359,9 @@
     )
 
 
-def withdraw(plan: PlanState, items: Iterable[AssignItem], now: float) -> None:
+def withdraw_placements(
+    plan: PlanState, items: Iterable[AssignItem], now: float
+) -> None:
     """Let the policy place `items` anew, whose record never gets into the log.
 
     Notes
@@ -372,7 +374,7 @@
             _end(plan, *item[:3], placement.Outcome.UNPLACED, "", now)
 
 
-def _note_wish(plan: PlanState, rack: RackState, action: placement.Action) -> None:
+def _record_action(plan: PlanState, rack: RackState, action: placement.Action) -> None:
     match action:
         case placement.Throttle(task, attempt, worker, share):
             if worker in rack.views:
@@ -381,6 +383,6 @@
             if worker in rack.views:
                 rack.views[worker].evictions.add(AttemptKey(task, attempt))
         case placement.Place(task, _, _, _):
-            plan.reasons.pop(task.job, None)
+            plan.wait_reasons.pop(task.job, None)
         case placement.HoldBack(task, _, _):
-            plan.reasons[task.job] = action
+            plan.wait_reasons[task.job] = action
--- a/plantainyard/execution/rack.py
+++ b/plantainyard/execution/rack.py
@@ -24,10 +24,9 @@
     LeaseTerms,
     build_commands,
     keep_only_renewals,
-    note_sent,
+    record_sent_leases,
     withhold_leases,
 )
-from .ends import judge_end
 from .events import (
     Action,
     AppendResults,
@@ -40,9 +39,10 @@
     WorkerAnswered,
     WorkersListed,
 )
-from .views import AttemptKey, WorkerView, absorb_state
+from .results import find_result
+from .views import AttemptKey, WorkerView, update_view
 
-__all__ = ["RackState", "forget_reports", "step"]
+__all__ = ["RackState", "unmark_reported", "step"]
 
 _RESEND_S = 0.5
 _SILENT_AFTER = 3
@@ -95,7 +95,7 @@
         self.reported: set[AttemptKey] = set()
         self.confirmed_at = float("-inf")
         self.has_majority = False
-        self.spared: frozenset[TaskKey] = frozenset()
+        self.draining_runners: frozenset[TaskKey] = frozenset()
 
 
 def step(
@@ -125,17 +125,17 @@
     Cost: linear in the rack's workers and assigned tasks.
     """
     match event:
-        case WorkersListed(workers, gone):
-            return _take_list(state, workers, gone)
+        case WorkersListed(workers, terminated):
+            return _update_worker_list(state, workers, terminated)
         case WorkerAnswered(worker, answer, sent_at, fencing):
-            return _take_answer(state, worker, answer, sent_at, fencing, now)
+            return _process_answer(state, worker, answer, sent_at, fencing, now)
         case CallFailed(worker, _):
-            return _take_failure(state, worker, now)
+            return _record_failure(state, worker, now)
         case Tick():
-            return _close_difference(state, domain, now)
+            return _reconcile(state, domain, now)
 
 
-def forget_reports(state: RackState, items: Iterable[ResultItem]) -> None:
+def unmark_reported(state: RackState, items: Iterable[ResultItem]) -> None:
     """Let ended attempts be told again, whose record never gets into the log.
 
     Notes
@@ -146,19 +146,19 @@
     state.reported -= {AttemptKey(item.task, item.attempt) for item in items}
 
 
-def _take_list(
-    state: RackState, workers: tuple[WorkerInfo, ...], gone: frozenset[str]
+def _update_worker_list(
+    state: RackState, workers: tuple[WorkerInfo, ...], terminated: frozenset[str]
 ) -> list[Action]:
     for info in workers:
         view = state.views.setdefault(info.id, WorkerView(info))
         view.info = info
-        view.gone = info.id in gone
-    for worker in gone & state.views.keys():
-        state.views[worker].gone = True
+        view.terminated = info.id in terminated
+    for worker in terminated & state.views.keys():
+        state.views[worker].terminated = True
     return []
 
 
-def _take_answer(
+def _process_answer(
     state: RackState,
     worker: str,
     answer: WorkerAnswer,
@@ -169,9 +169,9 @@
     view = state.views.get(worker)
     if view is None:
         return []
-    view.calling = False
+    view.call_in_flight = False
     view.failures = 0
-    absorb_state(view, answer.state, now)
+    update_view(view, answer.state, now)
     fence = (answer.state.epoch, answer.state.holder)
     if answer.accepted and fencing:
         view.fenced = True
@@ -185,21 +185,21 @@
     return []
 
 
-def _take_failure(state: RackState, worker: str, now: float) -> list[Action]:
+def _record_failure(state: RackState, worker: str, now: float) -> list[Action]:
     view = state.views.get(worker)
     if view is None:
         return []
-    view.calling = False
+    view.call_in_flight = False
     view.failures += 1
     view.next_call_at = now + min(_RETRY_S * 2**view.failures, _RETRY_MAX_S)
     return []
 
 
-def _close_difference(
-    state: RackState, domain: DomainState, now: float
-) -> list[Action]:
+def _reconcile(state: RackState, domain: DomainState, now: float) -> list[Action]:
     assigned = get_assigned(domain, state.rack)
-    cancelled = frozenset(list_cancelled_running(domain, state.rack)) - state.spared
+    cancelled = (
+        frozenset(list_cancelled_running(domain, state.rack)) - state.draining_runners
+    )
     by_worker = _group_by_worker(assigned)
 
     def find_job(job: str) -> Job | None:
@@ -246,7 +246,7 @@
         if key not in state.reported
         and (view := state.views.get(assignment.worker)) is not None
         and (
-            item := judge_end(
+            item := find_result(
                 view, key, assignment, state.confirmed_at, state.terms.drift
             )
         )
@@ -257,9 +257,9 @@
 
 
 def _prune_view(view: WorkerView, open_keys: Set[AttemptKey]) -> None:
-    view.seen &= open_keys
+    view.seen_attempts &= open_keys
     view.evictions &= open_keys
-    view.untils = {k: v for k, v in view.untils.items() if k in open_keys}
+    view.lease_ends = {k: v for k, v in view.lease_ends.items() if k in open_keys}
     view.throttles = {k: v for k, v in view.throttles.items() if k in open_keys}
 
 
@@ -271,12 +271,12 @@
     look_up: Callable[[str], Job | None],
     now: float,
 ) -> Call | None:
-    if view.calling or view.gone:
+    if view.call_in_flight or view.terminated:
         return None
     if view.failures and now < view.next_call_at:
         return None
-    if not view.known:
-        view.calling = True
+    if not view.has_answered:
+        view.call_in_flight = True
         return Call(view.info.id, view.info.address, None)
     commands = build_commands(
         view,
@@ -295,26 +295,26 @@
         commands = withhold_leases(commands)
     if view.failures >= _SILENT_AFTER:
         commands = withhold_leases(commands)
-    work = _summarize_work(commands)
-    is_new = bool(work) and work != view.last_work
-    if not is_new and view.fenced and now < _pick_next_call(state, view, work):
+    work = _summarize_changes(commands)
+    is_new = bool(work) and work != view.last_changes
+    if not is_new and view.fenced and now < _find_next_call_time(state, view, work):
         return None
-    view.calling = True
-    view.last_work = work
+    view.call_in_flight = True
+    view.last_changes = work
     view.called_at = now
-    view.expects_at = _expect_end(commands, now)
-    note_sent(view, commands)
+    view.expected_end_at = _estimate_first_end(commands, now)
+    record_sent_leases(view, commands)
     return Call(view.info.id, view.info.address, commands)
 
 
-def _pick_next_call(
+def _find_next_call_time(
     state: RackState, view: WorkerView, work: frozenset[object]
 ) -> float:
     pause_s = min(_RESEND_S, state.sync_s) if work else state.sync_s
-    return min(view.called_at + pause_s, view.expects_at)
+    return min(view.called_at + pause_s, view.expected_end_at)
 
 
-def _expect_end(commands: Commands, now: float) -> float:
+def _estimate_first_end(commands: Commands, now: float) -> float:
     """Return when the first of the tasks just started should have ended.
 
     A rack of short tasks would otherwise stand idle until the next regular call.
@@ -323,7 +323,7 @@
     return now + max(min(runs) + _MARGIN_S, _SHORTEST_S) if runs else float("inf")
 
 
-def _summarize_work(commands: Commands) -> frozenset[object]:
+def _summarize_changes(commands: Commands) -> frozenset[object]:
     return frozenset(
         itertools.chain(
             (("start", s.task, s.attempt) for s in commands.start),
--- a/plantainyard/execution/ends.py
+++ b/plantainyard/execution/results.py
@@ -9,12 +9,12 @@
 
 from .views import AttemptKey, WorkerView, has_lapsed
 
-__all__ = ["judge_end"]
+__all__ = ["find_result"]
 
 _STOPPED = "stopped"
 
 
-def judge_end(
+def find_result(
     view: WorkerView,
     key: AttemptKey,
     assignment: Assignment,
@@ -75,6 +75,6 @@
     return (
         view.info.leaving
         and view.fenced
-        and key not in view.seen
-        and key not in view.untils
+        and key not in view.seen_attempts
+        and key not in view.lease_ends
     )
--- a/plantainyard/execution/tests/test_planning.py
+++ b/plantainyard/execution/tests/test_planning.py
@@ -1,5 +1,5 @@
 from plantainyard import placement
-from plantainyard.execution import start_plan
+from plantainyard.execution import create_plan
 from plantainyard.placement.recording import replay_recording
 from plantainyard.work import Job, Size, WorkerInfo
 
@@ -14,7 +14,7 @@
 
 
 def test_recorded_plan_replays_to_the_same_decisions():
-    plan = start_plan(1_000_000)
+    plan = create_plan(1_000_000)
     assert _drive(plan)
     assert plan.recording is not None and plan.recording.complete
     assert replay_recording(plan.recording.lines) == []
@@ -23,7 +23,7 @@
 def test_recording_that_is_full_says_that_it_is_not_whole():
     # An operator replays a recording that left out its middle and is shown decisions
     # that the daemon never made.
-    plan = start_plan(600)
+    plan = create_plan(600)
     _drive(plan)
     assert plan.recording is not None
     assert not plan.recording.complete
--- a/plantainyard/execution/views.py
+++ b/plantainyard/execution/views.py
@@ -13,11 +13,11 @@
 __all__ = [
     "AttemptKey",
     "WorkerView",
-    "absorb_state",
+    "update_view",
     "estimate_clock",
-    "forget_incarnation",
+    "reset_incarnation",
     "has_lapsed",
-    "note_until",
+    "record_lease_end",
 ]
 
 
@@ -37,7 +37,7 @@
         As the platform's instance list describes the worker.
     gone : bool
         The platform or an operator vouches that the worker runs nothing any more.
-    known : bool
+    has_answered : bool
         The worker has answered in this term, so `clock_s` and the lists are real.
     fenced : bool
         The worker accepted this term's epoch.
@@ -49,15 +49,15 @@
         A call is in flight; at most one is, so answers arrive in order.
     next_call_at, called_at : float
         Owner's clock: no call before, after failures; and the last call.
-    expects_at : float
+    expected_end_at : float
         When the first of the tasks that were just started should have ended.
-    last_work : frozenset
+    last_changes : frozenset
         What the last call asked for beyond renewals.
     throttles, evictions : dict, set
         What the policy wants of running attempts.
     running, finished : dict
         Last answered lists by attempt.
-    untils : dict
+    lease_ends : dict
         For each attempt the greatest lease end that was ever sent or shown, on the
         worker's clock.
     seen : set of AttemptKey
@@ -66,23 +66,23 @@
 
     def __init__(self, info: WorkerInfo) -> None:
         self.info = info
-        self.gone = False
-        self.known = False
+        self.terminated = False
+        self.has_answered = False
         self.fenced = False
         self.accepted_at = float("-inf")
         self.incarnation = -1
         self.clock_s = 0.0
         self.heard_at = 0.0
-        self.calling = False
+        self.call_in_flight = False
         self.next_call_at = float("-inf")
         self.called_at = float("-inf")
-        self.expects_at = float("inf")
-        self.last_work: frozenset[object] = frozenset()
+        self.expected_end_at = float("inf")
+        self.last_changes: frozenset[object] = frozenset()
         self.failures = 0
         self.running: dict[AttemptKey, RunningTask] = {}
         self.finished: dict[AttemptKey, FinishedTask] = {}
-        self.untils: dict[AttemptKey, float] = {}
-        self.seen: set[AttemptKey] = set()
+        self.lease_ends: dict[AttemptKey, float] = {}
+        self.seen_attempts: set[AttemptKey] = set()
         self.throttles: dict[AttemptKey, float] = {}
         self.evictions: set[AttemptKey] = set()
 
@@ -93,7 +93,7 @@
     Parameters
     ----------
     view : WorkerView
-        A view that is `known`.
+        A view that is `has_answered`.
     now : float
         Owner's clock in seconds.
     drift : float
@@ -104,12 +104,12 @@
     return view.clock_s + passed_s * (1.0 - drift if passed_s > 0.0 else 1.0 + drift)
 
 
-def note_until(view: WorkerView, key: AttemptKey, until: float) -> None:
+def record_lease_end(view: WorkerView, key: AttemptKey, until: float) -> None:
     """Remember that the worker may hold `key` until `until` on its clock."""
-    view.untils[key] = max(until, view.untils.get(key, until))
+    view.lease_ends[key] = max(until, view.lease_ends.get(key, until))
 
 
-def forget_incarnation(view: WorkerView, incarnation: int) -> None:
+def reset_incarnation(view: WorkerView, incarnation: int) -> None:
     """Start over with a worker that was restarted; its earlier attempts ended.
 
     Notes
@@ -118,14 +118,14 @@
     worker restarts and has forgotten that it ran. An attempt that may have been started
     there is over, whether it was listed or not.
     """
-    view.seen.update(view.untils)
+    view.seen_attempts.update(view.lease_ends)
     view.incarnation = incarnation
     view.running = {}
     view.finished = {}
-    view.untils = {}
+    view.lease_ends = {}
 
 
-def absorb_state(view: WorkerView, state: WorkerState, now: float) -> None:
+def update_view(view: WorkerView, state: WorkerState, now: float) -> None:
     """Take over the lists and the clock of a worker's answer.
 
     Parameters
@@ -138,16 +138,16 @@
         Owner's clock on receiving it.
     """
     if state.incarnation != view.incarnation:
-        forget_incarnation(view, state.incarnation)
-    view.known = True
+        reset_incarnation(view, state.incarnation)
+    view.has_answered = True
     view.clock_s = state.clock_s
     view.heard_at = now
     view.running = {AttemptKey(t.task, t.attempt): t for t in state.running}
     view.finished = {AttemptKey(t.task, t.attempt): t for t in state.finished}
     for key, task in view.running.items():
-        note_until(view, key, task.until)
-    view.seen.update(view.running)
-    view.seen.update(view.finished)
+        record_lease_end(view, key, task.until)
+    view.seen_attempts.update(view.running)
+    view.seen_attempts.update(view.finished)
 
 
 def has_lapsed(
@@ -179,14 +179,14 @@
     what its predecessor sent, so the attempt stays open until the worker is heard from
     or vouched gone.
     """
-    if view.gone:
+    if view.terminated:
         return True
-    if not view.fenced or not view.known:
+    if not view.fenced or not view.has_answered:
         return False
     if key in view.running or key in view.finished:
-        bound = view.untils.get(key, float("inf"))
+        bound = view.lease_ends.get(key, float("inf"))
         return key in view.running and estimate_clock(view, confirmed_at, drift) > bound
-    if key in view.seen:
+    if key in view.seen_attempts:
         return True
-    sent = view.untils.get(key)
+    sent = view.lease_ends.get(key)
     return sent is not None and estimate_clock(view, confirmed_at, drift) > sent
--- a/plantainyard/node/__init__.py
+++ b/plantainyard/node/__init__.py
@@ -12,19 +12,19 @@
 from .lending import DumpLenders, LenderActor, RackAuthority, RackRunners
 from .messages import (
     ConfigChanged,
-    ConfigKnown,
+    ConfigConfirmed,
     InstancesListed,
-    PeersHeard,
+    LivePeers,
     Query,
-    RackReply,
     Stop,
     SubmitRecord,
     Tick,
+    WorkerReply,
 )
-from .peer_calls import HeartbeatHeard
+from .peer_calls import HeartbeatReceived
 from .peers import PeersActor, PeerView, read_peers
 from .racks import DomainNode
-from .reports import count_epochs, dump_domain, find_untils, list_racks
+from .reports import dump_domain, find_authority_ends, list_epochs, list_racks
 from .streams import StreamEvent, StreamIO, StreamRole, StreamState
 from .threads import run_every, run_forever
 from .workers import WorkerCaller, start_call
@@ -33,20 +33,20 @@
     "CONFIG_STREAM",
     "ConfigActor",
     "ConfigChanged",
-    "ConfigKnown",
+    "ConfigConfirmed",
     "ConfigView",
     "DomainActor",
     "DomainNode",
     "DumpLenders",
-    "HeartbeatHeard",
+    "HeartbeatReceived",
     "InstancesListed",
     "LenderActor",
     "PeerView",
     "PeersActor",
-    "PeersHeard",
+    "LivePeers",
     "Query",
     "RackAuthority",
-    "RackReply",
+    "WorkerReply",
     "RackRunners",
     "ReadConfig",
     "Stop",
@@ -58,9 +58,9 @@
     "Tick",
     "WorkerCaller",
     "build_peer_app",
-    "count_epochs",
+    "list_epochs",
     "dump_domain",
-    "find_untils",
+    "find_authority_ends",
     "knows_newest",
     "list_racks",
     "name_stream",
--- a/plantainyard/node/configuration.py
+++ b/plantainyard/node/configuration.py
@@ -16,9 +16,9 @@
     StreamIO,
     StreamRole,
     StreamState,
-    handle_stream,
+    handle_stream_event,
+    set_role,
     submit_record,
-    take_role,
     tick_stream,
 )
 
@@ -131,9 +131,9 @@
             case Tick():
                 tick_stream(self.stream, self.io, now)
             case StreamEvent():
-                handle_stream(self.stream, self.io, message, now)
+                handle_stream_event(self.stream, self.io, message, now)
             case StreamRole():
-                take_role(self.stream, message)
+                set_role(self.stream, message)
             case SubmitRecord(submit, on_report):
                 submit_record(self.stream, self.io, submit, on_report, now)
             case ReadConfig():
--- a/plantainyard/node/domain.py
+++ b/plantainyard/node/domain.py
@@ -41,39 +41,39 @@
 
 from .messages import (
     ConfigChanged,
-    ConfigKnown,
+    ConfigConfirmed,
     InstancesListed,
-    PeersHeard,
+    LivePeers,
     Query,
-    RackReply,
     Stop,
     SubmitRecord,
     Tick,
+    WorkerReply,
 )
 from .racks import (
     DomainNode,
+    apply_config_values,
     end_term,
+    publish_runners,
     start_term,
-    take_instances,
-    take_values,
-    tell_runners,
+    update_from_instances,
 )
 from .streams import (
     StreamEvent,
     StreamIO,
     StreamRole,
     StreamState,
-    handle_stream,
+    handle_stream_event,
+    set_role,
     submit_record,
-    take_role,
     tick_stream,
 )
 from .terms import (
     Term,
-    empty_workers,
-    feed_record,
-    find_patience,
-    spare_runners,
+    drain_cancelled_runners,
+    drain_workers,
+    find_drain_time,
+    update_term,
 )
 from .workers import WorkerCaller, start_call
 
@@ -108,7 +108,7 @@
         Builds the stream's input and output for a delivery function.
     caller : WorkerCaller
         How workers are called.
-    tell_lender : callable
+    notify_lender : callable
         Takes news about authority and runners.
     """
 
@@ -122,14 +122,14 @@
         snapshot_settings: log_state.SnapshotSettings,
         make_io: Callable[[Callable[[StreamEvent], object]], StreamIO],
         caller: WorkerCaller,
-        tell_lender: Callable[[Any], object],
+        notify_lender: Callable[[Any], object],
     ) -> None:
         super().__init__()
         self.node = DomainNode(
-            settings, writer, caller, self.actor_ref.tell, tell_lender
+            settings, writer, caller, self.actor_ref.tell, notify_lender
         )
         self.submitted = 0
-        self.news: set[str] = set()
+        self.racks_to_decide: set[str] = set()
         self.ownership_settings = OwnershipSettings(
             silence_s=settings.intervals.silence_s,
             outage_s=settings.intervals.log_wait_s + settings.intervals.silence_s,
@@ -154,24 +154,24 @@
                 tick_stream(self.stream, self.io, now)
                 self._tick(now)
             case StreamEvent():
-                handle_stream(self.stream, self.io, message, now)
-                self._decide_on_news(now)
+                handle_stream_event(self.stream, self.io, message, now)
+                self._decide_after_records(now)
             case StreamRole():
-                take_role(self.stream, message)
+                set_role(self.stream, message)
             case SubmitRecord(submit, on_report):
                 submit_record(self.stream, self.io, submit, on_report, now)
-            case RackReply():
-                self._take_reply(message, now)
+            case WorkerReply():
+                self._process_reply(message, now)
             case InstancesListed():
-                take_instances(self.node, message, now)
-            case PeersHeard(live, leaving):
+                update_from_instances(self.node, message, now)
+            case LivePeers(live, leaving):
                 self.node.live, self.node.leaving_peers = live, leaving
             case ConfigChanged(values):
-                take_values(self.node, values, now)
-            case ConfigKnown(known_at):
-                self.node.config_known_at = known_at
+                apply_config_values(self.node, values, now)
+            case ConfigConfirmed(confirmed_at):
+                self.node.config_confirmed_at = confirmed_at
             case Stop():
-                self.node.stopped = True
+                self.node.stop_requested = True
                 self.node.stopping = True
             case Query(read):
                 return read(self, now)
@@ -181,12 +181,12 @@
         node, now = self.node, read_clock()
         change = log_state.apply_record(node.domain, record.offset, record.data)
         for term in list(node.terms.values()):
-            feed_record(term, node.domain, record.data, change, now)
+            update_term(term, node.domain, record.data, change, now)
         kinds = {part.type for part in (change, *change.parts) if part.applied}
         if log_state.RecordType.CLAIM in kinds:
             self._follow_claims(now)
         if kinds & _NEWS:
-            self.news.update(node.terms)
+            self.racks_to_decide.update(node.terms)
         return change
 
     def _restore(self, record: log_state.LogRecord) -> None:
@@ -237,13 +237,13 @@
             case ReleaseRack(base):
                 self._submit(log_state.make_claim(rack, "", base, (), established), now)
 
-    def _decide_on_news(self, now: float) -> None:
+    def _decide_after_records(self, now: float) -> None:
         """Let placement decide at once where new work or free room was folded.
 
         Waiting for the next tick would leave a rack of short tasks idle for most of the
         time, and shorter ticks would cost as much at rest.
         """
-        racks, self.news = self.news, set()
+        racks, self.racks_to_decide = self.racks_to_decide, set()
         for rack in racks & self.node.terms.keys():
             self._advance_term(rack, self.node.terms[rack], now)
 
@@ -269,29 +269,31 @@
             info._replace(leaving=info.leaving or info.id in node.draining)
             for info in node.workers.get(rack, {}).values()
         )
-        listed = execution.WorkersListed(workers, node.gone)
-        record_terminated(term.authority, node.gone & term.authority.workers, now)
+        listed = execution.WorkersListed(workers, node.terminated)
+        record_terminated(term.authority, node.terminated & term.authority.workers, now)
         _step_rack(term, node.domain, listed, now)
-        execution.learn_workers(term.plan, term.rack, now)
-        patience_s = find_patience(node.settings)
-        empty_workers(term, node.domain, patience_s, now)
-        spare_runners(term, node.domain, patience_s, now)
+        execution.update_workers(term.plan, term.rack, now)
+        drain_s = find_drain_time(node.settings)
+        drain_workers(term, node.domain, drain_s, now)
+        drain_cancelled_runners(term, node.domain, drain_s, now)
         decision = self._decide(term, now)
         if decision.assign:
             record = log_state.make_assign(rack, term.offset, decision.assign)
             items = decision.assign
-            withdraw = partial(execution.withdraw, term.plan, items, now)
-            self._submit(record, now, withdraw)
-        for give_up in decision.give_up:
-            self._give_up_job(give_up, now)
-        for note in decision.notes:
+            withdraw_placements = partial(
+                execution.withdraw_placements, term.plan, items, now
+            )
+            self._submit(record, now, withdraw_placements)
+        for abandoned in decision.abandoned:
+            self._cancel_job(abandoned, now)
+        for note in decision.other_actions:
             _logger.info("placement: %s", note, extra={"step": "placement"})
         self._run_rack(rack, term, now)
 
     def _decide(self, term: Term, now: float) -> execution.Decision:
         if term.rack.caretaker:
             return execution.Decision()
-        if now - self.node.config_known_at > self.node.config_patience_s:
+        if now - self.node.config_confirmed_at > self.node.max_config_age_s:
             # The configuration may have narrowed where work may run since this domain
             # was cut off; what runs goes on, nothing new is placed on its strength.
             return execution.Decision()
@@ -300,7 +302,7 @@
     def _run_rack(self, rack: str, term: Term, now: float) -> None:
         actions = _step_rack(term, self.node.domain, execution.Tick(), now)
         self._act(rack, term, actions, now)
-        tell_runners(self.node, rack, term, now)
+        publish_runners(self.node, rack, term, now)
 
     def _act(
         self, rack: str, term: Term, actions: list[execution.Action], now: float
@@ -312,11 +314,11 @@
                     start_call(
                         node.caller,
                         action,
-                        lambda event: node.tell(RackReply(rack, epoch, event)),
+                        lambda event: node.tell(WorkerReply(rack, epoch, event)),
                     )
                 case execution.AppendResults(items):
                     record = log_state.make_results(rack, term.offset, items)
-                    forget = partial(execution.forget_reports, term.rack, items)
+                    forget = partial(execution.unmark_reported, term.rack, items)
                     self._submit(record, now, forget)
                 case execution.Fenced(worker, sent_at):
                     record_acceptance(term.authority, worker, sent_at, now)
@@ -329,7 +331,7 @@
                     )
                     self._step_ownership(rack, Superseded(newer, holder), now)
 
-    def _take_reply(self, message: RackReply, now: float) -> None:
+    def _process_reply(self, message: WorkerReply, now: float) -> None:
         term = self.node.terms.get(message.rack)
         if term is None or term.rack.epoch != message.epoch:
             return
@@ -342,15 +344,17 @@
             view = term.rack.views.get(event.worker)
             if view is not None:
                 usage = event.answer.state.usage
-                execution.learn_usage(term.plan, view, usage, now)
+                execution.process_usage(term.plan, view, usage, now)
         self._act(message.rack, term, actions, now)
         if self.node.terms.get(message.rack) is term:
             self._run_rack(message.rack, term, now)
 
-    def _give_up_job(self, give_up: placement.GiveUp, now: float) -> None:
-        request_id = f"give-up.{give_up.job}"
-        _logger.warning("job given up: %s", give_up.error, extra={"step": "placement"})
-        self._submit(log_state.make_cancel(request_id, [give_up.job]), now)
+    def _cancel_job(self, abandoned: placement.GiveUp, now: float) -> None:
+        request_id = f"give-up.{abandoned.job}"
+        _logger.warning(
+            "job given up: %s", abandoned.error, extra={"step": "placement"}
+        )
+        self._submit(log_state.make_cancel(request_id, [abandoned.job]), now)
 
     def _submit(
         self, record: Any, now: float, on_not_run: Callable[[], object] = lambda: None
--- a/plantainyard/node/lending.py
+++ b/plantainyard/node/lending.py
@@ -54,14 +54,14 @@
         The rack.
     runners : tuple of RunnerInfo
         Those that run.
-    leaving, fresh : frozenset of str
+    leaving, newly_started : frozenset of str
         Ids of those that get nothing new, and of those started under this term.
     """
 
     rack: str
     runners: tuple[RunnerInfo, ...]
     leaving: frozenset[str]
-    fresh: frozenset[str]
+    newly_started: frozenset[str]
 
 
 class DumpLenders(NamedTuple):
@@ -118,7 +118,7 @@
         lender = self.lenders.setdefault(message.rack, LenderState(message.rack))
         known = set(lender.runners)
         for runner in message.runners:
-            self.step(lender, RunnerUp(runner, runner.id in message.fresh), now)
+            self.step(lender, RunnerUp(runner, runner.id in message.newly_started), now)
         for runner_id in message.leaving & {r.id for r in message.runners}:
             self.step(lender, RunnerLeaving(runner_id), now)
         for runner_id in known - {r.id for r in message.runners}:
--- a/plantainyard/node/messages.py
+++ b/plantainyard/node/messages.py
@@ -9,11 +9,11 @@
 
 __all__ = [
     "ConfigChanged",
-    "ConfigKnown",
+    "ConfigConfirmed",
     "InstancesListed",
-    "PeersHeard",
+    "LivePeers",
     "Query",
-    "RackReply",
+    "WorkerReply",
     "Stop",
     "SubmitRecord",
     "Tick",
@@ -52,7 +52,7 @@
     digest: str = ""
 
 
-class PeersHeard(NamedTuple):
+class LivePeers(NamedTuple):
     """Processes of the domain that were heard in time.
 
     Attributes
@@ -73,13 +73,13 @@
     values: dict[str, Any]
 
 
-class ConfigKnown(NamedTuple):
+class ConfigConfirmed(NamedTuple):
     """The configuration was last known to be the newest at `known_at`."""
 
-    known_at: float
+    confirmed_at: float
 
 
-class RackReply(NamedTuple):
+class WorkerReply(NamedTuple):
     """A worker's reply under one term of a rack."""
 
     rack: str
--- a/plantainyard/node/peer_calls.py
+++ b/plantainyard/node/peer_calls.py
@@ -27,29 +27,29 @@
 from .messages import InstancesListed
 
 __all__ = [
-    "HeartbeatEnded",
-    "HeartbeatHeard",
-    "ask_list",
-    "read_list",
+    "HeartbeatSent",
+    "HeartbeatReceived",
+    "request_instance_list",
+    "read_instance_list",
     "send_heartbeat",
 ]
 
 
-class HeartbeatHeard(NamedTuple):
+class HeartbeatReceived(NamedTuple):
     """A peer's word about itself, as a message or as an answer."""
 
     heartbeat: Heartbeat
 
 
-class HeartbeatEnded(NamedTuple):
+class HeartbeatSent(NamedTuple):
     """A heartbeat to `peer`, with words up to `version`, arrived or not."""
 
     peer: str
     version: int
-    arrived: bool
+    delivered: bool
 
 
-def read_list(
+def read_instance_list(
     settings: Settings, pool: urllib3.PoolManager, ref: pykka.ActorRef[Any]
 ) -> None:
     """Read the platform's list and tell the actor of it."""
@@ -61,7 +61,7 @@
         ref.tell(InstancesListed(instances, digest_instances(instances)))
 
 
-def ask_list(
+def request_instance_list(
     settings: Settings,
     pool: urllib3.PoolManager,
     ref: pykka.ActorRef[Any],
@@ -100,8 +100,8 @@
         settings.intervals.silence_s / 2,
     )
     if isinstance(answer, Ok):
-        ref.tell(HeartbeatHeard(answer.ok_value))
-    ref.tell(HeartbeatEnded(peer.id, version, isinstance(answer, Ok)))
+        ref.tell(HeartbeatReceived(answer.ok_value))
+    ref.tell(HeartbeatSent(peer.id, version, isinstance(answer, Ok)))
 
 
 def _make_url(address: str) -> str:
--- a/plantainyard/node/peers.py
+++ b/plantainyard/node/peers.py
@@ -33,12 +33,12 @@
 )
 from plantainyard.settings import Settings
 
-from .messages import InstancesListed, PeersHeard, Query, Tick
+from .messages import InstancesListed, LivePeers, Query, Tick
 from .peer_calls import (
-    HeartbeatEnded,
-    HeartbeatHeard,
-    ask_list,
-    read_list,
+    HeartbeatReceived,
+    HeartbeatSent,
+    read_instance_list,
+    request_instance_list,
     send_heartbeat,
 )
 
@@ -101,7 +101,7 @@
     describe : callable
         Returns this process's own heartbeat with a given sequence number.
     publish : callable
-        Told `InstancesListed`, `PeersHeard` and `RelayRole`.
+        Told `InstancesListed`, `LivePeers` and `RelayRole`.
     """
 
     use_daemon_thread = True
@@ -128,14 +128,14 @@
         self.instances: tuple[Instance, ...] = ()
         self.list_digest = ""
         self.list_read_at = float("-inf")
-        self.heard: dict[str, tuple[Heartbeat, float]] = {}
-        self.domain_heard: dict[str, float] = {}
-        self.silent: dict[str, int] = {}
+        self.heartbeats: dict[str, tuple[Heartbeat, float]] = {}
+        self.domain_heard_at: dict[str, float] = {}
+        self.failed_heartbeats: dict[str, int] = {}
         self.relay = RelayState()
         self.is_relay = False
         self.sequence = 0
         self.next_list_at = float("-inf")
-        self.next_beat_at = float("-inf")
+        self.next_heartbeat_at = float("-inf")
 
     def on_receive(self, message: Any) -> Any:
         """Take one message in."""
@@ -143,12 +143,12 @@
         match message:
             case Tick():
                 self._tick(now)
-            case HeartbeatHeard(heartbeat):
-                self._hear(heartbeat, now)
-            case HeartbeatEnded():
-                self._end_heartbeat(message)
+            case HeartbeatReceived(heartbeat):
+                self._process_heartbeat(heartbeat, now)
+            case HeartbeatSent():
+                self._process_heartbeat_end(message)
             case InstancesListed(instances, digest):
-                self._take_list(instances, digest, now)
+                self._update_list(instances, digest, now)
             case InstancesAsk(digest):
                 return self._answer_list(digest)
             case Query(read):
@@ -157,24 +157,26 @@
 
     def _tick(self, now: float) -> None:
         intervals = self.settings.intervals
-        live, _ = self._list_near(now)
+        live, _ = self._list_domain_peers(now)
         instance = self.settings.instance
         self.is_relay = is_relay(instance.id, instance.domain, live)
         if now >= self.next_list_at:
             self.next_list_at = now + intervals.instances_s * self.rng.uniform(0.9, 1.1)
             self._refresh_list(now)
-        if now >= self.next_beat_at:
-            self.next_beat_at = now + intervals.heartbeat_s * self.rng.uniform(0.9, 1.1)
+        if now >= self.next_heartbeat_at:
+            self.next_heartbeat_at = now + intervals.heartbeat_s * self.rng.uniform(
+                0.9, 1.1
+            )
             self._send_heartbeats(now)
         self._publish_roles(now)
 
-    def _list_near(self, now: float) -> tuple[list[str], list[str]]:
+    def _list_domain_peers(self, now: float) -> tuple[list[str], list[str]]:
         """Return the domain's instances that were heard: live and draining ones."""
         oldest = now - self.settings.intervals.silence_s
         domain = self.settings.instance.domain
         near = {
             name: beat.draining
-            for name, (beat, heard_at) in self.heard.items()
+            for name, (beat, heard_at) in self.heartbeats.items()
             if beat.domain == domain and heard_at >= oldest
         }
         return [n for n in near if not near[n]], [n for n in near if near[n]]
@@ -183,9 +185,11 @@
         """Read the platform's list where this instance relays or nobody else does."""
         patience = _LIST_PATIENCE * self.settings.intervals.instances_s
         if self.is_relay or now - self.list_read_at > patience:
-            self.executor.submit(read_list, self.settings, self.pool, self.actor_ref)
+            self.executor.submit(
+                read_instance_list, self.settings, self.pool, self.actor_ref
+            )
 
-    def _take_list(
+    def _update_list(
         self, instances: tuple[Instance, ...], digest: str, now: float
     ) -> None:
         self.list_read_at = now
@@ -211,7 +215,7 @@
         own = self.describe(self.sequence)._replace(
             list_digest=self.list_digest, is_relay=self.is_relay
         )
-        self._judge_silence(now)
+        self._record_silent_peers(now)
         for name in self._choose_targets():
             peer = self.listed[name]
             near = peer.domain == own.domain
@@ -237,7 +241,7 @@
                 for peer in self.listed.values()
                 if peer.state != InstanceState.GONE and peer.control_address
             ),
-            self.silent,
+            self.failed_heartbeats,
             self.is_relay,
         )
 
@@ -249,24 +253,29 @@
         return list_news(self.relay, peer, others if near else {own})
 
     def _list_ages(self, now: float) -> dict[str, float]:
-        return {domain: now - heard for domain, heard in self.domain_heard.items()}
+        return {
+            domain: now - heartbeats
+            for domain, heartbeats in self.domain_heard_at.items()
+        }
 
-    def _judge_silence(self, now: float) -> None:
+    def _record_silent_peers(self, now: float) -> None:
         """Say of the own domain's silent instances that they are not live."""
         oldest = now - self.settings.intervals.silence_s
-        for beat, heard_at in self.heard.values():
+        for beat, heard_at in self.heartbeats.values():
             if beat.domain == self.settings.instance.domain:
                 note_word(self.relay, beat._replace(live=heard_at >= oldest))
 
-    def _end_heartbeat(self, message: "HeartbeatEnded") -> None:
-        if not message.arrived:
-            self.silent[message.peer] = self.silent.get(message.peer, 0) + 1
+    def _process_heartbeat_end(self, message: "HeartbeatSent") -> None:
+        if not message.delivered:
+            self.failed_heartbeats[message.peer] = (
+                self.failed_heartbeats.get(message.peer, 0) + 1
+            )
             return
-        self.silent.pop(message.peer, None)
+        self.failed_heartbeats.pop(message.peer, None)
         confirm_sending(self.relay, message.peer, message.version)
 
-    def _hear(self, heartbeat: Heartbeat, now: float) -> None:
-        earlier = self.heard.get(heartbeat.instance)
+    def _process_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
+        earlier = self.heartbeats.get(heartbeat.instance)
         if earlier is not None and _is_older(heartbeat, earlier[0]):
             return
         if earlier is None or earlier[0].incarnation != heartbeat.incarnation:
@@ -274,20 +283,20 @@
             forget_confirmations(self.relay, heartbeat.instance)
         own = self.settings.instance.domain
         if heartbeat.domain != own:
-            self.domain_heard[heartbeat.domain] = now
+            self.domain_heard_at[heartbeat.domain] = now
         for word in heartbeat.members:
             if word.domain != own:
-                self.heard[word.instance] = (word, now)
+                self.heartbeats[word.instance] = (word, now)
                 note_word(self.relay, word)
         for domain, age_s in heartbeat.domain_ages.items():
-            heard = self.domain_heard.get(domain, float("-inf"))
-            self.domain_heard[domain] = max(heard, now - age_s)
+            heartbeats = self.domain_heard_at.get(domain, float("-inf"))
+            self.domain_heard_at[domain] = max(heartbeats, now - age_s)
         kept = heartbeat._replace(members=(), domain_ages={})
-        self.heard[heartbeat.instance] = (kept, now)
+        self.heartbeats[heartbeat.instance] = (kept, now)
         note_word(self.relay, kept)
-        self._follow_list(heartbeat, now)
+        self._check_relay_list(heartbeat, now)
 
-    def _follow_list(self, heartbeat: Heartbeat, now: float) -> None:
+    def _check_relay_list(self, heartbeat: Heartbeat, now: float) -> None:
         if not heartbeat.is_relay or heartbeat.domain != self.settings.instance.domain:
             return
         if heartbeat.list_digest == self.list_digest:
@@ -295,7 +304,7 @@
         elif heartbeat.instance in self.listed and not self.is_relay:
             peer = self.listed[heartbeat.instance]
             self.executor.submit(
-                ask_list,
+                request_instance_list,
                 self.settings,
                 self.pool,
                 self.actor_ref,
@@ -305,10 +314,10 @@
 
     def _publish_roles(self, now: float) -> None:
         live, draining = (
-            frozenset(self.heard[name][0].incarnation for name in names)
-            for names in self._list_near(now)
+            frozenset(self.heartbeats[name][0].incarnation for name in names)
+            for names in self._list_domain_peers(now)
         )
-        self.publish(PeersHeard(live | {self.name}, draining))
+        self.publish(LivePeers(live | {self.name}, draining))
 
 
 def _is_older(heartbeat: Heartbeat, earlier: Heartbeat) -> bool:
@@ -318,13 +327,13 @@
 
 def read_peers(actor: PeersActor, now: float) -> tuple[PeerView, ...]:
     """Return what is known of each other instance; for a `Query`."""
-    names = sorted(actor.listed.keys() | actor.heard.keys())
+    names = sorted(actor.listed.keys() | actor.heartbeats.keys())
     return tuple(view for name in names if (view := _describe_peer(actor, name, now)))
 
 
 def _describe_peer(actor: PeersActor, name: str, now: float) -> PeerView | None:
     listed = actor.listed.get(name)
-    beat, heard_at = actor.heard.get(name, (None, float("-inf")))
+    beat, heard_at = actor.heartbeats.get(name, (None, float("-inf")))
     source = listed or beat
     if source is None:
         return None
@@ -347,5 +356,5 @@
     silence_s = actor.settings.intervals.silence_s
     if beat.domain == actor.settings.instance.domain:
         return now - heard_at <= silence_s
-    last = actor.domain_heard.get(beat.domain, float("-inf"))
+    last = actor.domain_heard_at.get(beat.domain, float("-inf"))
     return beat.live and now - last <= _RELAYED_SILENCES * silence_s
--- a/plantainyard/node/racks.py
+++ b/plantainyard/node/racks.py
@@ -24,7 +24,7 @@
     Term,
     begin_term,
     iter_runners,
-    list_leaving,
+    list_leaving_runners,
     set_policy_inputs,
 )
 from .values import list_flagged, read_shares, read_weights
@@ -34,9 +34,9 @@
     "DomainNode",
     "end_term",
     "start_term",
-    "take_instances",
-    "take_values",
-    "tell_runners",
+    "update_from_instances",
+    "apply_config_values",
+    "publish_runners",
 ]
 
 _STOP = "stop"
@@ -72,73 +72,77 @@
         name: str,
         caller: WorkerCaller,
         tell: Callable[[Any], object],
-        tell_lender: Callable[[Any], object],
+        notify_lender: Callable[[Any], object],
     ) -> None:
         self.settings = settings
         self.name = name
         self.caller = caller
         self.tell = tell
-        self.tell_lender = tell_lender
+        self.notify_lender = notify_lender
         self.domain = log_state.DomainState()
         self.terms: dict[str, Term] = {}
         self.workers: dict[str, dict[str, WorkerInfo]] = {}
-        self.gone: frozenset[str] = frozenset()
+        self.terminated: frozenset[str] = frozenset()
         self.live: frozenset[str] = frozenset()
         self.leaving_peers: frozenset[str] = frozenset()
         self.weights = placement.Weights()
         self.shares: dict[str, Size] = {}
-        self.stopped = False
+        self.stop_requested = False
         self.stopping = False
         self.racks = 1
-        self.listed_gone: frozenset[str] = frozenset()
-        self.fenced_off: frozenset[str] = frozenset()
+        self.listed_terminated: frozenset[str] = frozenset()
+        self.operator_fenced: frozenset[str] = frozenset()
         self.draining: frozenset[str] = frozenset()
         self.ownerships: dict[str, OwnershipState] = {}
-        self.config_known_at = float("-inf")
+        self.config_confirmed_at = float("-inf")
         stops = settings.cut_off.new_starts == _STOP
-        self.config_patience_s = (
+        self.max_config_age_s = (
             settings.cut_off.max_config_age_s if stops else float("inf")
         )
 
 
-def take_instances(node: DomainNode, message: InstancesListed, now: float) -> None:
+def update_from_instances(
+    node: DomainNode, message: InstancesListed, now: float
+) -> None:
     """Take over the domain's workers from the platform's list."""
     workers: dict[str, dict[str, WorkerInfo]] = {}
-    gone = set()
+    terminated = set()
     for instance in message.instances:
         if instance.kind != InstanceKind.WORKER or instance.worker is None:
             continue
         if instance.domain != node.settings.instance.domain:
             continue
         if instance.state == InstanceState.GONE:
-            gone.add(instance.id)
+            terminated.add(instance.id)
             continue
         rack = workers.setdefault(instance.worker.rack, {})
         rack[instance.id] = instance.worker
     node.workers = workers
     node.racks = max(len({(w.domain, w.rack) for w in _iter_workers(message)}), 1)
-    node.listed_gone = frozenset(gone)
-    _judge_gone(node)
+    node.listed_terminated = frozenset(terminated)
+    _update_terminated(node)
 
 
 def _iter_workers(message: InstancesListed) -> Iterator[WorkerInfo]:
     return (i.worker for i in message.instances if i.worker is not None)
 
 
-def _judge_gone(node: DomainNode) -> None:
-    listed = node.listed_gone if node.settings.platform.trust_gone else frozenset()
-    node.gone = listed | node.fenced_off
+def _update_terminated(node: DomainNode) -> None:
+    listed = (
+        node.listed_terminated if node.settings.platform.trust_gone else frozenset()
+    )
+    node.terminated = listed | node.operator_fenced
 
 
-def take_values(node: DomainNode, values: dict[str, Any], now: float) -> None:
+def apply_config_values(node: DomainNode, values: dict[str, Any], now: float) -> None:
     """Take over the configuration in force."""
     node.weights = read_weights(values)
     node.shares = read_shares(values, node.racks)
-    node.fenced_off = list_flagged(values, "workers", "fenced")
+    node.operator_fenced = list_flagged(values, "workers", "fenced")
     node.draining = list_flagged(values, "workers", "draining")
     draining = list_flagged(values, "instances", "draining")
-    node.stopping = node.stopped or node.settings.instance.id in draining
-    _judge_gone(node)
+    node.stopping = node.stop_requested or node.settings.instance.id in draining
+    _update_terminated(node)
     for term in node.terms.values():
         set_policy_inputs(term, node.weights, node.shares, now)
 
@@ -160,18 +164,21 @@
         return
     # Waits until the lender and the arbiter of request ids have stopped: a successor
     # to which the rack is handed over acts at once.
-    node.tell_lender(RackAuthority(rack, 0, 0.0))
+    node.notify_lender(RackAuthority(rack, 0, 0.0))
     _logger.info("rack given up", extra={"step": "ownership", "rack": rack})
 
 
-def tell_runners(node: DomainNode, rack: str, term: Term, now: float) -> None:
+def publish_runners(node: DomainNode, rack: str, term: Term, now: float) -> None:
     """Tell the lender of the authority over a rack and of its runners."""
     until = find_authority_end(term.authority)
     epoch = term.rack.epoch if has_authority(term.authority, now) else 0
     runners = tuple(runner for runner, _ in iter_runners(term, node.domain))
-    node.tell_lender(RackAuthority(rack, epoch, until))
-    node.tell_lender(
+    node.notify_lender(RackAuthority(rack, epoch, until))
+    node.notify_lender(
         RackRunners(
-            rack, runners, list_leaving(term, node.domain), frozenset(term.fresh)
+            rack,
+            runners,
+            list_leaving_runners(term, node.domain),
+            frozenset(term.newly_started),
         )
     )
--- a/plantainyard/node/reports.py
+++ b/plantainyard/node/reports.py
@@ -9,12 +9,12 @@
 
 from .terms import Term
 
-__all__ = ["count_epochs", "dump_domain", "find_untils", "list_racks"]
+__all__ = ["list_epochs", "dump_domain", "find_authority_ends", "list_racks"]
 
 _JOBS_SHOWN = 1000
 
 
-def count_epochs(actor: Any, now: float) -> dict[str, int]:
+def list_epochs(actor: Any, now: float) -> dict[str, int]:
     """Return the epoch of each rack over which this instance has authority."""
     return {
         rack: term.rack.epoch
@@ -23,7 +23,7 @@
     }
 
 
-def find_untils(actor: Any, now: float) -> dict[str, float]:
+def find_authority_ends(actor: Any, now: float) -> dict[str, float]:
     """Return the end of the authority over each rack that this instance has."""
     return {
         rack: find_authority_end(term.authority)
@@ -93,7 +93,9 @@
         },
         "recording": _dump_recording(term.plan.recording),
         "pending": [format_task(task) for task in term.plan.pending],
-        "waiting": {job: held._asdict() for job, held in term.plan.reasons.items()},
+        "waiting": {
+            job: held._asdict() for job, held in term.plan.wait_reasons.items()
+        },
     }
 
 
--- a/plantainyard/node/streams.py
+++ b/plantainyard/node/streams.py
@@ -24,9 +24,9 @@
     "StreamIO",
     "StreamRole",
     "StreamState",
-    "handle_stream",
+    "handle_stream_event",
     "submit_record",
-    "take_role",
+    "set_role",
     "tick_stream",
     "write_due_snapshot",
 ]
@@ -42,7 +42,7 @@
 
     stream: str
     event: log_state.ReadEvent | log_state.AppendEvent
-    asked_at: float
+    requested_at: float
 
 
 class StreamRole(NamedTuple):
@@ -57,7 +57,7 @@
         Control URLs of the instances to which it hands new records on.
     """
 
-    reads: bool = True
+    reads_log: bool = True
     targets: tuple[str, ...] = ()
 
 
@@ -81,7 +81,7 @@
     log: LogClient
     executor: Executor
     deliver: Callable[[StreamEvent], object]
-    hand_on: Callable[[str, RecordsAnswer], object]
+    relay_records: Callable[[str, RecordsAnswer], object]
     wait_s: float
 
 
@@ -124,13 +124,13 @@
         self.appender = log_state.AppenderState(
             log_state.AppenderSettings(), writer, rng
         )
-        self.watch = log_state.SnapshotSchedule(snapshot_settings, rng)
+        self.snapshot_schedule = log_state.SnapshotSchedule(snapshot_settings, rng)
         self.snapshot_type = reader_settings.snapshot_type
-        self.waiters: dict[str, Callable[[log_state.AppendReport], None]] = {}
+        self.callbacks: dict[str, Callable[[log_state.AppendReport], None]] = {}
         self.appends = 0
-        self.waking = False
+        self.wake_pending = False
         self.role = StreamRole()
-        self.folded: list[log_state.LogRecord] = []
+        self.to_relay: list[log_state.LogRecord] = []
 
 
 def tick_stream(stream: StreamState, io: StreamIO, now: float) -> None:
@@ -142,40 +142,42 @@
     write_due_snapshot(stream, io, now)
 
 
-def handle_stream(
+def handle_stream_event(
     stream: StreamState, io: StreamIO, message: StreamEvent, now: float
 ) -> None:
     """Take in what came back from the log."""
     event = message.event
     if isinstance(event, log_state.Relayed):
         _act_on_read(stream, io, log_state.step_reader(stream.reader, event, now), now)
-        _hurry_when_behind(stream)
+        _read_soon_if_behind(stream)
         tick_stream(stream, io, now)
-        _hand_on(stream, io)
+        _relay_records(stream, io)
         return
     if isinstance(event, log_state.Fetched | log_state.FetchFailed):
         # The end of the stream was read at some time after the asking; counting from
         # the asking keeps the age of the knowledge an upper bound.
-        at = message.asked_at if isinstance(event, log_state.Fetched) else now
+        at = message.requested_at if isinstance(event, log_state.Fetched) else now
         actions = log_state.step_reader(stream.reader, event, at)
         _act_on_read(stream, io, actions, now)
         _advance_appender(stream, io, log_state.AppendTick(), now)
-        _hand_on(stream, io)
+        _relay_records(stream, io)
         return
-    stream.waking = stream.waking and not isinstance(event, log_state.AppendTick)
+    stream.wake_pending = stream.wake_pending and not isinstance(
+        event, log_state.AppendTick
+    )
     _advance_appender(stream, io, event, now)  # type: ignore[arg-type]
 
 
-def take_role(stream: StreamState, role: StreamRole) -> None:
+def set_role(stream: StreamState, role: StreamRole) -> None:
     """Read the log as records appear, or leave that to a relay."""
-    if role.reads != stream.role.reads:
-        pause_s = 0.0 if role.reads else _SLOW_S
+    if role.reads_log != stream.role.reads_log:
+        pause_s = 0.0 if role.reads_log else _SLOW_S
         stream.reader.settings = stream.reader.settings._replace(pause_s=pause_s)
         stream.reader.fetch_at = float("-inf")
     stream.role = role
 
 
-def _hurry_when_behind(stream: StreamState) -> None:
+def _read_soon_if_behind(stream: StreamState) -> None:
     """Ask the log at once where a relay's records left a gap.
 
     A hand-on that was lost would otherwise leave this instance behind until the next
@@ -185,8 +187,8 @@
         stream.reader.fetch_at = float("-inf")
 
 
-def _hand_on(stream: StreamState, io: StreamIO) -> None:
-    records, stream.folded = stream.folded, []
+def _relay_records(stream: StreamState, io: StreamIO) -> None:
+    records, stream.to_relay = stream.to_relay, []
     if not records or not stream.role.targets:
         return
     message = RecordsAnswer(
@@ -196,7 +198,7 @@
         tuple(RelayedRecord(*record) for record in records),
     )
     for target in stream.role.targets:
-        io.hand_on(target, message)
+        io.relay_records(target, message)
 
 
 def submit_record(
@@ -207,7 +209,7 @@
     now: float,
 ) -> None:
     """Append a record and have `on_report` told what became of it."""
-    stream.waiters[submit.key] = on_report
+    stream.callbacks[submit.key] = on_report
     _advance_appender(stream, io, submit, now)
 
 
@@ -216,9 +218,9 @@
     covers = stream.reader.next_offset - 1
     if covers < 0 or not log_state.is_current(stream.reader):
         return
-    if not log_state.is_snapshot_due(stream.watch, covers + 1, now):
+    if not log_state.is_snapshot_due(stream.snapshot_schedule, covers + 1, now):
         return
-    log_state.record_snapshot_attempt(stream.watch, now)
+    log_state.record_snapshot_attempt(stream.snapshot_schedule, now)
     record = log_state.make_snapshot(covers, stream.encode(), stream.snapshot_type)
     _advance_appender(stream, io, log_state.Submit(record, "snapshot"), now)
 
@@ -250,7 +252,7 @@
                     extra={"step": "log.read", "peer": stream.name},
                 )
             case log_state.Fetch():
-                wait_s = io.wait_s if stream.role.reads else 0.0
+                wait_s = io.wait_s if stream.role.reads_log else 0.0
                 io.executor.submit(_fetch, stream.name, io, action, wait_s)
 
 
@@ -258,12 +260,12 @@
     stream: StreamState, io: StreamIO, record: log_state.LogRecord, now: float
 ) -> None:
     change = stream.fold(record)
-    stream.folded.append(record)
+    stream.to_relay.append(record)
     if change.type == stream.snapshot_type:
         covers = int(record.data.get("covers", -1))
-        log_state.observe_snapshot(stream.watch, covers, record.time_s, now)
+        log_state.observe_snapshot(stream.snapshot_schedule, covers, record.time_s, now)
     else:
-        log_state.observe_record(stream.watch, record.time_s, now)
+        log_state.observe_record(stream.snapshot_schedule, record.time_s, now)
     _advance_appender(
         stream, io, log_state.RecordRead(record.offset, record.data, change), now
     )
@@ -274,7 +276,7 @@
 ) -> None:
     stream.restore(record)
     log_state.observe_snapshot(
-        stream.watch, int(record.data["covers"]), record.time_s, now
+        stream.snapshot_schedule, int(record.data["covers"]), record.time_s, now
     )
     _advance_appender(
         stream, io, log_state.RecordsSkipped(int(record.data["covers"]) + 1), now
@@ -295,9 +297,9 @@
 
 def _wake_for_backlog(stream: StreamState, io: StreamIO) -> None:
     """Come back when the pace allows the next append, without waiting for a tick."""
-    if stream.waking or not log_state.count_backlog(stream.appender):
+    if stream.wake_pending or not log_state.count_backlog(stream.appender):
         return
-    stream.waking = True
+    stream.wake_pending = True
     io.executor.submit(_wake, stream.name, io)
 
 
@@ -307,16 +309,16 @@
 
 
 def _report(stream: StreamState, report: log_state.AppendReport) -> None:
-    waiter = stream.waiters.get(report.key)
+    waiter = stream.callbacks.get(report.key)
     if waiter is None:
         return
     if report.status != log_state.AppendStatus.UNKNOWN:
-        del stream.waiters[report.key]
+        del stream.callbacks[report.key]
     waiter(report)
 
 
 def _fetch(name: str, io: StreamIO, action: log_state.Fetch, wait_s: float) -> None:
-    asked_at = read_clock()
+    requested_at = read_clock()
     answer = read(io.log, name, action.offset, action.limit, wait_s)
     event: log_state.ReadEvent
     if isinstance(answer, Err):
@@ -327,11 +329,11 @@
         page = answer.ok_value
         records = [log_state.LogRecord(*record) for record in page.records]
         event = log_state.Fetched(page.first, page.next, records)
-    io.deliver(StreamEvent(name, event, asked_at))
+    io.deliver(StreamEvent(name, event, requested_at))
 
 
 def _append(name: str, io: StreamIO, record: dict[str, Any]) -> None:
-    asked_at = read_clock()
+    requested_at = read_clock()
     answer = append(io.log, name, record)
     event: log_state.AppendEvent
     if not isinstance(answer, Err):
@@ -340,4 +342,4 @@
         event = log_state.AppendRefused(answer.err_value.retry_after_s)
     else:
         event = log_state.AppendUnconfirmed()
-    io.deliver(StreamEvent(name, event, asked_at))
+    io.deliver(StreamEvent(name, event, requested_at))
--- a/plantainyard/node/terms.py
+++ b/plantainyard/node/terms.py
@@ -19,14 +19,14 @@
     "Term",
     "begin_term",
     "build_lease_terms",
-    "empty_workers",
-    "feed_record",
-    "find_patience",
+    "drain_workers",
+    "update_term",
+    "find_drain_time",
     "iter_runners",
-    "list_leaving",
+    "list_leaving_runners",
     "name_runner",
     "set_policy_inputs",
-    "spare_runners",
+    "drain_cancelled_runners",
 ]
 
 _COMMAND_S = 2.0
@@ -46,7 +46,7 @@
         Offset of the claim that began the term.
     authority : Authority
         Whether the workers let this instance act.
-    fresh : set of str
+    newly_started : set of str
         Runners whose assignment was written under this term.
     leaving : dict of str to float
         Leaving workers and when that was noticed.
@@ -65,7 +65,7 @@
         self.plan = plan
         self.offset = offset
         self.authority = authority
-        self.fresh: set[str] = set()
+        self.newly_started: set[str] = set()
         self.leaving: dict[str, float] = {}
         self.cancelled: dict[TaskKey, float] = {}
 
@@ -94,8 +94,8 @@
         settings.intervals.worker_s,
         began.caretaker,
     )
-    plan = execution.start_plan(int(settings.logs.decisions_mb * _BYTES_IN_MB))
-    execution.learn_rack(plan, domain, rack, now)
+    plan = execution.create_plan(int(settings.logs.decisions_mb * _BYTES_IN_MB))
+    execution.load_rack(plan, domain, rack, now)
     claim = began.claim
     # A caretaker's rival is the owner itself, whose authority rests on the same set.
     previous = (claim.workers,) if began.caretaker else claim.previous
@@ -117,7 +117,7 @@
     term.plan.step(term.plan.policy, placement.QuotasChanged(dict(shares)), now)
 
 
-def feed_record(
+def update_term(
     term: Term,
     domain: log_state.DomainState,
     data: Mapping[str, Any],
@@ -126,16 +126,16 @@
 ) -> None:
     """Tell the term of a record that was just folded."""
     pending = set(term.plan.pending)
-    execution.learn_record(term.plan, domain, term.rack.rack, data, change, now)
+    execution.process_record(term.plan, domain, term.rack.rack, data, change, now)
     assigned = log_state.get_assigned(domain, term.rack.rack)
     for task in pending - term.plan.pending.keys():
         if task in assigned:
             key = execution.AttemptKey(task, assigned[task].attempt)
-            term.fresh.add(name_runner(key))
+            term.newly_started.add(name_runner(key))
 
 
-def spare_runners(
-    term: Term, domain: log_state.DomainState, patience_s: float, now: float
+def drain_cancelled_runners(
+    term: Term, domain: log_state.DomainState, drain_s: float, now: float
 ) -> None:
     """Let the runners of cancelled services serve what they have, then stop them.
 
@@ -150,18 +150,18 @@
         if domain.jobs[task.job].job.latency_critical
     ]
     term.cancelled = {task: term.cancelled.get(task, now) for task in runners}
-    term.rack.spared = frozenset(
-        task for task, since in term.cancelled.items() if now - since <= patience_s
+    term.rack.draining_runners = frozenset(
+        task for task, since in term.cancelled.items() if now - since <= drain_s
     )
 
 
-def find_patience(settings: Settings) -> float:
+def find_drain_time(settings: Settings) -> float:
     """Return the seconds after which a leaving runner has no request any more."""
     return settings.requests.credit_s + settings.requests.request_max_s
 
 
-def empty_workers(
-    term: Term, domain: log_state.DomainState, patience_s: float, now: float
+def drain_workers(
+    term: Term, domain: log_state.DomainState, drain_s: float, now: float
 ) -> None:
     """Evict what runs on workers that are leaving.
 
@@ -185,7 +185,7 @@
             key
             for key in view.running
             if (entry := domain.jobs.get(key.task.job)) is not None
-            and (not entry.job.latency_critical or now - since > patience_s)
+            and (not entry.job.latency_critical or now - since > drain_s)
         )
 
 
@@ -228,7 +228,7 @@
     )
 
 
-def list_leaving(term: Term, domain: log_state.DomainState) -> frozenset[str]:
+def list_leaving_runners(term: Term, domain: log_state.DomainState) -> frozenset[str]:
     """Return the runners that must get nothing new, by the first sign of it."""
     cancelled = set(log_state.list_cancelled_running(domain, term.rack.rack))
     return frozenset(
--- a/plantainyard/node/tests/world.py
+++ b/plantainyard/node/tests/world.py
@@ -23,7 +23,7 @@
 from plantainyard.membership import has_authority
 from plantainyard.node import domain as node_domain
 from plantainyard.node.domain import DomainActor
-from plantainyard.node.messages import ConfigKnown, InstancesListed, PeersHeard
+from plantainyard.node.messages import ConfigConfirmed, InstancesListed, LivePeers
 from plantainyard.node.messages import Tick as TickMessage
 from plantainyard.node.streams import StreamEvent, StreamIO
 from plantainyard.settings import Settings
@@ -137,21 +137,21 @@
             for process in self.processes:
                 if process.paused:
                     continue
-                process.tell(ConfigKnown(self.now))
-                process.tell(PeersHeard(*self.list_live(process)))
+                process.tell(ConfigConfirmed(self.now))
+                process.tell(LivePeers(*self.list_live(process)))
                 process.tell(TickMessage())
                 for _ in range(3):
                     self.carry_out(process)
             self.check()
 
     def list_live(self, process: Process) -> tuple[frozenset[str], frozenset[str]]:
-        heard = [
+        heartbeats = [
             p
             for p in self.processes
             if not (p.paused or p.cut_peers or process.cut_peers)
         ]
-        draining = frozenset(p.name for p in heard if p.actor.node.stopping)
-        live = frozenset(p.name for p in heard) - draining | {process.name}
+        draining = frozenset(p.name for p in heartbeats if p.actor.node.stopping)
+        live = frozenset(p.name for p in heartbeats) - draining | {process.name}
         return live, draining - {process.name}
 
     def carry_out(self, process: Process) -> None:
--- a/plantainyard/operators/listing.py
+++ b/plantainyard/operators/listing.py
@@ -153,7 +153,7 @@
 
 
 def _find_reason(actor: Any, job_id: str) -> str:
-    held = (term.plan.reasons.get(job_id) for term in actor.node.terms.values())
+    held = (term.plan.wait_reasons.get(job_id) for term in actor.node.terms.values())
     return next((h.reason for h in held if h is not None), "")
 
 
--- a/plantainyard/presence.py
+++ b/plantainyard/presence.py
@@ -19,15 +19,15 @@
 )
 from plantainyard.logs import log_call_error
 from plantainyard.node import (
-    ConfigKnown,
+    ConfigConfirmed,
     ConfigView,
     PeerView,
     Query,
     ReadConfig,
     StreamRole,
-    count_epochs,
-    find_untils,
+    find_authority_ends,
     knows_newest,
+    list_epochs,
     read_peers,
 )
 from plantainyard.operators import (
@@ -127,10 +127,10 @@
 
 def refresh_local_state(local: LocalState, node: Node) -> None:
     """Collect from the actors the state that the next heartbeats report."""
-    local.epochs = ask_actor(node.domain, Query(count_epochs))
-    local.authority_ends = ask_actor(node.domain, Query(find_untils))
+    local.epochs = ask_actor(node.domain, Query(list_epochs))
+    local.authority_ends = ask_actor(node.domain, Query(find_authority_ends))
     local.config = cast(ConfigView, ask_actor(node.config, ReadConfig()))
-    node.domain.tell(ConfigKnown(read_clock() - local.config.age_s))
+    node.domain.tell(ConfigConfirmed(read_clock() - local.config.age_s))
     local.free_credits = read_room(node.gateway)
     local.ready = not find_waits(node)
     local.draining = ask_actor(node.domain, Query(lambda actor, _: actor.node.stopping))
--- a/plantainyard/process.py
+++ b/plantainyard/process.py
@@ -33,11 +33,11 @@
     ConfigActor,
     ConfigChanged,
     DomainActor,
-    HeartbeatHeard,
+    HeartbeatReceived,
     InstancesListed,
     LenderActor,
+    LivePeers,
     PeersActor,
-    PeersHeard,
     Query,
     RackAuthority,
     Stop,
@@ -229,7 +229,7 @@
         lambda values: domain.tell(ConfigChanged(values)),
     )
 
-    def publish(update: InstancesListed | PeersHeard) -> None:
+    def publish(update: InstancesListed | LivePeers) -> None:
         domain.tell(update)
 
     peers = _start(
@@ -311,7 +311,7 @@
     settings = node.settings
 
     def exchange_heartbeats(heartbeat: Heartbeat) -> Heartbeat:
-        node.peers.tell(HeartbeatHeard(heartbeat))
+        node.peers.tell(HeartbeatReceived(heartbeat))
         return build_heartbeat(local, 0)
 
     def lend_credits(ask: CreditAsk) -> Message:
