--- a/plantainyard/batch/replica.py
+++ b/plantainyard/batch/replica.py
@@ -1,4 +1,4 @@
-"""A copy of one unit's jobs, made of nothing but the newest stored records."""
+"""An in-memory replica of the jobs of a unit, built from the newest stored records."""
 
 import logging
 from collections.abc import Iterable
@@ -14,107 +14,108 @@
 from plantainyard.batch.values import JobState, StepProgress, Submission
 
 __all__ = [
-    "HARMS_KEY",
+    "INTERFERENCE_KEY",
     "OWNER_KEY",
     "JobView",
     "Replica",
     "apply_record",
     "describe_state",
     "is_divided",
-    "note_begun",
-    "note_delivered",
+    "mark_job_started",
+    "mark_jobs_delivered",
 ]
 
 OWNER_KEY = "owner"
-"""Key of the address of a unit's owner; writing it fences the owners before."""
+"""Key of the address of a unit's owner; writing it fences off previous owners."""
 
-HARMS_KEY = "harms"
-"""Key of what owners have learnt of interference."""
+INTERFERENCE_KEY = "harms"
+"""Key of the interference estimates that the owners of a unit have learned."""
 
 _logger = logging.getLogger(__name__)
 
 
 @dataclass(slots=True)
 class JobView:
-    """What the store says of one job.
+    """The state of one job according to the store.
 
     Attributes
     ----------
     submission : Submission or None
-        None until its record is read; other records may come first.
+        None until its record is read; other records of the job may be read first.
     cancelled : bool
-        A caller asked to cancel it.
-    ended : str
-        Final state, or empty.
+        A caller requested the cancellation of the job.
+    final_state : str
+        One of `FinalStates.ALL`, or empty while the job is open.
     steps : dict
-        Progress by (occurrence, step).
-    moved : int or None
-        The unit that the job was handed to.
+        Progress of the steps by (occurrence, step).
+    handed_to : int or None
+        The unit that the job was handed over to.
     delivered : bool
-        That unit has its record, and has had the time to read it.
-    begun : bool
-        A task of it is known to have started.
+        That unit has the record of the job and has had the time to read it.
+    started : bool
+        A task of the job is known to have started.
     """
 
     submission: Submission | None = None
     cancelled: bool = False
-    ended: str = ""
+    final_state: str = ""
     steps: dict[tuple[int, int], StepProgress] = field(default_factory=dict)
-    moved: int | None = None
+    handed_to: int | None = None
     delivered: bool = False
-    begun: bool = False
+    started: bool = False
 
 
 @dataclass(slots=True)
 class Replica:
-    """What the store holds of a unit.
+    """The state of one unit according to the store.
 
     Attributes
     ----------
     jobs : dict
         Jobs by id.
-    harms : bytes
-        What owners have learnt of interference.
+    interference : bytes
+        Encoded interference estimates that the owners of the unit have learned.
     """
 
     jobs: dict[str, JobView] = field(default_factory=dict)
-    harms: bytes = b""
+    interference: bytes = b""
 
 
 def apply_record(replica: Replica, key: str, value: bytes) -> str:
-    """Take the newest record of `key` into `replica` and return the job's id.
+    """Apply the newest record of `key` to `replica` and return the id of the job.
 
     Parameters
     ----------
     replica : Replica
-        Changed in place.
+        Modified in place.
     key : str
-        One of the keys of `plantainyard.batch.records`, `OWNER_KEY` or `HARMS_KEY`.
+        One of the keys of `plantainyard.batch.records`, `OWNER_KEY` or
+        `INTERFERENCE_KEY`.
     value : bytes
-        Empty where the key was dropped.
+        Value of the record; empty if the key was deleted.
 
     Returns
     -------
     str
-        Empty where the record is about no job, or can't be read.
+        The job id; empty if the record does not concern a job or cannot be decoded.
 
     Notes
     -----
-    A record that can't be read is passed over with one log line: it must not stop
-    the reading of all that follow.
+    A record that cannot be decoded is skipped with a warning, because it must not stop
+    the reader from applying the records that follow.
     """
     if key == OWNER_KEY:
         return ""
-    if key == HARMS_KEY:
-        replica.harms = value
+    if key == INTERFERENCE_KEY:
+        replica.interference = value
         return ""
     try:
-        found = parse_key(key)
-        _apply_to_job(replica, found, value)
+        parsed = parse_key(key)
+        _apply_to_job(replica, parsed, value)
     except (ValueError, TypeError, KeyError, AttributeError) as error:
         _logger.warning("unreadable record %s: %r", key, error)
         return ""
-    return found.job_id
+    return parsed.job_id
 
 
 def _apply_to_job(replica: Replica, key: StoredKey, value: bytes) -> None:
@@ -129,9 +130,9 @@
     elif key.kind == RecordKind.CANCEL:
         view.cancelled = bool(value)
     elif key.kind == RecordKind.END:
-        view.ended = value.decode()
+        view.final_state = value.decode()
     elif key.kind == RecordKind.HANDOVER:
-        view.moved = int(value) if value else None
+        view.handed_to = int(value) if value else None
     elif key.kind == RecordKind.DELIVERY:
         view.delivered = bool(value)
     elif key.kind == RecordKind.PROGRESS:
@@ -139,43 +140,47 @@
         if value:
             progress = decode_progress(value)
             view.steps[occurrence, step] = progress
-            if progress.begun:
-                view.begun = True
+            if progress.started:
+                view.started = True
         else:
             view.steps.pop((occurrence, step), None)
 
 
 def describe_state(view: JobView) -> str:
-    """Return the name of the state that a caller is told of an accepted job.
+    """Return the state of an accepted job as it is reported to callers.
 
     Notes
     -----
-    Of a job some of whose tasks other units have, only those know whether one has
-    started; they get tasks for which they have room, so it is told as running.
+    If some tasks of a job were handed over to other units, only those units know
+    whether a task has started. Tasks are handed over only to units with free capacity,
+    so such a job is reported as running.
     """
-    if view.ended:
-        return view.ended
+    if view.final_state:
+        return view.final_state
     if view.cancelled:
         return JobState.CANCELLED
-    begun = view.begun or is_divided(view)
-    return JobState.RUNNING if begun else JobState.QUEUED
+    has_started = view.started or is_divided(view)
+    return JobState.RUNNING if has_started else JobState.QUEUED
 
 
 def is_divided(view: JobView) -> bool:
-    """Return whether other units have some tasks of a job; any thread may ask."""
+    """Return whether some tasks of a job were handed over to other units.
+
+    The function may be called from any thread.
+    """
     steps = list(view.steps.values())
     tasks = (task for step in steps for task in step.tasks.values())
     return any(task.unit is not None for task in tasks)
 
 
-def note_delivered(replica: Replica, job_ids: Iterable[str]) -> None:
-    """Take note that the new units of jobs know of them, ahead of the record."""
+def mark_jobs_delivered(replica: Replica, job_ids: Iterable[str]) -> None:
+    """Mark jobs as known to their new units, before the record is read."""
     for job_id in job_ids:
         replica.jobs.setdefault(job_id, JobView()).delivered = True
 
 
-def note_begun(replica: Replica, job_id: str) -> None:
-    """Take note that a task of a job has started, ahead of the stored record."""
+def mark_job_started(replica: Replica, job_id: str) -> None:
+    """Mark a job as started, before the stored record is read."""
     view = replica.jobs.get(job_id)
     if view is not None:
-        view.begun = True
+        view.started = True
--- a/plantainyard/dispatch/__init__.py
+++ b/plantainyard/dispatch/__init__.py
@@ -1,71 +1,72 @@
-"""Decisions about one unit's jobs and runners: a function of state, event and time.
+"""Scheduling of one unit's jobs on its runners, as a function of state, event and time.
 
-The state is a `Dispatcher`; `step` changes it and returns actions. Nothing here has a
-clock, a socket or a thread. `docs/design/platform.md` says why it is built so.
+`step` updates the state, a `Dispatcher`, and returns the actions to carry out. The
+package uses no clock, sockets or threads of its own; `docs/design/platform.md` gives
+the reasons for this design.
 """
 
 from plantainyard.dispatch.dispatcher import Dispatcher, restore_dispatcher, step
 from plantainyard.dispatch.events import (
     Action,
-    Begun,
-    Cancelled,
+    CancelRequested,
     Commit,
     Committed,
-    Delivered,
     EntryChanged,
     Event,
     Forward,
     Forwarded,
-    HarmsTold,
-    HoldAnswered,
-    HoldFailed,
+    HandoversConfirmed,
+    InterferenceReceived,
+    JobStarted,
+    JobSubmitted,
     JobSummary,
-    LoadsTold,
+    LoadsReceived,
     OrderAnswered,
     OrderKind,
-    Renewed,
-    SendHold,
+    OwnershipRenewed,
+    ReportFailed,
+    ReportReceived,
+    RequestReport,
     SendOrder,
-    Submitted,
     Tick,
 )
-from plantainyard.dispatch.forwarding import list_arrived
+from plantainyard.dispatch.forwarding import list_arrivals
 from plantainyard.dispatch.limits import Limits, choose_lease
-from plantainyard.dispatch.load import EMPTY_LOAD, Load
+from plantainyard.dispatch.load import NO_RUNNERS_LOAD, Load
 from plantainyard.dispatch.state import EMPTY_COUNTS, Counts, count_state
 
 __all__ = [
     "EMPTY_COUNTS",
-    "EMPTY_LOAD",
+    "NO_RUNNERS_LOAD",
     "Counts",
     "count_state",
     "Action",
-    "Begun",
-    "Cancelled",
+    "JobStarted",
+    "CancelRequested",
     "Commit",
     "Committed",
-    "Delivered",
+    "HandoversConfirmed",
     "Dispatcher",
     "EntryChanged",
     "Event",
     "Forward",
     "Forwarded",
-    "HarmsTold",
-    "HoldAnswered",
-    "HoldFailed",
+    "InterferenceReceived",
+    "ReportReceived",
+    "ReportFailed",
     "JobSummary",
     "Limits",
     "Load",
-    "LoadsTold",
+    "LoadsReceived",
     "OrderAnswered",
     "OrderKind",
-    "Renewed",
-    "SendHold",
+    "OwnershipRenewed",
+    "RequestReport",
     "SendOrder",
-    "Submitted",
+    "JobSubmitted",
     "Tick",
     "choose_lease",
-    "list_arrived",
+    "list_arrivals",
     "restore_dispatcher",
     "step",
 ]
--- a/plantainyard/dispatch/events.py
+++ b/plantainyard/dispatch/events.py
@@ -1,4 +1,4 @@
-"""What the dispatcher is told and what it asks for."""
+"""Events that the dispatcher handles and actions that it returns."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -7,234 +7,235 @@
 from plantainyard.batch.values import Submission
 from plantainyard.dispatch.load import Load
 from plantainyard.platform.entries import RunnerEntry
-from plantainyard.platform.runners import Held, OrderResult
+from plantainyard.platform.runners import OrderResult, RunnerReport
 from plantainyard.platform.store import Record
 
 __all__ = [
     "Action",
-    "Begun",
-    "Cancelled",
+    "JobStarted",
+    "CancelRequested",
     "Commit",
-    "Delivered",
+    "HandoversConfirmed",
     "Committed",
     "EntryChanged",
     "Event",
     "Forward",
     "Forwarded",
-    "HarmsTold",
-    "HoldAnswered",
-    "HoldFailed",
+    "InterferenceReceived",
+    "ReportReceived",
+    "ReportFailed",
     "JobSummary",
-    "LoadsTold",
+    "LoadsReceived",
     "OrderAnswered",
     "OrderKind",
-    "Renewed",
-    "SendHold",
+    "OwnershipRenewed",
+    "RequestReport",
     "SendOrder",
-    "Submitted",
+    "JobSubmitted",
     "Tick",
 ]
 
 
 class OrderKind:
-    """Names of the orders about a run."""
+    """Kinds of orders about a run."""
 
     START = "start"
     STOP = "stop"
     PACE = "pace"
 
 
-class Submitted(NamedTuple):
-    """A job is in the store."""
+class JobSubmitted(NamedTuple):
+    """A job was stored."""
 
     submission: Submission
 
 
-class Cancelled(NamedTuple):
-    """A request to cancel a job is in the store."""
+class CancelRequested(NamedTuple):
+    """A request to cancel a job was stored."""
 
     job_id: str
 
 
 class EntryChanged(NamedTuple):
-    """A runner's entry was written, or removed (None)."""
+    """A runner's entry in the store was written, or removed (None)."""
 
     runner: str
     entry: RunnerEntry | None
 
 
 class Committed(NamedTuple):
-    """The records of the last `Commit` are in the store."""
+    """The records of the last `Commit` were stored."""
 
 
 class OrderAnswered(NamedTuple):
-    """An order was answered, or certainly or possibly lost."""
+    """An order was answered, or its answer or the order itself was lost."""
 
     kind: str
     task: TaskKey
     run: int
-    life: str
+    incarnation: str
     result: OrderResult
     sent_at: float
 
 
-class HoldAnswered(NamedTuple):
-    """A runner has reported."""
+class ReportReceived(NamedTuple):
+    """A runner answered a request for a report."""
 
-    life: str
-    held: Held
+    incarnation: str
+    report: RunnerReport
     sent_at: float
 
 
-class HoldFailed(NamedTuple):
-    """A runner's report didn't come.
+class ReportFailed(NamedTuple):
+    """A runner didn't answer a request for a report, or refused it.
 
     Attributes
     ----------
-    other_life : bool
-        The address answered for another life of the runner.
+    other_incarnation : bool
+        Whether another incarnation of the runner answered at its address.
     """
 
-    life: str
+    incarnation: str
     sent_at: float
     detail: str
-    other_life: bool = False
+    other_incarnation: bool = False
 
 
-class Renewed(NamedTuple):
-    """The group has confirmed the ownership.
+class OwnershipRenewed(NamedTuple):
+    """The group confirmed that this instance owns the unit.
 
     Attributes
     ----------
     sent_at : float
-        When it was asked.
+        When the renewal was sent.
     """
 
     sent_at: float
 
 
 class Forwarded(NamedTuple):
-    """The records of a `Forward` are stored in their unit.
+    """The records of a `Forward` were stored in their unit.
 
     Attributes
     ----------
     keys : sequence of str
-        Their keys.
+        Keys of the records.
     """
 
     keys: Sequence[str]
 
 
-class LoadsTold(NamedTuple):
-    """The owners of other units have told how full those are."""
+class LoadsReceived(NamedTuple):
+    """The owners of other units reported the loads of their units."""
 
     loads: dict[int, Load]
 
 
-class HarmsTold(NamedTuple):
-    """The owners of other units have told what they have learnt of interference."""
+class InterferenceReceived(NamedTuple):
+    """The owners of other units sent their encoded interference models."""
 
-    harms: list[bytes]
+    records: list[bytes]
 
 
 class Tick(NamedTuple):
-    """Time has passed."""
+    """Time has passed; sent at regular intervals."""
 
 
 Event = (
-    Submitted
-    | Cancelled
+    JobSubmitted
+    | CancelRequested
     | EntryChanged
     | Committed
     | OrderAnswered
-    | HoldAnswered
-    | HoldFailed
-    | Renewed
+    | ReportReceived
+    | ReportFailed
+    | OwnershipRenewed
     | Forwarded
-    | LoadsTold
-    | HarmsTold
+    | LoadsReceived
+    | InterferenceReceived
     | Tick
 )
 
 
 class JobSummary(NamedTuple):
-    """What became of a job.
+    """Outcome and time of a job that has ended.
 
     Attributes
     ----------
     job_id, state : str
         The job and its final state.
-    took_s, late_s : float
-        From its acceptance to its end, and by how much that is over its objective as
-        far as estimates tell; negative where it is in time.
-    times : dict
-        Seconds of its tasks by `timing.TimePart`, since this owner took over.
-    lost : dict
-        Runs since then that ended otherwise than done, by how they ended.
+    duration_s : float
+        Time from its acceptance to its end.
+    lateness_s : float
+        Time by which it ended after its estimated deadline; negative if it was in time.
+    task_time_s : dict
+        Task-seconds by `timing.TimePart`, since this owner took over.
+    lost_runs : dict
+        Number of runs since then that didn't complete, by outcome.
     """
 
     job_id: str
     state: str
-    took_s: float
-    late_s: float
-    times: dict[str, float]
-    lost: dict[str, int]
+    duration_s: float
+    lateness_s: float
+    task_time_s: dict[str, float]
+    lost_runs: dict[str, int]
 
 
 class Commit(NamedTuple):
-    """Store records, then say `Committed`; one at a time, in order.
+    """Store records, then send `Committed`; commits are stored one at a time, in order.
 
     Attributes
     ----------
     records : sequence of Record
-        What to store.
+        Records to store.
     summaries : sequence of JobSummary
-        Of the jobs whose ends are among them, for logs and meters.
+        Summaries of the jobs whose ends are among the records, for logs and metrics.
     """
 
     records: Sequence[Record]
     summaries: Sequence[JobSummary] = ()
 
 
-class Begun(NamedTuple):
-    """A task of a job is known to have started, for the first time.
+class JobStarted(NamedTuple):
+    """Record that the first task of a job has started.
 
     Attributes
     ----------
     job_id : str
-        The job, or the task that was handed over alone.
+        The job, or the task that was handed over on its own.
     waited_s : float
-        Since this owner took the job in.
+        Time since this owner received the job.
     """
 
     job_id: str
     waited_s: float
 
 
-class Delivered(NamedTuple):
-    """Jobs that were handed over are known in their new units."""
+class HandoversConfirmed(NamedTuple):
+    """Record that jobs that were handed over are known to their new units."""
 
     job_ids: Sequence[str]
 
 
 class Forward(NamedTuple):
-    """Store records among what another unit takes in, in order, until it is done."""
+    """Store records in the intake of another unit, in order, until it succeeds."""
 
     unit: int
     records: Sequence[Record]
 
 
 class SendOrder(NamedTuple):
-    """Send an order about a run and say `OrderAnswered`.
+    """Send an order about a run, then send `OrderAnswered`.
 
     Attributes
     ----------
     kind : str
         One of `OrderKind`.
     entry : RunnerEntry
-        The runner's life that it is meant for.
+        Incarnation of the runner that the order is addressed to.
     task, run : TaskKey, int
-        The run.
+        The task and the number of its run.
     spec, lease_until_ms, checkpoint, percent
         See `plantainyard.platform.Order`.
     """
@@ -249,8 +250,8 @@
     percent: int = 100
 
 
-class SendHold(NamedTuple):
-    """Ask a runner for its report; say `HoldAnswered` or `HoldFailed`."""
+class RequestReport(NamedTuple):
+    """Request a runner's report, then send `ReportReceived` or `ReportFailed`."""
 
     entry: RunnerEntry
     last_seen: int
@@ -258,4 +259,4 @@
     wait_s: float
 
 
-Action = Begun | Commit | Delivered | Forward | SendOrder | SendHold
+Action = JobStarted | Commit | HandoversConfirmed | Forward | SendOrder | RequestReport
--- a/plantainyard/dispatch/forwarding.py
+++ b/plantainyard/dispatch/forwarding.py
@@ -1,10 +1,10 @@
-"""What is sent to other units: jobs, single tasks, and requests to cancel them."""
+"""Forwarding of jobs, single tasks and requests to cancel them to other units."""
 
 from collections.abc import Iterable, Iterator
 
 from plantainyard.batch.records import (
-    CANCEL,
-    DELIVERED,
+    CANCEL_VALUE,
+    DELIVERED_VALUE,
     RecordKind,
     encode_submission,
     make_cancel_key,
@@ -13,76 +13,77 @@
     parse_key,
 )
 from plantainyard.batch.values import Submission
-from plantainyard.dispatch.events import Delivered, Forward
+from plantainyard.dispatch.events import Forward, HandoversConfirmed
 from plantainyard.dispatch.model import Task
 from plantainyard.dispatch.state import Arrival, Dispatcher
 from plantainyard.platform.store import Record
 
 __all__ = [
-    "find_piece",
-    "forget_arrived",
+    "build_task_submission",
+    "expire_arrivals",
     "forward_cancel",
-    "forward_handed",
+    "forward_outgoing",
     "make_forward",
-    "list_arrived",
-    "note_arrived",
-    "note_forwarded",
-    "note_moved",
-    "pass_on",
-    "settle_delivered",
-    "take_settled",
+    "list_arrivals",
+    "record_arrival",
+    "confirm_forwarded",
+    "record_handover",
+    "add_hop",
+    "confirm_deliveries",
+    "pop_delivery_records",
 ]
 
-PART_BYTES = 500_000
-"""Values sent to another unit in one call; the store takes four times as much, and a
-single one of them may be half of it."""
+MAX_FORWARD_BYTES = 500_000
+"""Maximum size of the values sent to another unit in one call: a quarter of what the
+store accepts. A single value may be half of this size."""
 
-READ_S = 5.0
-"""Time after which a unit's owner knows what was stored for it, or tells no counts: it
-counts up to 3.5 s after its last word from the store, and is asked within a second."""
+DELIVERY_READ_S = 5.0
+"""Time after which the owner of a unit has read a record stored for it, or reports no
+counts: it reports counts until 3.5 s after its last answer from the store, and is
+queried within 1 s."""
 
-ARRIVED_S = 8.0
-"""Time for which an owner tells that a job has arrived: over what its old unit goes on
-telling it for."""
+ARRIVAL_RETENTION_S = 8.0
+"""Time for which an owner reports a job as arrived: longer than the job's old unit
+continues to report it."""
 
 
-def pass_on(submission: Submission) -> Submission:
-    """Return a submission as the unit that it is handed to stores it."""
+def add_hop(submission: Submission) -> Submission:
+    """Return a submission in the form in which the next unit stores it."""
     return submission._replace(hops=submission.hops + 1)
 
 
-def find_piece(task: Task) -> Submission:
-    """Return the submission of a single task as its new unit stores it."""
+def build_task_submission(task: Task) -> Submission:
+    """Return the submission of a single task in the form that its new unit stores."""
     place = task.key.occurrence, task.key.step, task.key.number
-    piece = task.step.job.submission._replace(piece=place, first_run=task.run)
-    return pass_on(piece)
+    submission = task.step.job.submission._replace(piece=place, first_run=task.run)
+    return add_hop(submission)
 
 
-def note_moved(state: Dispatcher, submission: Submission, unit: int) -> None:
-    """Take note that another unit has a job from now on."""
-    state.moved[submission.record_id] = unit
+def record_handover(state: Dispatcher, submission: Submission, unit: int) -> None:
+    """Record that another unit is responsible for a job from now on."""
+    state.handed_over[submission.record_id] = unit
     state.unconfirmed.add(submission.record_id)
 
 
-def forward_handed(state: Dispatcher) -> None:
-    """Send the jobs whose handing over is stored to their new units."""
-    handed, state.committing_handing = state.committing_handing, {}
-    cancelled = state.cancelled_handing & handed.keys()
-    state.cancelled_handing -= cancelled
+def forward_outgoing(state: Dispatcher) -> None:
+    """Send the jobs whose handover is stored to their new units."""
+    outgoing, state.committing_outgoing = state.committing_outgoing, {}
+    cancelled = state.cancelled_outgoing & outgoing.keys()
+    state.cancelled_outgoing -= cancelled
     records: dict[int, list[Record]] = {}
-    for job_id, submission in handed.items():
-        found = make_records(submission, job_id in cancelled)
-        records.setdefault(state.moved[job_id], []).extend(found)
-    for unit, rows in records.items():
-        state.actions += [Forward(unit, part) for part in _split(rows)]
+    for job_id, submission in outgoing.items():
+        built = make_records(submission, job_id in cancelled)
+        records.setdefault(state.handed_over[job_id], []).extend(built)
+    for unit, unit_records in records.items():
+        state.actions += [Forward(unit, part) for part in _split(unit_records)]
 
 
 def _split(records: list[Record]) -> Iterator[list[Record]]:
-    """Yield records in order in parts that one call to the store takes."""
+    """Yield the records in order, in parts that fit into one call to the store."""
     part: list[Record] = []
     size = 0
     for record in records:
-        if part and size + len(record.value) > PART_BYTES:
+        if part and size + len(record.value) > MAX_FORWARD_BYTES:
             yield part
             part, size = [], 0
         part.append(record)
@@ -90,87 +91,92 @@
     yield part
 
 
-def note_forwarded(state: Dispatcher, keys: Iterable[str], now: float) -> None:
-    """Take note that records are stored in other units."""
-    found = [parse_key(key) for key in keys]
-    state.cancels_out -= {k.job_id for k in found if k.kind == RecordKind.CANCEL}
-    stored = {k.job_id for k in found if k.kind == RecordKind.SUBMISSION}
-    state.delivered |= dict.fromkeys(stored & state.unconfirmed, now)
+def confirm_forwarded(state: Dispatcher, keys: Iterable[str], now: float) -> None:
+    """Record that records were stored in other units."""
+    parsed = [parse_key(key) for key in keys]
+    state.pending_cancels -= {k.job_id for k in parsed if k.kind == RecordKind.CANCEL}
+    stored = {k.job_id for k in parsed if k.kind == RecordKind.SUBMISSION}
+    state.delivered_at |= dict.fromkeys(stored & state.unconfirmed, now)
     state.unconfirmed -= stored
 
 
-def settle_delivered(state: Dispatcher, now: float) -> None:
-    """Take note of the jobs whose new units have had the time to read of them.
+def confirm_deliveries(state: Dispatcher, now: float) -> None:
+    """Record the jobs whose new units have had time to read them.
 
     Notes
     -----
-    Guards against a successor that sends every job again that was ever handed over,
-    one after the other, before those that nobody has yet. The records wait for a commit
-    that there is anyway.
+    Guards against a successor that resends every job that was ever handed over, one
+    after the other, before the jobs that no unit has received yet. The records are
+    added to the next commit and don't cause one.
     """
-    due = [job for job, at in state.delivered.items() if now - at >= READ_S]
+    due = [job for job, at in state.delivered_at.items() if now - at >= DELIVERY_READ_S]
     if due:
-        state.settled += due
-        state.actions.append(Delivered(due))
+        state.confirmed += due
+        state.actions.append(HandoversConfirmed(due))
     for job_id in due:
-        del state.delivered[job_id]
+        del state.delivered_at[job_id]
 
 
-def take_settled(state: Dispatcher) -> list[Record]:
-    """Return the records of jobs that their new units know of."""
-    settled, state.settled = state.settled, []
-    return [Record(make_delivery_key(job_id), DELIVERED) for job_id in settled]
+def pop_delivery_records(state: Dispatcher) -> list[Record]:
+    """Remove and return the records of jobs that their new units have read."""
+    confirmed, state.confirmed = state.confirmed, []
+    return [Record(make_delivery_key(job_id), DELIVERED_VALUE) for job_id in confirmed]
 
 
-def note_arrived(state: Dispatcher, submission: Submission, now: float) -> None:
-    """Take note that a whole job was handed to this unit."""
+def record_arrival(state: Dispatcher, submission: Submission, now: float) -> None:
+    """Record that a whole job was handed over to this unit."""
     if submission.hops and not submission.piece:
-        state.arrived[submission.job_id] = Arrival(submission.queue, now)
+        state.arrivals[submission.job_id] = Arrival(submission.queue, now)
 
 
-def list_arrived(state: Dispatcher, queue: str) -> frozenset[str]:
-    """Return the jobs of a queue that were handed to this unit in the last seconds.
+def list_arrivals(state: Dispatcher, queue: str) -> frozenset[str]:
+    """Return the jobs of a queue that were recently handed over to this unit.
 
     Notes
     -----
-    Any thread may ask.
+    May be called from any thread.
     """
-    arrived = list(state.arrived.items())
-    return frozenset(job_id for job_id, came in arrived if came.queue == queue)
+    arrivals = list(state.arrivals.items())
+    return frozenset(job_id for job_id, item in arrivals if item.queue == queue)
 
 
-def forget_arrived(state: Dispatcher, now: float) -> None:
-    """Forget the jobs that were handed to this unit longer ago."""
-    kept = {j: came for j, came in state.arrived.items() if now - came.at < ARRIVED_S}
-    state.arrived = kept
+def expire_arrivals(state: Dispatcher, now: float) -> None:
+    """Remove the arrivals that are older than `ARRIVAL_RETENTION_S`."""
+    kept = {
+        job_id: item
+        for job_id, item in state.arrivals.items()
+        if now - item.received_at < ARRIVAL_RETENTION_S
+    }
+    state.arrivals = kept
 
 
 def make_forward(submission: Submission, unit: int, cancelled: bool) -> Forward:
-    """Return what sends a submission to a unit; a repeat of it does no harm there."""
+    """Return the action that sends a submission to a unit; repeating it is harmless."""
     return Forward(unit, make_records(submission, cancelled))
 
 
 def make_records(submission: Submission, cancelled: bool) -> list[Record]:
-    """Return what a submission's new unit is to store."""
+    """Return the records that the new unit of a submission stores."""
     job_id = submission.record_id
     records = [Record(make_submission_key(job_id), encode_submission(submission))]
     if cancelled:
-        records.append(Record(make_cancel_key(job_id), CANCEL))
+        records.append(Record(make_cancel_key(job_id), CANCEL_VALUE))
     return records
 
 
 def forward_cancel(state: Dispatcher, job_id: str) -> None:
-    """Pass the cancelling of a job on to the unit that has it.
+    """Forward the cancellation of a job to the unit that is responsible for it.
 
     Notes
     -----
-    Guards against a cancelled task that goes on elsewhere: a job whose end was stored
-    while the request was still on its way to another unit had nobody left to send it
-    again once the owner was lost. It is out until the other unit's record is stored.
+    Guards against a cancelled task that continues to run in another unit: if the end of
+    its job were stored before the cancellation has reached that unit, nobody would
+    resend the cancellation after the owner was lost. It is therefore pending, and keeps
+    the job open, until it is stored in the other unit.
     """
-    state.cancels_out.add(job_id)
-    if job_id in state.handing or job_id in state.committing_handing:
-        state.cancelled_handing.add(job_id)
+    state.pending_cancels.add(job_id)
+    if job_id in state.outgoing or job_id in state.committing_outgoing:
+        state.cancelled_outgoing.add(job_id)
         return
-    record = Record(make_cancel_key(job_id), CANCEL)
-    state.actions.append(Forward(state.moved[job_id], [record]))
+    record = Record(make_cancel_key(job_id), CANCEL_VALUE)
+    state.actions.append(Forward(state.handed_over[job_id], [record]))
--- a/plantainyard/dispatch/jobs.py
+++ b/plantainyard/dispatch/jobs.py
@@ -1,22 +1,22 @@
-"""Jobs of a dispatcher: adding, opening occurrences, cancelling, ending."""
+"""Life cycle of jobs: adding, opening occurrences, cancelling and ending them."""
 
 from plantainyard.batch.tasks import TaskKey
 from plantainyard.batch.values import JobState, Submission
 from plantainyard.dispatch.forwarding import (
-    find_piece,
+    build_task_submission,
     forward_cancel,
-    note_arrived,
+    record_arrival,
 )
 from plantainyard.dispatch.model import Job, Phase, StepRun, Task
 from plantainyard.dispatch.orders import release_task, send_stop
-from plantainyard.dispatch.queue import find_chains_ms, set_deadlines
+from plantainyard.dispatch.queue import find_critical_paths_ms, set_deadlines
 from plantainyard.dispatch.state import Dispatcher, mark_dirty
 
 __all__ = [
     "add_job",
     "cancel_job",
-    "check_end",
-    "end_cancelled",
+    "end_if_finished",
+    "end_cancelled_jobs",
     "finish_task",
     "open_due_occurrences",
     "open_occurrence",
@@ -24,23 +24,23 @@
 
 
 def add_job(state: Dispatcher, submission: Submission, now: float) -> None:
-    """Take in an accepted job; a repeat of its submission changes nothing."""
+    """Add an accepted job; repeated submissions are ignored."""
     job_id = submission.record_id
-    if job_id in state.jobs or job_id in state.ended or job_id in state.moved:
+    if job_id in state.jobs or job_id in state.ended_at or job_id in state.handed_over:
         return
-    chains_ms = find_chains_ms(submission.steps)
-    job = Job(submission, 0.0, chains_ms, now)
+    remaining_ms = find_critical_paths_ms(submission.steps)
+    job = Job(submission, 0.0, remaining_ms, now)
     set_deadlines(job, now)
     state.jobs[job_id] = job
-    note_arrived(state, submission, now)
+    record_arrival(state, submission, now)
     if submission.piece:
-        _open_piece(job)
+        _add_single_task(job)
     elif not submission.times:
         open_occurrence(job, 0)
 
 
 def open_occurrence(job: Job, occurrence: int) -> None:
-    """Add the steps of an occurrence that is due."""
+    """Add the steps of an occurrence of a job."""
     for number, spec in enumerate(job.submission.steps):
         step = StepRun(job, occurrence, number, spec)
         step.tasks = [
@@ -50,8 +50,8 @@
         job.steps[occurrence, number] = step
 
 
-def _open_piece(job: Job) -> None:
-    """Add the one task that another unit has handed over."""
+def _add_single_task(job: Job) -> None:
+    """Add the single task that another unit has handed over."""
     submission = job.submission
     occurrence, number, index = submission.piece
     step = StepRun(job, occurrence, number, submission.steps[number])
@@ -61,15 +61,15 @@
 
 
 def open_due_occurrences(state: Dispatcher, now: float) -> None:
-    """Open the occurrences of scheduled jobs whose time has come."""
+    """Open the occurrences of scheduled jobs that are due."""
     wall_ms = (now + state.wall_offset_s) * 1000
     for job in list(state.jobs.values()):
         submission = job.submission
         if submission.times and not job.cancelled:
-            _open_due(job, wall_ms)
+            _open_due_for_job(job, wall_ms)
 
 
-def _open_due(job: Job, wall_ms: float) -> None:
+def _open_due_for_job(job: Job, wall_ms: float) -> None:
     submission = job.submission
     for occurrence in range(submission.times):
         due_ms = submission.start_at_ms + occurrence * submission.interval_ms
@@ -80,76 +80,81 @@
 
 
 def finish_task(state: Dispatcher, task: Task) -> None:
-    """Take note that a task is done, and end the job if it was the last."""
+    """Mark a task as done, and end the job if it was the last one."""
     task.phase = Phase.DONE
     task.checkpoint = ""
-    task.step.done += 1
+    task.step.done_count += 1
     mark_dirty(state, task.step)
-    check_end(state, task.step.job)
+    end_if_finished(state, task.step.job)
 
 
 def cancel_job(state: Dispatcher, job_id: str, now: float) -> None:
-    """Let nothing of a job start any more and stop what runs."""
+    """Cancel a job: start no more of its tasks, and stop its active runs."""
     job = state.jobs.get(job_id)
-    if job is None or job.cancelled or job.ended:
+    if job is None or job.cancelled or job.final_state:
         return
     job.cancelled = True
-    stop_all(state, job, now)
-    check_end(state, job)
+    stop_tasks(state, job, now)
+    end_if_finished(state, job)
 
 
 def fail_job(state: Dispatcher, job: Job, now: float) -> None:
-    """End a job one of whose tasks has failed too often."""
-    if job.ended or job.cancelled:
+    """End a job as failed because a task has used up its attempts."""
+    if job.final_state or job.cancelled:
         return
     end_job(state, job, JobState.FAILED)
-    stop_all(state, job, now)
+    stop_tasks(state, job, now)
 
 
-def stop_all(state: Dispatcher, job: Job, now: float) -> None:
-    """Order all runs of a job to stop."""
+def stop_tasks(state: Dispatcher, job: Job, now: float) -> None:
+    """Stop all active runs of a job, also those in other units."""
     for step in job.steps.values():
         for task in step.tasks:
             if task.phase == Phase.STORING:
                 release_task(state, task)
-            elif task.phase == Phase.HANDED:
-                forward_cancel(state, find_piece(task).record_id)
-            elif task.phase in Phase.OUT:
+            elif task.phase == Phase.HANDED_OVER:
+                forward_cancel(state, build_task_submission(task).record_id)
+            elif task.phase in Phase.ACTIVE:
                 send_stop(state, task, now)
 
 
-def check_end(state: Dispatcher, job: Job) -> None:
-    """End the job if nothing of it is left to do."""
-    if job.ended:
+def end_if_finished(state: Dispatcher, job: Job) -> None:
+    """End the job if all its tasks are done, or cancelled and stopped."""
+    if job.final_state:
         return
     if job.cancelled:
-        if not _is_out(state, job):
+        if not _has_active_runs(state, job):
             end_job(state, job, JobState.CANCELLED)
         return
     expected = max(1, job.submission.times) * len(job.submission.steps)
-    finished = sum(1 for s in job.steps.values() if s.done == len(s.tasks))
+    finished = sum(1 for s in job.steps.values() if s.done_count == len(s.tasks))
     if finished == expected:
         end_job(state, job, JobState.COMPLETED)
 
 
-def _is_out(state: Dispatcher, job: Job) -> bool:
+def _has_active_runs(state: Dispatcher, job: Job) -> bool:
     tasks = (task for step in job.steps.values() for task in step.tasks)
-    return any(task.phase in Phase.OUT or _awaits_cancel(state, task) for task in tasks)
+    return any(
+        task.phase in Phase.ACTIVE or _is_cancel_pending(state, task) for task in tasks
+    )
 
 
-def _awaits_cancel(state: Dispatcher, task: Task) -> bool:
-    handed = task.phase == Phase.HANDED
-    return handed and find_piece(task).record_id in state.cancels_out
+def _is_cancel_pending(state: Dispatcher, task: Task) -> bool:
+    is_handed_over = task.phase == Phase.HANDED_OVER
+    return (
+        is_handed_over
+        and build_task_submission(task).record_id in state.pending_cancels
+    )
 
 
-def end_cancelled(state: Dispatcher) -> None:
-    """End the cancelled jobs of which nothing is left to do any more."""
+def end_cancelled_jobs(state: Dispatcher) -> None:
+    """End the cancelled jobs whose runs have all stopped."""
     for job in [job for job in state.jobs.values() if job.cancelled]:
-        check_end(state, job)
+        end_if_finished(state, job)
 
 
-def end_job(state: Dispatcher, job: Job, ended: str) -> None:
-    """Give a job its final state, to be stored with the next commit."""
-    job.ended = ended
-    state.ending[job.submission.record_id] = ended
-    state.ended[job.submission.record_id] = 0.0
+def end_job(state: Dispatcher, job: Job, final_state: str) -> None:
+    """Set the final state of a job, to be stored with the next commit."""
+    job.final_state = final_state
+    state.new_final_states[job.submission.record_id] = final_state
+    state.ended_at[job.submission.record_id] = 0.0
--- a/plantainyard/dispatch/restoring.py
+++ b/plantainyard/dispatch/restoring.py
@@ -1,24 +1,24 @@
-"""Jobs of a predecessor, from the stored records."""
+"""Restoring of the jobs and runs of a predecessor from the stored records."""
 
 from collections.abc import Set
 
 from plantainyard.batch.replica import JobView, Replica
 from plantainyard.batch.values import StepProgress
 from plantainyard.dispatch.forwarding import (
-    find_piece,
+    add_hop,
+    build_task_submission,
     forward_cancel,
     make_forward,
-    note_moved,
-    pass_on,
+    record_handover,
 )
 from plantainyard.dispatch.jobs import (
     add_job,
     cancel_job,
-    check_end,
+    end_if_finished,
     open_occurrence,
 )
 from plantainyard.dispatch.model import Phase, Runner, StepRun, Task
-from plantainyard.dispatch.placing import take_room
+from plantainyard.dispatch.placing import reserve_resources
 from plantainyard.dispatch.queue import set_deadlines
 from plantainyard.dispatch.state import Dispatcher
 
@@ -26,39 +26,39 @@
 
 
 def restore_jobs(state: Dispatcher, replica: Replica, now: float) -> None:
-    """Fill `state` with the jobs of `replica`.
+    """Add the jobs of `replica` to `state`.
 
     Notes
     -----
-    A run that was out is counted at its runner until a report of that runner proves
-    otherwise or every lease that a predecessor can have granted has lapsed. The
-    predecessor's orders that are still on their way are refused by then: the report
-    was asked for with a higher fencing token.
+    An active run is assumed to be at its runner until a report of that runner proves
+    otherwise, or until every lease that a predecessor may have granted has expired.
+    Orders of the predecessor that arrive after the report are refused, because the
+    report was requested with a higher fencing token.
     """
     views = list(replica.jobs.items())
     delivered = {job_id for job_id, view in views if view.delivered}
     for job_id, view in views:
-        if view.ended:
-            state.ended[job_id] = now
-        elif view.moved is not None:
-            _restore_moved(state, view, view.moved)
+        if view.final_state:
+            state.ended_at[job_id] = now
+        elif view.handed_to is not None:
+            _restore_handed_over_job(state, view, view.handed_to)
         elif view.submission is not None:
             _restore_job(state, view, delivered, now)
 
 
-def _restore_moved(state: Dispatcher, view: JobView, unit: int) -> None:
-    """Send a job that was handed over once more, if its new unit may not have it.
+def _restore_handed_over_job(state: Dispatcher, view: JobView, unit: int) -> None:
+    """Send a job that was handed over again, unless its new unit surely has it.
 
     Notes
     -----
-    Guards against a job that nobody has: its owner died after it had stored that the
-    job is another unit's, and before it had sent it there.
+    Guards against a job that no unit runs because its owner was lost after storing the
+    handover and before sending the job to its new unit.
     """
     if view.submission is None:
         return
-    note_moved(state, view.submission, unit)
+    record_handover(state, view.submission, unit)
     if not view.delivered:
-        forward = make_forward(pass_on(view.submission), unit, view.cancelled)
+        forward = make_forward(add_hop(view.submission), unit, view.cancelled)
         state.actions.append(forward)
         return
     state.unconfirmed.discard(view.submission.job_id)
@@ -73,9 +73,9 @@
     assert submission is not None
     add_job(state, submission, now)
     job = state.jobs[submission.record_id]
-    job.begun = view.begun
-    accepted = submission.accepted_at_ms / 1000 - state.wall_offset_s
-    set_deadlines(job, min(now, accepted))
+    job.started = view.started
+    accepted_at = submission.accepted_at_ms / 1000 - state.wall_offset_s
+    set_deadlines(job, min(now, accepted_at))
     for (occurrence, number), progress in view.steps.items():
         if (occurrence, number) not in job.steps:
             open_occurrence(job, occurrence)
@@ -84,7 +84,7 @@
     if view.cancelled:
         cancel_job(state, submission.record_id, now)
     else:
-        check_end(state, job)
+        end_if_finished(state, job)
 
 
 def _restore_step(
@@ -97,7 +97,7 @@
     for task in step.tasks:
         if task.key.number in progress.done:
             task.phase = Phase.DONE
-            step.done += 1
+            step.done_count += 1
     by_number = {task.key.number: task for task in step.tasks}
     for index, stored in progress.tasks.items():
         task = by_number[index]
@@ -105,35 +105,35 @@
         task.failures = stored.failures
         task.checkpoint = stored.checkpoint
         if stored.unit is not None:
-            _restore_handed(state, task, stored.unit, delivered)
+            _restore_handed_over_task(state, task, stored.unit, delivered)
         elif stored.runner:
             _restore_run(state, task, stored.runner, now)
 
 
-def _restore_handed(
+def _restore_handed_over_task(
     state: Dispatcher, task: Task, unit: int, delivered: Set[str]
 ) -> None:
-    """Send a task that was handed over once more; see `_restore_moved`."""
-    task.phase = Phase.HANDED
+    """Send a task that was handed over again; see `_restore_handed_over_job`."""
+    task.phase = Phase.HANDED_OVER
     task.unit = unit
-    piece = find_piece(task)
-    note_moved(state, piece, unit)
-    if piece.record_id in delivered:
-        state.unconfirmed.discard(piece.record_id)
+    submission = build_task_submission(task)
+    record_handover(state, submission, unit)
+    if submission.record_id in delivered:
+        state.unconfirmed.discard(submission.record_id)
     else:
-        state.actions.append(make_forward(piece, unit, False))
+        state.actions.append(make_forward(submission, unit, False))
 
 
-def _restore_run(state: Dispatcher, task: Task, life: str, now: float) -> None:
+def _restore_run(state: Dispatcher, task: Task, incarnation: str, now: float) -> None:
     task.phase = Phase.ORDERED
-    task.life = life
-    task.settled_at = now
-    runner = state.runners.get(life)
+    task.incarnation = incarnation
+    task.resolved_at = now
+    runner = state.runners.get(incarnation)
     if runner is None:
-        runner = Runner(life, None)
+        runner = Runner(incarnation, None)
         limits = state.limits
-        granted = limits.longest_lease_s * (1 + limits.clock_drift)
-        runner.lease_bound = now + granted + limits.lease_slack_s
-        state.runners[life] = runner
-        state.lives[life.partition("@")[0]] = life
-    take_room(runner, task)
+        max_lease_s = limits.longest_lease_s * (1 + limits.clock_drift)
+        runner.lease_bound = now + max_lease_s + limits.lease_slack_s
+        state.runners[incarnation] = runner
+        state.newest_incarnations[incarnation.partition("@")[0]] = incarnation
+    reserve_resources(runner, task)
--- a/plantainyard/dispatch/state.py
+++ b/plantainyard/dispatch/state.py
@@ -1,14 +1,14 @@
-"""The whole state of a dispatcher."""
+"""Complete state of a dispatcher."""
 
 from collections import Counter
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
 from plantainyard.batch.values import Submission
+from plantainyard.dispatch.estimates import InterferenceModel
 from plantainyard.dispatch.events import Action
-from plantainyard.dispatch.harms import Harms
 from plantainyard.dispatch.limits import Limits
-from plantainyard.dispatch.load import EMPTY_LOAD, Load
+from plantainyard.dispatch.load import NO_RUNNERS_LOAD, Load
 from plantainyard.dispatch.model import Job, Runner, StepRun, Task
 
 __all__ = [
@@ -22,157 +22,158 @@
 
 
 class Arrival(NamedTuple):
-    """A job that was handed to a unit.
+    """A job that was handed over to this unit.
 
     Attributes
     ----------
     queue : str
-        The job's.
-    at : float
-        When it was taken in.
+        Queue of the job.
+    received_at : float
+        When the dispatcher received it.
     """
 
     queue: str
-    at: float
+    received_at: float
 
 
 @dataclass(slots=True, eq=False)
 class Dispatcher:
-    """Jobs and runners of one unit.
+    """State of one unit's jobs and runners.
 
     Attributes
     ----------
     limits : Limits
-        Times and weights.
+        Time limits and thresholds.
     wall_offset_s : float
-        Unix time less the dispatcher's clock, taken once: the time of day may jump.
+        Unix time minus the dispatcher's clock, read once because the time of day may
+        jump.
     jobs : dict
         Jobs that haven't ended, by id.
-    ended : dict
-        When the jobs that ended here did, by id; a repeated submission of one is
-        passed over.
+    ended_at : dict
+        When jobs ended in this unit, by id; their repeated submissions are ignored.
     runners : dict
-        Lives of runners by name.
-    lives : dict
-        Newest life by the runner's id.
-    dirty : dict
-        Steps whose stored progress is out of date, by their identity.
-    begun : dict
-        Steps to be stored with the next commit that there is, because their jobs have
-        begun; by their identity.
-    ending : dict
-        Final states that aren't stored yet, by job.
+        Runner incarnations by name.
+    newest_incarnations : dict
+        Newest incarnation by the runner's id.
+    dirty_steps : dict
+        Steps whose stored progress is out of date, by object id.
+    started_steps : dict
+        Steps that are stored with the next commit, but cause none, because their jobs
+        have started; by object id.
+    new_final_states : dict
+        Final states that no commit contains yet, by job.
     assigned : list of Task
         Tasks assigned since the last commit.
-    commit_out : bool
-        A commit is on its way; the next one waits for it.
-    committing_seen, committing_ends, committing_starts
-        What it carries: acknowledged ends by life, ended jobs, tasks to start.
+    commit_pending : bool
+        Whether a commit is being stored; the next one waits for it.
+    committing_last_ends, committing_ends, committing_starts
+        Contents of that commit: the last end by runner incarnation, the jobs that end,
+        and the tasks to start.
     plan_due : bool
-        Waiting work may find a place.
-    changed : set of str
-        Lives of runners that may have more room than at the last search for places.
+        Whether waiting tasks may find a place.
+    changed_runners : set of str
+        Runner incarnations that may have more capacity than at the last search for
+        places.
     search_all : bool
-        The next search looks at all runners, for whatever waits.
+        Whether the next search considers all runners for all waiting tasks.
     actions : list of Action
-        What the current step has asked for so far.
-    began_at : float
+        Actions requested so far by the current call of `step`.
+    took_over_at : float
         When this owner took over.
     renewed_at : float
-        When the last renewal of the ownership that succeeded was sent.
-    harms : Harms
-        What is learnt of interference.
-    harms_stored_at : float
-        When that was last put into a commit.
-    harms_forgotten_at : float
-        When it was last looked for pairs that weren't seen.
-    load, load_at : Load, float
-        How full the unit is, and when that was measured.
-    lasting_room : int
-        Processor time that long-running tasks leave at the runner where they leave
-        most, when that was measured.
-    loads : dict
-        How full the other units are; empty where there is only one.
-    moved : dict
-        Units that jobs were handed to, by job.
+        When the last successful renewal of the ownership was sent.
+    interference : InterferenceModel
+        Estimates of interference between tasks.
+    interference_stored_at : float
+        When the model was last included in a commit.
+    interference_expired_at : float
+        When pairs that were no longer observed were last removed from the model.
+    load, load_measured_at : Load, float
+        Load of the unit, and when it was measured.
+    max_short_task_cpu : int
+        Largest processor time at one runner that long-running tasks don't occupy, at
+        that time.
+    other_loads : dict
+        Loads of the other units; empty if there is only one unit.
+    handed_over : dict
+        Unit that each job was handed over to, by job.
     unconfirmed : set of str
-        Those of them whose records aren't known to be stored there.
-    delivered : dict
-        When those of them that their new units are to be given time to read were stored
-        there.
-    settled : list of str
-        Those that have had it, and whose record of that goes with the next commit.
-    arrived : dict of str to Arrival
-        The jobs that were handed to this unit in the last seconds.
-    handing, committing_handing : dict
-        Submissions of jobs to be handed over once that is stored; those of them that
-        the commit on its way carries.
-    cancelled_handing : set of str
-        Those of them that were cancelled meanwhile.
-    cancels_out : set of str
-        Jobs and tasks that other units have, and whose cancelling isn't stored there
-        yet.
-    timed_at, moved_at : float
-        When the times of jobs were last added to; when it was last looked for work that
-        would be better off elsewhere.
+        Jobs among these whose records may not be stored in the new unit yet.
+    delivered_at : dict
+        When the records of jobs were stored in their new units, for jobs that those
+        units may not have read yet.
+    confirmed : list of str
+        Jobs that their new units have read; the next commit records that.
+    arrivals : dict of str to Arrival
+        Jobs that were recently handed over to this unit.
+    outgoing, committing_outgoing : dict
+        Submissions to be sent to other units once the handover is stored; those whose
+        handover the commit in progress contains.
+    cancelled_outgoing : set of str
+        Jobs among these that were cancelled in the meantime.
+    pending_cancels : set of str
+        Jobs and tasks in other units whose cancellation isn't stored there yet.
+    times_updated_at, moves_planned_at : float
+        When the times of jobs were last updated; when moves of tasks to better places
+        were last planned.
     """
 
     limits: Limits
     wall_offset_s: float = 0.0
     jobs: dict[str, Job] = field(default_factory=dict)
-    ended: dict[str, float] = field(default_factory=dict)
+    ended_at: dict[str, float] = field(default_factory=dict)
     runners: dict[str, Runner] = field(default_factory=dict)
-    lives: dict[str, str] = field(default_factory=dict)
-    dirty: dict[int, StepRun] = field(default_factory=dict)
-    begun: dict[int, StepRun] = field(default_factory=dict)
-    ending: dict[str, str] = field(default_factory=dict)
+    newest_incarnations: dict[str, str] = field(default_factory=dict)
+    dirty_steps: dict[int, StepRun] = field(default_factory=dict)
+    started_steps: dict[int, StepRun] = field(default_factory=dict)
+    new_final_states: dict[str, str] = field(default_factory=dict)
     assigned: list[Task] = field(default_factory=list)
-    commit_out: bool = False
-    committing_seen: dict[str, int] = field(default_factory=dict)
+    commit_pending: bool = False
+    committing_last_ends: dict[str, int] = field(default_factory=dict)
     committing_ends: list[str] = field(default_factory=list)
     committing_starts: list[Task] = field(default_factory=list)
     plan_due: bool = True
-    changed: set[str] = field(default_factory=set)
+    changed_runners: set[str] = field(default_factory=set)
     search_all: bool = True
     actions: list[Action] = field(default_factory=list)
-    began_at: float = 0.0
+    took_over_at: float = 0.0
     renewed_at: float = 0.0
-    harms: Harms = field(default_factory=Harms)
-    harms_stored_at: float = 0.0
-    harms_forgotten_at: float = 0.0
-    load: Load = EMPTY_LOAD
-    load_at: float = 0.0
-    lasting_room: int = 0
-    loads: dict[int, Load] = field(default_factory=dict)
-    moved: dict[str, int] = field(default_factory=dict)
+    interference: InterferenceModel = field(default_factory=InterferenceModel)
+    interference_stored_at: float = 0.0
+    interference_expired_at: float = 0.0
+    load: Load = NO_RUNNERS_LOAD
+    load_measured_at: float = 0.0
+    max_short_task_cpu: int = 0
+    other_loads: dict[int, Load] = field(default_factory=dict)
+    handed_over: dict[str, int] = field(default_factory=dict)
     unconfirmed: set[str] = field(default_factory=set)
-    delivered: dict[str, float] = field(default_factory=dict)
-    settled: list[str] = field(default_factory=list)
-    arrived: dict[str, Arrival] = field(default_factory=dict)
-    handing: dict[str, Submission] = field(default_factory=dict)
-    committing_handing: dict[str, Submission] = field(default_factory=dict)
-    cancelled_handing: set[str] = field(default_factory=set)
-    cancels_out: set[str] = field(default_factory=set)
-    timed_at: float = 0.0
-    moved_at: float = 0.0
+    delivered_at: dict[str, float] = field(default_factory=dict)
+    confirmed: list[str] = field(default_factory=list)
+    arrivals: dict[str, Arrival] = field(default_factory=dict)
+    outgoing: dict[str, Submission] = field(default_factory=dict)
+    committing_outgoing: dict[str, Submission] = field(default_factory=dict)
+    cancelled_outgoing: set[str] = field(default_factory=set)
+    pending_cancels: set[str] = field(default_factory=set)
+    times_updated_at: float = 0.0
+    moves_planned_at: float = 0.0
 
 
 def mark_dirty(state: Dispatcher, step: StepRun) -> None:
-    """Have the step's progress stored with the next commit."""
-    state.dirty[id(step)] = step
+    """Mark a step whose progress is to be stored with the next commit."""
+    state.dirty_steps[id(step)] = step
 
 
 class Counts(NamedTuple):
-    """Numbers of a dispatcher's things, for gauges.
+    """Numbers of jobs, tasks and runners, for metrics.
 
     Attributes
     ----------
     jobs : int
-        Open jobs.
+        Number of open jobs.
     tasks : dict
-        Tasks of open jobs by phase.
+        Number of tasks of open jobs, by phase.
     runners : dict
-        Runners by ``answering``, ``silent`` and ``quarantined``.
+        Number of runners that are ``answering``, ``silent`` or ``quarantined``.
     """
 
     jobs: int
@@ -184,14 +185,16 @@
 
 
 def count_state(state: Dispatcher) -> Counts:
-    """Return the numbers of a dispatcher's things; reads only, at one pass."""
+    """Return the numbers of jobs, tasks and runners; only reads, in one pass."""
     jobs = list(state.jobs.values())
     tasks = Counter(t.phase for j in jobs for s in j.steps.values() for t in s.tasks)
-    runners = Counter(_name_state(runner) for runner in list(state.runners.values()))
+    runners = Counter(
+        _get_runner_state(runner) for runner in list(state.runners.values())
+    )
     return Counts(len(jobs), dict(tasks), dict(runners))
 
 
-def _name_state(runner: Runner) -> str:
-    if not runner.answering:
+def _get_runner_state(runner: Runner) -> str:
+    if not runner.responsive:
         return "silent"
     return "quarantined" if runner.quarantined_until else "answering"
--- a/plantainyard/entry/takeover.py
+++ b/plantainyard/entry/takeover.py
@@ -1,4 +1,4 @@
-"""What a new owner of a unit does before it commands: fence, restore, follow."""
+"""Steps of a takeover: fence predecessors, restore the state, follow the intake."""
 
 import contextlib
 import threading
@@ -9,39 +9,39 @@
 from plantainyard.batch.replica import OWNER_KEY
 from plantainyard.clock import read_clock
 from plantainyard.dispatch import (
-    Cancelled,
+    CancelRequested,
     Dispatcher,
     EntryChanged,
     Event,
+    JobSubmitted,
     Limits,
-    Submitted,
     choose_lease,
     restore_dispatcher,
 )
 from plantainyard.entry.copies import UnitCopy
-from plantainyard.entry.instance import LONG_POLL_S, Instance, run_follower
+from plantainyard.entry.instance import LONG_POLL_S, Instance, run_reader
 from plantainyard.entry.layout import find_unit
 from plantainyard.entry.topics import PRODUCER, PROGRESS
-from plantainyard.entry.unit import UnitActor, UnitWorld, append_until_known
-from plantainyard.entry.wall import read_wall_ms
+from plantainyard.entry.unit import UnitActor, UnitContext, append_until_answered
+from plantainyard.entry.wall_clock import read_wall_clock_ms
 from plantainyard.platform.store import Append, Record
 
 __all__ = [
-    "choose_runners",
     "fence_predecessors",
     "follow_intake",
+    "make_entry_handler",
     "restore_unit",
-    "tell_jobs",
+    "send_open_jobs",
 ]
 
 
-def choose_runners(
+def make_entry_handler(
     instance: Instance, unit: int, actor: pykka.ActorRef[UnitActor]
 ) -> Callable[[Event], None]:
-    """Return a function that tells a unit's actor of the entries of its runners."""
+    """Return a function that sends the entries of a unit's runners to its actor."""
     units = len(instance.copies)
 
-    def tell(event: Event) -> None:
+    def send(event: Event) -> None:
         if isinstance(event, EntryChanged) and event.entry is not None:
             name = event.entry.machine or event.runner
             if find_unit(name, units) != unit:
@@ -49,36 +49,38 @@
         with contextlib.suppress(pykka.ActorDeadError):
             actor.tell(event)
 
-    return tell
+    return send
 
 
-def fence_predecessors(world: UnitWorld, address: str) -> bool:
-    """Make the store refuse all records of earlier owners from now on."""
+def fence_predecessors(context: UnitContext, address: str) -> bool:
+    """Make the store refuse records of earlier owners; return whether it succeeded."""
     record = Record(OWNER_KEY, address.encode())
-    append = Append(PROGRESS, world.unit, [record], PRODUCER, world.epoch, 0)
-    return append_until_known(world, append)
+    append = Append(PROGRESS, context.unit, [record], PRODUCER, context.epoch, 0)
+    return append_until_answered(context, append)
 
 
 def restore_unit(instance: Instance, copy: UnitCopy, fenced_at: float) -> Dispatcher:
-    """Return a dispatcher that goes on where a unit's stored records end."""
+    """Return a dispatcher that continues from a unit's stored records."""
     settings = instance.settings
     limits = Limits(
-        lease_s=choose_lease(settings.longest_lease_s, settings.cancelled_s),
+        lease_s=choose_lease(settings.longest_lease_s, settings.cancel_deadline_s),
         longest_lease_s=settings.longest_lease_s,
-        harm_s=settings.harm_s,
+        missed_target_s=settings.max_target_violation_s,
         remote_factor=settings.remote_factor,
     )
     now = read_clock()
-    return restore_dispatcher(copy.replica, limits, now, read_wall_ms(), fenced_at)
+    return restore_dispatcher(
+        copy.replica, limits, now, read_wall_clock_ms(), fenced_at
+    )
 
 
 @contextlib.contextmanager
 def follow_intake(
     instance: Instance, copy: UnitCopy, stopping: threading.Event
 ) -> Iterator[None]:
-    """Follow what callers store for the length of the context."""
+    """Follow the records that callers store for the duration of the context."""
     follower = threading.Thread(
-        target=run_follower,
+        target=run_reader,
         args=(copy.intake, lambda: (LONG_POLL_S, 0.0), stopping),
         daemon=True,
     )
@@ -89,19 +91,19 @@
         stopping.set()
 
 
-def tell_jobs(instance: Instance, copy: UnitCopy) -> None:
-    """Tell the actor of all jobs that are open.
+def send_open_jobs(instance: Instance, copy: UnitCopy) -> None:
+    """Send all open jobs to a unit's actor.
 
     Notes
     -----
-    Guards against an accepted job that nobody starts, and a cancelled one that goes on
-    in another unit: a record may have been read after the dispatcher was restored and
-    before there was an actor to tell. The dispatcher passes over what it knows.
+    Guards against an accepted job that is never started, and a cancelled job that goes
+    on in another unit: a record may have been read after the dispatcher was restored
+    and before the actor existed. The dispatcher ignores jobs that it already knows.
     """
     for job_id, view in list(copy.replica.jobs.items()):
-        if view.ended or view.submission is None:
+        if view.final_state or view.submission is None:
             continue
-        if view.moved is None:
-            instance.tell(copy.unit, Submitted(view.submission))
+        if view.handed_to is None:
+            instance.send_event(copy.unit, JobSubmitted(view.submission))
         if view.cancelled:
-            instance.tell(copy.unit, Cancelled(job_id))
+            instance.send_event(copy.unit, CancelRequested(job_id))
--- a/plantainyard/entry/tests/test_instance.py
+++ b/plantainyard/entry/tests/test_instance.py
@@ -1,11 +1,11 @@
-"""What an instance holds and shows: configuration, dumps of state."""
+"""State of an instance: its configuration and the dumps of its state."""
 
 import json
 from unittest.mock import Mock
 
 from plantainyard.entry.inspection import build_inspection_app, describe_job
-from plantainyard.entry.tails import poll_tail
-from plantainyard.entry.tests.site import (
+from plantainyard.entry.readers import poll_reader
+from plantainyard.entry.tests.harness import (
     BODY,
     JOB,
     call,
@@ -18,24 +18,27 @@
 
 
 def test_a_configuration_never_reverts():
+    # Guards against a late record of an older version replacing a newer configuration.
     store = StoreState()
     with run_instance(store) as instance:
         put_configuration(store, 9, routes=[])
         put_configuration(store, 8)
-        poll_tail(instance.operations)
+        poll_reader(instance.operations_reader)
         assert instance.configuration and instance.configuration.version == 9
 
 
 def test_an_unreadable_configuration_changes_nothing():
+    # Guards against an invalid record that ends or empties the configuration in force.
     store = StoreState()
     with run_instance(store) as instance:
         store.put("keyed.op", "config", b"\xff{")
         store.put("keyed.op", "config", b'{"version": 10}')
-        poll_tail(instance.operations)
+        poll_reader(instance.operations_reader)
         assert instance.configuration and instance.configuration.version == 7
 
 
-def test_a_dump_tells_where_each_task_of_a_job_is():
+def test_a_dump_shows_the_runner_of_each_task_of_a_job():
+    # Guards against dumps that lack the tasks, runs or runners of a running job.
     store = StoreState()
     runner = RunnerState("r0", {JOB: 0.0})
     with run_instance(store, runner) as instance:
--- a/plantainyard/node/terms.py
+++ b/plantainyard/node/terms.py
@@ -18,10 +18,10 @@
 __all__ = [
     "Term",
     "begin_term",
-    "empty_workers",
-    "find_patience",
     "build_lease_terms",
+    "empty_workers",
     "feed_record",
+    "find_patience",
     "iter_runners",
     "list_leaving",
     "name_runner",
@@ -121,7 +121,7 @@
     term: Term,
     domain: log_state.DomainState,
     data: Mapping[str, Any],
-    change: log_state.Change,
+    change: log_state.FoldResult,
     now: float,
 ) -> None:
     """Tell the term of a record that was just folded."""
--- a/plantainyard/placement/gangs.py
+++ b/plantainyard/placement/gangs.py
@@ -1,122 +1,140 @@
-"""Gangs: all tasks of a job start together, or none does."""
+"""Gang scheduling: either all tasks of a job start together, or none does."""
 
 from plantainyard.placement.accounting import occupy, vacate
 from plantainyard.placement.actions import Action, Place
-from plantainyard.placement.eviction import evict, hold_worker
-from plantainyard.placement.filters import check_worker, count_fits, find_candidates
+from plantainyard.placement.eviction import evict, reserve_worker
+from plantainyard.placement.filters import (
+    check_worker,
+    count_fitting_tasks,
+    find_candidates,
+)
 from plantainyard.placement.quotas import check_quota
 from plantainyard.placement.state import (
     JobState,
     Placement,
     PlacementState,
-    Waiting,
+    WaitingTask,
 )
 
-__all__ = ["place_gang", "roll_back_gangs"]
+__all__ = ["evict_incomplete_gangs", "place_gang"]
 
-_HOLD_S = 120.0
+_RESERVATION_S = 120.0
 
 
 def place_gang(
-    state: PlacementState, owner: JobState, now: float
+    state: PlacementState, job_state: JobState, now: float
 ) -> tuple[list[Action], str]:
     """Place every waiting task of a gang, or none.
 
     Returns
     -------
     tuple
-        The placements, and why the gang waits where there are none.
+        The placements, and the reason why the gang waits if there are none.
 
     Notes
     -----
-    Tasks are placed one after the other; where one finds no room, all are taken back
-    before anybody hears of them, so a gang never holds part of its room while it waits.
+    Tasks are placed one after the other. If one doesn't fit, all placements are undone
+    before any action is returned, so a gang never occupies part of the capacity that it
+    needs while it waits.
     """
-    count = owner.waiting
-    if not check_quota(state, owner, count):
+    count = job_state.waiting_count
+    if not check_quota(state, job_state, count):
         return [], "team quota"
-    since = owner.waits_since()
-    made: list[Placement] = []
-    tasks: list[Waiting] = []
+    since = job_state.get_waiting_since()
+    placements: list[Placement] = []
+    tasks: list[WaitingTask] = []
     for _ in range(count):
-        task = owner.next_waiting(now)
-        candidates = find_candidates(state, owner) if task else []
+        task = job_state.peek_waiting(now)
+        candidates = find_candidates(state, job_state) if task else []
         if task is None or not candidates:
-            for placement in reversed(made):
+            for placement in reversed(placements):
                 vacate(state, placement)
             for taken in tasks:
-                owner.add_again(taken, now)
-            _hold_room(state, owner, since, now)
+                job_state.add_retry(taken, now)
+            _reserve_for_gang(state, job_state, since, now)
             return [], "no room for the whole gang" if task else "backing off"
         best = min(
             candidates,
             key=lambda worker: (
-                state.rules.cost(state, owner, worker, now),
+                state.rules.cost(state, job_state, worker, now),
                 worker.info.id,
             ),
         )
-        owner.take(task)
+        job_state.take_waiting(task)
         tasks.append(task)
-        made.append(occupy(state, owner, task, best))
-    owner.placed_last = now
-    owner.reason = ""
+        placements.append(occupy(state, job_state, task, best))
+    job_state.last_placed_at = now
+    job_state.reason = ""
     return [
         Place(placement.key, placement.attempt, placement.worker, "gang")
-        for placement in made
+        for placement in placements
     ], ""
 
 
-def _hold_room(
-    state: PlacementState, owner: JobState, since: float, now: float
+def _reserve_for_gang(
+    state: PlacementState, job_state: JobState, since: float, now: float
 ) -> None:
-    """Hold workers for a gang that waited long, until its tasks would fit."""
+    """Reserve enough workers for all tasks of a gang that has waited long."""
     if now - since <= state.settings.starve_s:
         return
-    held = [worker for worker in state.ring if worker.reserved_for]
-    if any(worker.reserved_for != owner.job.id for worker in held):
+    reserved = [worker for worker in state.active_workers if worker.reserved_for]
+    if any(worker.reserved_for != job_state.job.id for worker in reserved):
         return
-    room = sum(count_fits(owner.reserved, worker.info.capacity) for worker in held)
-    free = sorted(
+    reserved_slots = sum(
+        count_fitting_tasks(job_state.reserved, worker.info.capacity)
+        for worker in reserved
+    )
+    available = sorted(
         (
             worker
-            for worker in state.ring
+            for worker in state.active_workers
             if not worker.reserved_for
             and not worker.suspect
             and worker.quarantined_until is None
-            and check_worker(owner.job, worker.info) is None
+            and check_worker(job_state.job, worker.info) is None
+        ),
+        key=lambda worker: (
+            worker.allocated[0] / worker.info.capacity[0],
+            worker.info.id,
         ),
-        key=lambda worker: (worker.used[0] / worker.info.capacity[0], worker.info.id),
     )
-    for worker in free:
-        if room >= owner.waiting:
+    for worker in available:
+        if reserved_slots >= job_state.waiting_count:
             return
-        fitting = count_fits(owner.reserved, worker.info.capacity)
-        hold_worker(owner, worker, now + _HOLD_S, min(fitting, owner.waiting - room))
-        room += fitting
+        fitting = count_fitting_tasks(job_state.reserved, worker.info.capacity)
+        reserve_worker(
+            job_state,
+            worker,
+            now + _RESERVATION_S,
+            min(fitting, job_state.waiting_count - reserved_slots),
+        )
+        reserved_slots += fitting
 
 
-def roll_back_gangs(state: PlacementState, now: float) -> list[Action]:
-    """Evict gangs that were left half placed for too long.
+def evict_incomplete_gangs(state: PlacementState, now: float) -> list[Action]:
+    """Evict gangs that have been only partly placed for too long.
 
     Notes
     -----
-    Guards against a gang of which a part lost its worker and finds no other: its rest
-    would hold its room for ever while doing nothing useful. It is evicted as a whole
-    after ``gang_s``, then waits as a whole.
+    Guards against a gang whose tasks partly lost their workers and find no others: the
+    remaining tasks would occupy capacity indefinitely without making progress. After
+    ``gang_s`` the whole gang is evicted, and all its tasks wait again.
     """
     actions: list[Action] = []
-    for owner in state.jobs.values():
-        if not owner.job.gang:
+    for job_state in state.jobs.values():
+        if not job_state.job.gang:
             continue
-        broken = owner.placed and owner.waiting and not owner.given_up
-        if not broken:
-            owner.broken_at = None
-        elif owner.broken_at is None:
-            owner.broken_at = now
-        elif now - owner.broken_at > state.settings.gang_s:
+        is_incomplete = (
+            job_state.placed and job_state.waiting_count and not job_state.given_up
+        )
+        if not is_incomplete:
+            job_state.incomplete_since = None
+        elif job_state.incomplete_since is None:
+            job_state.incomplete_since = now
+        elif now - job_state.incomplete_since > state.settings.gang_s:
             actions += [
                 evict(placement, "gang is not whole")
-                for placement in owner.placed.values()
+                for placement in job_state.placed.values()
                 if not placement.ending
             ]
     return actions
--- a/plantainyard/placement/state.py
+++ b/plantainyard/placement/state.py
@@ -1,7 +1,7 @@
 """State of placement for the workers under one owner.
 
-Classes here only hold state and keep its sums right; every decision is a function in
-another module. All of it is a soft copy that is rebuilt from `TasksWaiting` and
+The classes only hold state and keep its sums consistent; all decisions are functions in
+other modules. The state is soft: a new owner rebuilds it from `TasksWaiting` and
 `TaskStarted` events.
 """
 
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Hashable
 from typing import Any, NamedTuple
 
-from plantainyard.placement.harm import HarmModel
+from plantainyard.placement.interference import InterferenceModel
 from plantainyard.placement.settings import PlacementSettings, Weights
 from plantainyard.work import Job, Size, TaskKey, WorkerInfo
 
@@ -21,16 +21,16 @@
     "Profile",
     "Rules",
     "Span",
-    "Waiting",
+    "WaitingTask",
     "WorkerState",
 ]
 
-_RUN_DEVIATION = 0.3
-_NOTHING = Size(0.0, 0.0, 0)
+_RUN_TIME_DEVIATION = 0.3
+_ZERO_SIZE = Size(0.0, 0.0, 0)
 
 
-class Waiting(NamedTuple):
-    """A task that waits, and what is known of its past."""
+class WaitingTask(NamedTuple):
+    """A waiting task with its next attempt and its earlier failures and evictions."""
 
     number: int
     attempt: int
@@ -40,7 +40,7 @@
 
 
 class Span(NamedTuple):
-    """What ran on a worker from `start` on, for late reports."""
+    """A task that occupied a worker from `start` on; needed for delayed reports."""
 
     start: float
     task: TaskKey
@@ -48,55 +48,57 @@
 
 
 class Profile(NamedTuple):
-    """What runs on a worker, by workload.
+    """Summary of the tasks on a worker, by workload.
 
     Attributes
     ----------
-    at : float
-        When this was summed up.
+    computed_at : float
+        Time at which the profile was computed.
     shares : dict
-        Share of the worker's cores in use.
+        Share of the worker's cores that each workload uses.
     counts : dict
-        Number of tasks.
+        Number of tasks of each workload.
     services : dict
-        Load of each latency-critical workload, relative to its declared size.
-    suffered : dict
-        Relative slow-down of each by all others.
-    load : float
-        Share of the worker's cores in use by all.
+        Utilization of each latency-critical workload, relative to its declared size.
+    slowdown : dict
+        Relative slowdown of each workload by all others.
+    utilization : float
+        Share of the worker's cores that all workloads use.
     """
 
-    at: float
+    computed_at: float
     shares: dict[str, float]
     counts: dict[str, int]
     services: dict[str, float]
-    suffered: dict[str, float]
-    load: float
+    slowdown: dict[str, float]
+    utilization: float
 
 
 class Placement:
-    """A task that occupies a worker: in flight, running, or ending."""
+    """A task that occupies a worker: being assigned, running, or ending."""
 
     __slots__ = (
         "attempt",
-        "cores_seen",
         "ending",
         "evictions",
+        "exposure_samples",
         "exposures",
-        "samples",
         "failures",
-        "limited_at",
+        "job_state",
         "number",
-        "owner",
         "placed_at",
+        "reported_cores",
         "share",
         "since",
         "started_at",
+        "throttled_at",
         "worker",
     )
 
-    def __init__(self, owner: "JobState", task: Waiting, worker: str, now: float):
-        self.owner = owner
+    def __init__(
+        self, job_state: "JobState", task: WaitingTask, worker: str, now: float
+    ):
+        self.job_state = job_state
         self.number = task.number
         self.attempt = task.attempt
         self.since = task.since
@@ -106,43 +108,43 @@
         self.placed_at = now
         self.started_at: float | None = None
         self.share = 1.0
-        self.limited_at = now
+        self.throttled_at = now
         self.ending = False
-        self.cores_seen = -1.0
+        self.reported_cores = -1.0
         self.exposures: dict[str, float] = {}
-        self.samples = 0
+        self.exposure_samples = 0
 
     @property
     def key(self) -> TaskKey:
         """The task's key."""
-        return TaskKey(self.owner.job.id, self.number)
+        return TaskKey(self.job_state.job.id, self.number)
 
     @property
     def cores(self) -> float:
-        """Cores in use as far as known: the last report, else the estimate."""
-        if self.cores_seen >= 0.0:
-            return self.cores_seen
-        return self.owner.expected.cores * self.share
+        """Cores in use according to the last report, or the estimate without one."""
+        if self.reported_cores >= 0.0:
+            return self.reported_cores
+        return self.job_state.expected.cores * self.share
 
 
 class JobState:
-    """A job's waiting and placed tasks, its estimate and its failures.
+    """Waiting and placed tasks of a job, its size estimates and its failures.
 
     Notes
     -----
-    Waiting tasks that never ran are ranges of numbers, so that a job of any size costs
-    one entry; tasks that wait again are single entries.
+    Waiting tasks that have not run yet are stored as ranges of numbers, so that a job
+    of any size needs one entry. Tasks that wait for another attempt are single entries.
     """
 
     def __init__(self, job: Job):
         self.job = job
         self.workload = job.workload or job.name or job.id
-        self.fresh: deque[tuple[int, int, int, float, int]] = deque()
-        self.again: dict[int, Waiting] = {}
-        self.due: list[tuple[float, int]] = []
-        self.waiting = 0
+        self.untried_ranges: deque[tuple[int, int, int, float, int]] = deque()
+        self.retries: dict[int, WaitingTask] = {}
+        self.retry_heap: list[tuple[float, int]] = []
+        self.waiting_count = 0
         self.placed: dict[int, Placement] = {}
-        self.placed_last = float("-inf")
+        self.last_placed_at = float("-inf")
         self.expected = job.size
         self.reserved = job.size
         self.failed_on: dict[str, str] = {}
@@ -152,184 +154,189 @@
         self.cancelled = False
         self.last_error = ""
         self.reason = ""
-        self.place = 0
-        self.holds = 0
-        self.broken_at: float | None = None
-        self.use_reports = 0.0
-        self.use_cores = 0.0
-        self.use_cores_square = 0.0
-        self.use_memory = 0.0
-        self.load = 1.0
-        self.idle = 0.0
+        self.queue_position = 0
+        self.reserved_worker_count = 0
+        self.incomplete_since: float | None = None
+        self.usage_report_count = 0.0
+        self.usage_cores_sum = 0.0
+        self.usage_cores_squared_sum = 0.0
+        self.peak_memory_gb = 0.0
+        self.utilization = 1.0
+        self.idle_fraction = 0.0
         self.racks: dict[str, int] = {}
-        self.unit_ms = 0.0
-        self.run_offset = (0.0, _RUN_DEVIATION**2)
+        self.reference_latency_ms = 0.0
+        self.run_time_offset = (0.0, _RUN_TIME_DEVIATION**2)
 
     def key(self, number: int) -> TaskKey:
         """Return the key of one of the job's tasks."""
         return TaskKey(self.job.id, number)
 
-    def knows(self, number: int) -> bool:
-        """Return whether the task waits or is placed."""
+    def has_task(self, number: int) -> bool:
+        """Return whether a task is waiting or placed."""
         return (
             number in self.placed
-            or number in self.again
-            or any(first <= number < stop for first, stop, *_ in self.fresh)
+            or number in self.retries
+            or any(first <= number < stop for first, stop, *_ in self.untried_ranges)
         )
 
     def add_range(
         self, first: int, stop: int, attempt: int, since: float, failures: int
     ) -> None:
-        """Let the unknown ones of the tasks ``first`` to ``stop - 1`` wait."""
+        """Add those of the tasks ``first`` to ``stop - 1`` that are not known yet."""
         taken = sorted(
-            [(n, n + 1) for n in (*self.placed, *self.again) if first <= n < stop]
-            + [(a, b) for a, b, *_ in self.fresh if a < stop and first < b]
+            [(n, n + 1) for n in (*self.placed, *self.retries) if first <= n < stop]
+            + [(a, b) for a, b, *_ in self.untried_ranges if a < stop and first < b]
         )
         for low, high in taken:
             if first < low:
-                self._add_piece(first, low, attempt, since, failures)
+                self._add_untried(first, low, attempt, since, failures)
             first = max(first, high)
         if first < stop:
-            self._add_piece(first, stop, attempt, since, failures)
+            self._add_untried(first, stop, attempt, since, failures)
 
-    def _add_piece(
+    def _add_untried(
         self, first: int, stop: int, attempt: int, since: float, failures: int
     ) -> None:
-        self.fresh.append((first, stop, attempt, since, failures))
-        self.waiting += stop - first
+        self.untried_ranges.append((first, stop, attempt, since, failures))
+        self.waiting_count += stop - first
 
-    def add_again(self, task: Waiting, not_before: float) -> None:
-        """Let a task wait again, from `not_before` on."""
-        self.again[task.number] = task
-        heapq.heappush(self.due, (not_before, task.number))
-        self.waiting += 1
+    def add_retry(self, task: WaitingTask, not_before: float) -> None:
+        """Add a task that waits for another attempt until `not_before`."""
+        self.retries[task.number] = task
+        heapq.heappush(self.retry_heap, (not_before, task.number))
+        self.waiting_count += 1
 
     def remove_range(self, first: int, stop: int) -> None:
-        """Forget the waiting tasks from `first` to ``stop - 1``."""
+        """Remove the waiting tasks ``first`` to ``stop - 1``."""
         kept: deque[tuple[int, int, int, float, int]] = deque()
-        for low, high, *rest in self.fresh:
-            pieces = ((low, min(high, first)), (max(low, stop), high))
-            kept.extend((a, b, *rest) for a, b in pieces if a < b)  # type: ignore[misc]
-        self.fresh = kept
-        for number in [n for n in self.again if first <= n < stop]:
-            del self.again[number]
-        self.waiting = len(self.again) + sum(b - a for a, b, *_ in kept)
+        for low, high, *rest in self.untried_ranges:
+            rest_ranges = ((low, min(high, first)), (max(low, stop), high))
+            kept.extend((a, b, *rest) for a, b in rest_ranges if a < b)  # type: ignore[misc]
+        self.untried_ranges = kept
+        for number in [n for n in self.retries if first <= n < stop]:
+            del self.retries[number]
+        self.waiting_count = len(self.retries) + sum(b - a for a, b, *_ in kept)
 
     def clear_waiting(self) -> None:
-        """Forget all waiting tasks."""
-        self.fresh.clear()
-        self.again.clear()
-        self.due.clear()
-        self.waiting = 0
-
-    def next_waiting(self, now: float) -> Waiting | None:
-        """Return the task to place next, or None while all back off."""
-        while self.due and self.due[0][1] not in self.again:
-            heapq.heappop(self.due)
-        if self.due and self.due[0][0] <= now:
-            return self.again[self.due[0][1]]
-        if self.fresh:
-            first, _, attempt, since, failures = self.fresh[0]
-            return Waiting(first, attempt, since, failures)
+        """Remove all waiting tasks."""
+        self.untried_ranges.clear()
+        self.retries.clear()
+        self.retry_heap.clear()
+        self.waiting_count = 0
+
+    def peek_waiting(self, now: float) -> WaitingTask | None:
+        """Return the task to place next, or None if there is none or all back off."""
+        while self.retry_heap and self.retry_heap[0][1] not in self.retries:
+            heapq.heappop(self.retry_heap)
+        if self.retry_heap and self.retry_heap[0][0] <= now:
+            return self.retries[self.retry_heap[0][1]]
+        if self.untried_ranges:
+            first, _, attempt, since, failures = self.untried_ranges[0]
+            return WaitingTask(first, attempt, since, failures)
         return None
 
-    def take(self, task: Waiting) -> None:
-        """Remove `task`, which `next_waiting` returned."""
-        self.waiting -= 1
-        if task.number in self.again:
-            del self.again[task.number]
+    def take_waiting(self, task: WaitingTask) -> None:
+        """Remove `task`, which `peek_waiting` returned, from the waiting tasks."""
+        self.waiting_count -= 1
+        if task.number in self.retries:
+            del self.retries[task.number]
             return
-        first, stop, *rest = self.fresh.popleft()
+        first, stop, *rest = self.untried_ranges.popleft()
         if first + 1 < stop:
-            self.fresh.appendleft((first + 1, stop, *rest))  # type: ignore[arg-type]
+            self.untried_ranges.appendleft((first + 1, stop, *rest))  # type: ignore[arg-type]
 
-    def waits_since(self) -> float:
-        """Return since when the longest waiting task waits."""
-        fresh = (since for _, _, _, since, _ in _head(self.fresh))
-        again = (task.since for task in _head(self.again.values()))
-        return min((*fresh, *again), default=float("inf"))
+    def get_waiting_since(self) -> float:
+        """Return the time since which the longest waiting task has waited."""
+        untried_since = (
+            since for _, _, _, since, _ in _list_first(self.untried_ranges)
+        )
+        retries_since = (task.since for task in _list_first(self.retries.values()))
+        return min((*untried_since, *retries_since), default=float("inf"))
 
 
-def _head(values: Any, count: int = 4) -> list[Any]:
-    """Return the first few of `values`; enough for an estimate of the oldest."""
+def _list_first(values: Any, count: int = 4) -> list[Any]:
+    """Return the first few of `values`, which suffice to estimate the longest wait."""
     return [value for value, _ in zip(values, range(count), strict=False)]
 
 
 class WorkerState:
-    """A worker with what occupies it and what is known of its health."""
+    """A worker with its placed tasks, its reservation and the state of its health."""
 
     def __init__(self, info: WorkerInfo, now: float):
         self.info = info
         self.listed = True
         self.suspect = False
         self.placed: dict[TaskKey, Placement] = {}
-        self.used = [0.0, 0.0, 0.0]
-        self.expected = 0.0
+        self.allocated = [0.0, 0.0, 0.0]
+        self.expected_cores = 0.0
         self.spans: dict[TaskKey, Span] = {}
-        self.past: deque[tuple[float, Span]] = deque()
-        self.last_report = now
-        self.services = 0
+        self.past_spans: deque[tuple[float, Span]] = deque()
+        self.last_report_at = now
+        self.service_count = 0
         self.failed_jobs: dict[str, float] = {}
         self.quarantined_until: float | None = None
         self.probing = False
-        self.probe: TaskKey | None = None
-        self.quarantines = 0
+        self.probe_task: TaskKey | None = None
+        self.quarantine_count = 0
         self.reserved_for: str = ""
         self.reserved_until = 0.0
-        self.reserved_tasks = 0
-        self.reserved_size = _NOTHING
-        self.pressure: dict[TaskKey, float] = {}
-        self.acted_at = float("-inf")
+        self.reserved_task_count = 0
+        self.reserved_size = _ZERO_SIZE
+        self.latency_ratios: dict[TaskKey, float] = {}
+        self.mitigated_at = float("-inf")
         self.evicted_at = float("-inf")
         self.distrust = 0.0
         self.profile: Profile | None = None
 
     def recount(self) -> None:
-        """Sum up the placed tasks' sizes anew."""
-        sizes = [placement.owner.reserved for placement in self.placed.values()]
-        self.used = [sum(size[i] for size in sizes) for i in range(3)]
-        self.expected = sum(p.owner.expected.cores for p in self.placed.values())
+        """Recompute the sums of the placed tasks' sizes."""
+        sizes = [placement.job_state.reserved for placement in self.placed.values()]
+        self.allocated = [sum(size[i] for size in sizes) for i in range(3)]
+        self.expected_cores = sum(
+            p.job_state.expected.cores for p in self.placed.values()
+        )
 
 
 class Rules(NamedTuple):
-    """The parts of the policy that a baseline replaces.
+    """Replaceable parts of the policy, for comparison with baselines.
 
     Attributes
     ----------
     cost : callable
-        ``cost(state, job_state, worker_state, now)``; the cheapest worker is chosen.
-    learns_sizes, learns_harm : bool
-        Whether observed sizes and learnt harm are used.
-    acts : bool
-        Whether harm is acted upon by limits and evictions.
+        ``cost(state, job_state, worker_state, now)``; the worker with the lowest cost
+        is chosen.
+    learns_sizes, learns_interference : bool
+        Whether observed sizes and estimated interference are used.
+    mitigates_interference : bool
+        Whether interference is mitigated by throttling and evictions.
     hysteresis : bool
-        Whether such steps are paced.
-    judges_workers : bool
-        Whether bad workers are quarantined.
-    predict_harm : callable, optional
-        ``predict_harm(victim, aggressor)`` in place of the learnt one.
+        Whether the steps of this mitigation are paced.
+    quarantines_workers : bool
+        Whether faulty workers are quarantined.
+    predict_slowdown : callable, optional
+        ``predict_slowdown(victim, aggressor)``, used in place of the estimates.
     """
 
     cost: Callable[["PlacementState", JobState, WorkerState, float], float]
     learns_sizes: bool = True
-    learns_harm: bool = True
-    acts: bool = True
+    learns_interference: bool = True
+    mitigates_interference: bool = True
     hysteresis: bool = True
-    judges_workers: bool = True
-    predict_harm: Callable[[str, str], float] | None = None
+    quarantines_workers: bool = True
+    predict_slowdown: Callable[[str, str], float] | None = None
 
 
 class PlacementState:
-    """Everything that placement knows under one owner.
+    """Complete state of placement under one owner.
 
     Parameters
     ----------
     settings : PlacementSettings
         Constants of the policy.
     weights : Weights
-        What the operator favours.
+        Objectives of the operator.
     rules : Rules
-        The replaceable parts; `policy.create_state` gives the product's own.
+        Replaceable parts of the policy; `policy.create_state` supplies the defaults.
     """
 
     def __init__(self, settings: PlacementSettings, weights: Weights, rules: Rules):
@@ -338,13 +345,13 @@
         self.rules = rules
         self.workers: dict[str, WorkerState] = {}
         self.jobs: dict[str, JobState] = {}
-        self.shares: dict[str, Size] = {}
+        self.quotas: dict[str, Size] = {}
         self.team_used: dict[str, list[float]] = {}
-        self.harm = HarmModel(settings)
-        self.capacity = _NOTHING
-        self.cursor = 0
-        self.turn = 0
-        self.room_version = 0
-        self.full: dict[Hashable, int] = {}
-        self.ring: list[WorkerState] = []
+        self.interference = InterferenceModel(settings)
+        self.capacity = _ZERO_SIZE
+        self.scan_position = 0
+        self.turn_count = 0
+        self.capacity_version = 0
+        self.unplaceable_shapes: dict[Hashable, int] = {}
+        self.active_workers: list[WorkerState] = []
         self.now = 0.0
--- a/plantainyard/routing/lender.py
+++ b/plantainyard/routing/lender.py
@@ -1,12 +1,13 @@
-"""Lending of runners' slots, at the owner of their rack.
+"""Lending of runners' slots to gateways, by the owner of the runners' rack.
 
-The owner lends each runner's slots to gateways as credits under a lease. The sum of
-what the gateways may still use never exceeds a runner's slots: not when a gateway
-dies or pauses, not when an answer is lost, and not when the rack's owner changes.
+The owner lends each runner's slots to gateways as credits under a lease. The slots that
+all gateways together can be using never exceed the runner's slots, even if a gateway
+dies or pauses, an answer is lost, or the rack's owner changes.
 
 Notes
 -----
-The bounds are kept by `loans`. One step costs time proportional to the rack's slots.
+The upper bounds on the slots in use are kept by `loans`. One step takes time
+proportional to the rack's slots.
 """
 
 from collections.abc import Callable, Iterable
@@ -16,13 +17,13 @@
 from plantainyard.routing.events import Tick
 from plantainyard.routing.loans import (
     LentRunner,
+    accepts_requests,
     add_loan,
+    apply_report,
     count_lendable,
-    count_others,
+    count_lent_to_others,
     expire_loans,
-    is_open,
-    stretch_span,
-    take_report,
+    extend_for_drift,
 )
 from plantainyard.routing.shares import share_slots, spread_share
 from plantainyard.routing.values import RoutingSettings
@@ -34,8 +35,8 @@
     "LenderEvent",
     "LenderState",
     "LenderStep",
-    "RunnerGone",
     "RunnerLeaving",
+    "RunnerTerminated",
     "RunnerUp",
     "build_fixed_lender",
     "build_leased_lender",
@@ -46,9 +47,9 @@
 
 
 class AuthorityGained(NamedTuple):
-    """The instance gains authority over the rack, until `until`.
+    """The instance has gained authority over the rack until `until`.
 
-    `epoch` is the one that the workers accepted.
+    `epoch` is the epoch that the rack's workers have accepted.
     """
 
     until: float
@@ -56,7 +57,7 @@
 
 
 class AuthorityExtended(NamedTuple):
-    """The authority that this instance holds now lasts until `until`."""
+    """The authority that this instance holds has been extended to `until`."""
 
     until: float
 
@@ -68,7 +69,7 @@
 class RunnerUp(NamedTuple):
     """A runner takes requests.
 
-    `fresh` says that it was started under the present authority, so that no former
+    `fresh` means that the runner was started under the current authority, so no former
     owner can have lent its slots.
     """
 
@@ -77,13 +78,13 @@
 
 
 class RunnerLeaving(NamedTuple):
-    """A runner finishes what it has and takes nothing new."""
+    """A runner finishes its requests in progress and takes no new ones."""
 
     runner_id: str
 
 
-class RunnerGone(NamedTuple):
-    """A runner has ended for certain."""
+class RunnerTerminated(NamedTuple):
+    """A runner has terminated for certain."""
 
     runner_id: str
 
@@ -95,29 +96,29 @@
     | AuthorityLost
     | RunnerUp
     | RunnerLeaving
-    | RunnerGone
+    | RunnerTerminated
     | Tick
 )
 
 
 class LenderState:
-    """State of a rack's lender.
+    """State of the lender of one rack.
 
     Parameters
     ----------
     rack : str
-        The rack whose runners' slots are lent.
+        Rack whose runners' slots are lent.
     """
 
     def __init__(self, rack: str) -> None:
         self.rack = rack
         self.term = ""
-        self.terms = 0
+        self.term_count = 0
         self.authority_until = float("-inf")
         self.authority_since = float("-inf")
         self.runners: dict[str, LentRunner] = {}
         self.sequences: dict[str, int] = {}
-        self.heard: dict[str, float] = {}
+        self.last_request_times: dict[str, float] = {}
         self.demands: dict[str, dict[str, int]] = {}
 
 
@@ -126,7 +127,7 @@
 
 
 def build_leased_lender(settings: RoutingSettings) -> LenderStep:
-    """Return a step that lends by demand and divides idle slots evenly."""
+    """Return a step function that lends slots by demand and idle slots evenly."""
 
     def find_target(state: LenderState, ask: CreditAsk, service: str) -> int:
         total = _count_slots(state, service)
@@ -139,9 +140,9 @@
 def build_fixed_lender(
     settings: RoutingSettings, gateways: Iterable[str]
 ) -> LenderStep:
-    """Return a step that gives each of `gateways` the same part, whatever it needs.
+    """Return a step function that lends each of `gateways` an equal share of the slots.
 
-    The simplest way, kept for comparison.
+    The demand is ignored. This simplest policy is kept for comparison.
     """
     names = sorted(gateways)
 
@@ -155,7 +156,7 @@
 
 
 def build_single_lender(settings: RoutingSettings, dispatcher: str) -> LenderStep:
-    """Return a step that gives all slots to `dispatcher`, through which all send."""
+    """Return a step function that lends all slots to one gateway, `dispatcher`."""
 
     def find_target(state: LenderState, ask: CreditAsk, service: str) -> int:
         return _count_slots(state, service) if ask.gateway == dispatcher else 0
@@ -164,12 +165,12 @@
 
 
 def count_lent(state: LenderState, runner_id: str) -> int:
-    """Return the slots of a runner that gateways can be using."""
+    """Return the number of a runner's slots that gateways can be using."""
     return sum(loan.slots for loan in state.runners[runner_id].loans.values())
 
 
 def dump_lender(state: LenderState) -> dict[str, object]:
-    """Return the state as plain values, for people."""
+    """Return the state as plain values, for operators."""
     runners = {
         key: {
             "leaving": runner.leaving,
@@ -191,7 +192,7 @@
         _expire_all(state, settings, now)
         match event:
             case CreditAsk():
-                return [_answer_ask(state, event, settings, find_target, now)]
+                return [_answer_request(state, event, settings, find_target, now)]
             case AuthorityGained(until, epoch):
                 _start_authority(state, until, epoch, settings, now)
             case AuthorityExtended(until):
@@ -202,8 +203,8 @@
                 _add_runner(state, runner, fresh, settings)
             case RunnerLeaving(runner_id) if runner_id in state.runners:
                 state.runners[runner_id].leaving = True
-            case RunnerGone(runner_id) if runner_id in state.runners:
-                state.runners[runner_id].gone = True
+            case RunnerTerminated(runner_id) if runner_id in state.runners:
+                state.runners[runner_id].terminated = True
         return []
 
     return step
@@ -216,15 +217,18 @@
     settings: RoutingSettings,
     now: float,
 ) -> None:
-    """Forget what an earlier term knew: another owner may have lent since."""
-    state.terms += 1
-    state.term = f"{epoch}.{state.terms}"
+    """Start a new term.
+
+    The state of an earlier term is dropped: another owner may have lent slots since.
+    """
+    state.term_count += 1
+    state.term = f"{epoch}.{state.term_count}"
     state.authority_since = now
     state.authority_until = until
     state.sequences.clear()
-    state.heard.clear()
+    state.last_request_times.clear()
     state.demands.clear()
-    infos = [(r.info, r.leaving) for r in state.runners.values() if not r.gone]
+    infos = [(r.info, r.leaving) for r in state.runners.values() if not r.terminated]
     state.runners.clear()
     for info, leaving in infos:
         _add_runner(state, info, False, settings)
@@ -236,34 +240,46 @@
 ) -> None:
     if info.id in state.runners:
         state.runners[info.id].info = info
-        state.runners[info.id].gone = False
+        state.runners[info.id].terminated = False
         return
-    # A former owner may have lent slots to a gateway that has not spoken yet: lending
-    # them again overfills the runner. Its last lease was asked for before this
-    # authority began, so after one lease and one longest request nothing is left of it.
-    hold = stretch_span(settings, settings.credit_s + settings.request_max_s)
-    until = float("-inf") if fresh else state.authority_since + hold
+    # A former owner may have lent slots to a gateway that has not reported yet: lending
+    # them again would overfill the runner. The former owner's last lease was requested
+    # before this authority began, so no request can be running under it after one lease
+    # and then the longest request.
+    hold_s = extend_for_drift(settings, settings.credit_s + settings.request_max_s)
+    until = float("-inf") if fresh else state.authority_since + hold_s
     state.runners[info.id] = LentRunner(info, until)
 
 
 def _expire_all(state: LenderState, settings: RoutingSettings, now: float) -> None:
     for runner in state.runners.values():
         expire_loans(runner, settings, now)
-    # A runner called gone by mistake comes back with its loans, which still count.
-    for key in [k for k, r in state.runners.items() if r.gone and not r.loans]:
+    # A runner that was reported as terminated by mistake returns with its loans, which
+    # still count, so it is kept until they have expired.
+    for key in [k for k, r in state.runners.items() if r.terminated and not r.loans]:
         del state.runners[key]
-    quiet = stretch_span(settings, settings.credit_s)
-    for gateway in [g for g, heard in state.heard.items() if now > heard + quiet]:
+    demand_expiry_s = extend_for_drift(settings, settings.credit_s)
+    for gateway in [
+        g
+        for g, asked in state.last_request_times.items()
+        if now > asked + demand_expiry_s
+    ]:
         state.demands.pop(gateway, None)
-    # A sequence is forgotten only when nothing of its gateway can be running: an ask
-    # that overtook another could otherwise free slots that are in use.
-    gone = quiet + stretch_span(settings, settings.request_max_s)
-    for gateway in [g for g, heard in state.heard.items() if now > heard + gone]:
-        del state.heard[gateway]
+    # A sequence number is dropped only when no request of its gateway can be running:
+    # otherwise a delayed older request could free slots that are in use.
+    sequence_expiry_s = demand_expiry_s + extend_for_drift(
+        settings, settings.request_max_s
+    )
+    for gateway in [
+        g
+        for g, asked in state.last_request_times.items()
+        if now > asked + sequence_expiry_s
+    ]:
+        del state.last_request_times[gateway]
         state.sequences.pop(gateway, None)
 
 
-def _answer_ask(
+def _answer_request(
     state: LenderState,
     ask: CreditAsk,
     settings: RoutingSettings,
@@ -271,30 +287,32 @@
     now: float,
 ) -> CreditAnswer:
     if now >= state.authority_until:
-        return _refuse_ask(ask, "no authority over the rack")
-    # An ask from before this authority began can lie in a socket and show more than
-    # the gateway still holds; the difference would be lent twice. Only an ask that
-    # names the term was sent after the term began.
+        return _refuse_request(ask, "no authority over the rack")
+    # A request that was sent before this authority began can be delayed in a socket and
+    # report more than the gateway still holds; the difference would be lent twice. Only
+    # a request that names the current term was sent after the term began.
     if ask.term != state.term:
-        return _refuse_ask(ask, "ask again under this term", state.term)
-    # Asks can overtake each other: an older one would show a limit that the gateway
-    # has raised since, and free slots that are in use.
+        return _refuse_request(ask, "ask again under this term", state.term)
+    # Requests can arrive out of order: an older one would report a limit that the
+    # gateway has raised since, and free slots that are in use.
     if ask.sequence <= state.sequences.get(ask.gateway, -1):
-        return _refuse_ask(ask, "a newer ask was seen", state.term)
+        return _refuse_request(ask, "a newer ask was seen", state.term)
     state.sequences[ask.gateway] = ask.sequence
-    state.heard[ask.gateway] = now
+    state.last_request_times[ask.gateway] = now
     state.demands[ask.gateway] = ask.demand
     if ask.closing:
         del state.demands[ask.gateway]
     for runner in state.runners.values():
-        take_report(runner, ask, now)
+        apply_report(runner, ask, now)
     grants = _grant_all(state, ask, settings, find_target, now)
     runners = tuple(
         runner.info
         for key, runner in state.runners.items()
-        if not runner.gone and key not in ask.holdings
+        if not runner.terminated and key not in ask.holdings
+    )
+    leaving = tuple(
+        key for key, r in state.runners.items() if r.leaving and not r.terminated
     )
-    leaving = tuple(key for key, r in state.runners.items() if r.leaving and not r.gone)
     return CreditAnswer(
         ask.gateway,
         ask.rack,
@@ -308,7 +326,7 @@
     )
 
 
-def _refuse_ask(ask: CreditAsk, reason: str, term: str = "") -> CreditAnswer:
+def _refuse_request(ask: CreditAsk, reason: str, term: str = "") -> CreditAnswer:
     sender = (ask.gateway, ask.rack, ask.sequence)
     return CreditAnswer(*sender, False, 0.0, reason=reason, term=term)
 
@@ -338,19 +356,21 @@
     runners = {
         key: runner
         for key, runner in state.runners.items()
-        if runner.info.service == service and is_open(runner)
+        if runner.info.service == service and accepts_requests(runner)
     }
     held = {key: ask.holdings[key] for key in runners if key in ask.holdings}
-    most = {
-        key: max(0, count_lendable(runner, now) - count_others(runner, ask.gateway))
+    max_slots = {
+        key: max(
+            0, count_lendable(runner, now) - count_lent_to_others(runner, ask.gateway)
+        )
         for key, runner in runners.items()
     }
-    return spread_share(target, held, most)
+    return spread_share(target, held, max_slots)
 
 
 def _count_slots(state: LenderState, service: str) -> int:
     return sum(
         runner.info.slots
         for runner in state.runners.values()
-        if runner.info.service == service and is_open(runner)
+        if runner.info.service == service and accepts_requests(runner)
     )
--- a/plantainyard/state/configuration.py
+++ b/plantainyard/state/configuration.py
@@ -1,29 +1,34 @@
-"""Folding of the ``config`` stream: values, their versions and what they replaced.
+"""Folding of the ``config`` stream into values, their versions and the history.
 
-The offset of the record that set a key is the key's version. Versions only grow:
-an offset that was folded before is ignored, so no instance ever goes back to an
-older value.
+The offset of the record that set a key is the key's version. Versions only increase:
+an offset that was folded before is ignored, so no instance ever returns to an older
+value.
 """
 
 from collections import deque
 from collections.abc import Mapping
 from typing import Any, NamedTuple
 
-from plantainyard.state.changes import Change, Reason, Verdict, VerdictKind
 from plantainyard.state.checks import Validity, check_record
+from plantainyard.state.fold_results import (
+    FoldResult,
+    RequestDecision,
+    RequestKind,
+    VoidReason,
+)
 from plantainyard.state.records import RecordType
 from plantainyard.state.requests import (
-    RequestMemory,
-    judge_request,
-    remember_request,
+    DecidedRequests,
+    check_request,
+    record_decision,
 )
 
 __all__ = [
-    "MAX_DELETED",
-    "MAX_HISTORY",
     "ConfigState",
     "ConfigValue",
     "HistoryEntry",
+    "MAX_DELETED",
+    "MAX_HISTORY",
     "apply_config",
     "get_value",
     "get_version",
@@ -31,29 +36,29 @@
     "list_values",
 ]
 
-# Constants and not settings: what is forgotten decides verdicts.
+# Not settings: which deletions are forgotten affects whether later records are void.
 MAX_DELETED = 1024
 MAX_HISTORY = 256
 
 
 class ConfigValue(NamedTuple):
-    """A value and the version that set it."""
+    """A configuration value and the version that set it."""
 
     value: Any
     version: int
 
 
 class HistoryEntry(NamedTuple):
-    """An accepted change.
+    """An accepted change of the configuration.
 
     Attributes
     ----------
     version : int
         Offset of the change.
     request_id : str
-        Id of the changing call.
+        Id of the call that requested the change.
     changes : Mapping of str to JSON value
-        What it set; None for a deleted key.
+        New value of each changed key; None for a deleted key.
     """
 
     version: int
@@ -62,7 +67,7 @@
 
 
 class ConfigState:
-    """What the ``config`` stream says up to an offset.
+    """The state folded from the ``config`` stream up to an offset.
 
     Attributes
     ----------
@@ -73,10 +78,11 @@
     values : dict of str to ConfigValue
         The values in force.
     deleted : dict of str to int
-        Versions that deleted a key, the oldest first, at most `MAX_DELETED`.
-    floor : int
+        For each deleted key, the version that deleted it; oldest first, at most
+        `MAX_DELETED`.
+    newest_forgotten_deletion : int
         Newest version of a forgotten deletion, -1 for none.
-    requests : RequestMemory
+    requests : DecidedRequests
         Decided request ids.
     history : deque of HistoryEntry
         The newest accepted changes, at most `MAX_HISTORY`.
@@ -89,14 +95,14 @@
         self.version = -1
         self.values: dict[str, ConfigValue] = {}
         self.deleted: dict[str, int] = {}
-        self.floor = -1
-        self.requests = RequestMemory()
+        self.newest_forgotten_deletion = -1
+        self.requests = DecidedRequests()
         self.history: deque[HistoryEntry] = deque(maxlen=MAX_HISTORY)
         self.skipped = 0
 
 
 def get_value(state: ConfigState, key: str, default: Any = None) -> Any:
-    """Return the value in force for `key`, `default` where it has none."""
+    """Return the value in force for `key`, or `default` if it has none."""
     entry = state.values.get(key)
     return default if entry is None else entry.value
 
@@ -106,17 +112,18 @@
 
     Notes
     -----
-    A key whose deletion is forgotten counts as deleted at the newest forgotten one:
-    a change may then be refused without need, but never wins wrongly.
+    A key whose deletion is forgotten counts as deleted at the newest forgotten
+    deletion. A change may then be refused unnecessarily, but a conflicting change is
+    never accepted.
     """
     entry = state.values.get(key)
     if entry is not None:
         return entry.version
-    return state.deleted.get(key, state.floor)
+    return state.deleted.get(key, state.newest_forgotten_deletion)
 
 
 def list_values(state: ConfigState, prefix: str = "") -> dict[str, Any]:
-    """Return the values in force whose key begins with `prefix`, sorted by key."""
+    """Return the values in force whose keys begin with `prefix`, sorted by key."""
     return {
         key: state.values[key].value
         for key in sorted(state.values)
@@ -129,23 +136,23 @@
     return list(state.history)
 
 
-def apply_config(state: ConfigState, offset: int, data: Any) -> Change:
+def apply_config(state: ConfigState, offset: int, data: Any) -> FoldResult:
     """Fold the record at `offset` of the ``config`` stream into `state`.
 
     Parameters
     ----------
     state : ConfigState
-        Changed in place.
+        Modified in place.
     offset : int
-        The record's offset; one that was folded before is ignored.
+        The record's offset; an offset that was folded before is ignored.
     data : JSON value
-        The record, well formed or not.
+        The record, which may be malformed.
 
     Returns
     -------
-    Change
-        Whether the change was accepted; if it conflicts, `winner` is the version
-        that set one of its keys since the operator looked.
+    FoldResult
+        Whether the change was accepted. If it conflicts, `winner` is the newest
+        version that set one of its keys after the operator read them.
 
     Raises
     ------
@@ -154,70 +161,78 @@
     """
     kind = data.get("type", "") if isinstance(data, dict) else ""
     if offset < state.next_offset:
-        return Change(str(kind), offset, False, Reason.STALE)
+        return FoldResult(str(kind), offset, False, VoidReason.STALE)
     if offset > state.next_offset:
         raise ValueError(f"offsets {state.next_offset} to {offset - 1} are missing")
     state.next_offset = offset + 1
     return _apply_one(state, offset, data, str(kind))
 
 
-def _apply_one(state: ConfigState, offset: int, data: Any, kind: str) -> Change:
+def _apply_one(state: ConfigState, offset: int, data: Any, kind: str) -> FoldResult:
     check = check_record(data)
     if check.kind == Validity.MALFORMED:
-        return Change(kind, offset, False, Reason.MALFORMED, detail=check.detail)
+        return FoldResult(
+            kind, offset, False, VoidReason.MALFORMED, detail=check.detail
+        )
     if kind == RecordType.CONFIG:
         return _apply_changes(state, offset, data)
     if kind == RecordType.ABANDON:
         return _apply_abandon(state, offset, data)
     if kind == RecordType.CONFIG_SNAPSHOT:
-        return Change(kind, offset, True)
+        return FoldResult(kind, offset, True)
     if kind == RecordType.GROUP:
         return _apply_group(state, offset, data)
     state.skipped += 1
-    return Change(kind, offset, False, Reason.UNKNOWN)
+    return FoldResult(kind, offset, False, VoidReason.UNKNOWN)
 
 
-def _apply_group(state: ConfigState, offset: int, data: Mapping[str, Any]) -> Change:
-    # All parts have the group's offset: the second of two changes of one key must
-    # still conflict, so a part may not build on the group's own offset.
+def _apply_group(
+    state: ConfigState, offset: int, data: Mapping[str, Any]
+) -> FoldResult:
+    # All parts have the group's offset. The second of two changes of one key must
+    # still conflict, so a part must not build on the group's own offset.
     parts = tuple(
         _apply_one(state, offset, part, part["type"])
         if isinstance(part, dict)
         and part.get("type") in (RecordType.CONFIG, RecordType.ABANDON)
-        else Change("", offset, False, Reason.MALFORMED)
+        else FoldResult("", offset, False, VoidReason.MALFORMED)
         for part in data["records"]
     )
     applied = any(part.applied for part in parts)
-    return Change(RecordType.GROUP, offset, applied, parts=parts)
-
-
-def _apply_abandon(state: ConfigState, offset: int, data: Mapping[str, Any]) -> Change:
-    judged = judge_request(state.requests, offset, data)
-    if judged is not None:
-        return judged
-    verdict = Verdict(VerdictKind.ABANDON, offset, True)
-    remember_request(state.requests, data["request_id"], verdict)
-    return Change(RecordType.ABANDON, offset, True)
-
-
-def _apply_changes(state: ConfigState, offset: int, data: Mapping[str, Any]) -> Change:
-    judged = judge_request(state.requests, offset, data)
-    if judged is not None:
-        return judged
+    return FoldResult(RecordType.GROUP, offset, applied, parts=parts)
+
+
+def _apply_abandon(
+    state: ConfigState, offset: int, data: Mapping[str, Any]
+) -> FoldResult:
+    void_result = check_request(state.requests, offset, data)
+    if void_result is not None:
+        return void_result
+    decision = RequestDecision(RequestKind.ABANDON, offset, True)
+    record_decision(state.requests, data["request_id"], decision)
+    return FoldResult(RecordType.ABANDON, offset, True)
+
+
+def _apply_changes(
+    state: ConfigState, offset: int, data: Mapping[str, Any]
+) -> FoldResult:
+    void_result = check_request(state.requests, offset, data)
+    if void_result is not None:
+        return void_result
     changes = data["changes"]
     winner = max(get_version(state, key) for key in changes)
-    # Two operators change the same key without knowing of each other: the second
-    # one in the log would silently undo the first, so it is told of the winner.
+    # If two operators change the same key concurrently, the second change in the log
+    # would silently undo the first. It is void instead and names the winning version.
     applied = winner <= data["base"] < offset
-    verdict = Verdict(VerdictKind.CONFIG, offset, applied)
-    remember_request(state.requests, data["request_id"], verdict)
+    decision = RequestDecision(RequestKind.CONFIG, offset, applied)
+    record_decision(state.requests, data["request_id"], decision)
     if not applied:
-        return Change(RecordType.CONFIG, offset, False, Reason.BASE, winner)
+        return FoldResult(RecordType.CONFIG, offset, False, VoidReason.BASE, winner)
     for key, value in changes.items():
         _set_value(state, offset, key, value)
     state.version = offset
     state.history.append(HistoryEntry(offset, data["request_id"], changes))
-    return Change(RecordType.CONFIG, offset, True)
+    return FoldResult(RecordType.CONFIG, offset, True)
 
 
 def _set_value(state: ConfigState, offset: int, key: str, value: Any) -> None:
@@ -228,4 +243,7 @@
     state.values.pop(key, None)
     state.deleted[key] = offset
     if len(state.deleted) > MAX_DELETED:
-        state.floor = max(state.floor, state.deleted.pop(next(iter(state.deleted))))
+        state.newest_forgotten_deletion = max(
+            state.newest_forgotten_deletion,
+            state.deleted.pop(next(iter(state.deleted))),
+        )
--- a/standins/platform/samples.py
+++ b/standins/platform/samples.py
@@ -10,18 +10,18 @@
 from result import Result
 
 from plantainyard.batch.tasks import TaskKey
-from plantainyard.dispatch.events import OrderKind, SendHold, SendOrder
+from plantainyard.dispatch.events import OrderKind, RequestReport, SendOrder
 from plantainyard.errors import CallError
 from plantainyard.platform.runners import (
-    Held,
     Order,
     OrderResult,
-    decode_held,
+    RunnerReport,
+    decode_report,
     decode_result,
     format_task,
 )
 from plantainyard.platform.settings import InstanceSettings
-from plantainyard.transport import HttpAnswer
+from plantainyard.transport import HttpResponse
 from standins.platform.runner import RunnerState
 
 __all__ = [
@@ -141,20 +141,22 @@
 
 
 def hold_runner(
-    runner: RunnerState, hold: SendHold, fence: int, now: float
-) -> Result[Held, CallError]:
+    runner: RunnerState, hold: RequestReport, fence: int, now: float
+) -> Result[RunnerReport, CallError]:
     """Ask a stand-in runner for its report and return it decoded."""
     body = {
         "fence": fence,
         "lastSeen": hold.last_seen,
         "untilMs": hold.lease_until_ms,
     }
-    about = Order(runner.runner, hold.entry.born_ms, "", TaskKey("", 0, 0, 0), 0, 0)
-    return decode_held(_call(runner, "hold", body, now), about)
+    about = Order(
+        runner.runner, hold.entry.started_at_ms, "", TaskKey("", 0, 0, 0), 0, 0
+    )
+    return decode_report(_call(runner, "hold", body, now), about)
 
 
 def _call(
     runner: RunnerState, name: str, body: dict[str, Any], now: float
-) -> HttpAnswer:
+) -> HttpResponse:
     status, answer = runner.call(name, body, now)
-    return HttpAnswer(status, {}, json.dumps(answer).encode())
+    return HttpResponse(status, {}, json.dumps(answer).encode())
