--- a/plantainyard/command.py
+++ b/plantainyard/command.py
@@ -3,7 +3,7 @@
 import os
 import sys
 
-from plantainyard.commands import ExitCode, create_world, run_command
+from plantainyard.commands import ExitCode, create_context, run_command
 
 __all__ = ["main"]
 
@@ -11,7 +11,7 @@
 def main() -> None:
     """Run the command line of this process and exit with its code."""
     try:
-        code = run_command(sys.argv[1:], create_world())
+        code = run_command(sys.argv[1:], create_context())
         sys.stdout.flush()
     except BrokenPipeError:
         # The reader of the output, such as `head`, has exited. Standard output is
--- a/plantainyard/commands/__init__.py
+++ b/plantainyard/commands/__init__.py
@@ -1,14 +1,14 @@
 """The command-line tool: subcommands over the operators' schema."""
 
-from plantainyard.commands.exits import EXIT_MEANINGS, ExitCode
+from plantainyard.commands.context import Context, create_context
+from plantainyard.commands.exit_codes import EXIT_MEANINGS, ExitCode
 from plantainyard.commands.run import COMMANDS, run_command
-from plantainyard.commands.world import World, create_world
 
 __all__ = [
     "COMMANDS",
     "EXIT_MEANINGS",
     "ExitCode",
-    "World",
-    "create_world",
+    "Context",
+    "create_context",
     "run_command",
 ]
--- a/plantainyard/commands/access.py
+++ b/plantainyard/commands/access.py
@@ -19,9 +19,9 @@
 ENV_TOKEN = "PLANTAINYARD_TOKEN"
 ENV_TOKEN_FILE = "PLANTAINYARD_TOKEN_FILE"
 ENV_PROFILE = "PLANTAINYARD_PROFILE"
-DEFAULT_PROFILE = ".config/plantainyard.toml"
+DEFAULT_PROFILE_PATH = ".config/plantainyard.toml"
 PROFILE_KEYS = ("addresses", "token", "token_file")
-HTTP = "http://"
+HTTP_SCHEME = "http://"
 
 
 class Access(NamedTuple):
@@ -73,13 +73,15 @@
     token = _find_token(token_file, environ, profile)
     if isinstance(token, Err):
         return token
-    bases = (a if "://" in a else HTTP + a for a in chosen)
+    bases = (a if "://" in a else HTTP_SCHEME + a for a in chosen)
     return Ok(Access(tuple(base.rstrip("/") for base in bases), token.ok_value))
 
 
 def _load_profile(path: str, environ: Mapping[str, str]) -> Result[dict[str, Any], str]:
     named = path or environ.get(ENV_PROFILE, "")
-    place = Path(named) if named else Path(environ.get("HOME", "/")) / DEFAULT_PROFILE
+    place = (
+        Path(named) if named else Path(environ.get("HOME", "/")) / DEFAULT_PROFILE_PATH
+    )
     if not named and not place.is_file():
         return Ok({})
     try:
--- a/plantainyard/commands/caller.py
+++ b/plantainyard/commands/calls.py
@@ -8,18 +8,18 @@
 from plantainyard.api import METHODS, SERVICE, ApiError, ErrorCode, decode_error
 from plantainyard.api.codec import BINARY
 from plantainyard.commands.access import Access
-from plantainyard.commands.exits import EXIT_OF_CODE, ExitCode
-from plantainyard.commands.world import World
+from plantainyard.commands.context import Context
+from plantainyard.commands.exit_codes import EXIT_CODE_BY_ERROR, ExitCode
 from plantainyard.errors import CallError, ErrorKind, describe_error
 from plantainyard.transport import HttpResponse
 
-__all__ = ["Failure", "call"]
+__all__ = ["Failure", "call_instances"]
 
 STATUS_OK = 200
-ROUNDS = 3
+MAX_ROUNDS = 3
 MAX_REFUSALS = 2
-PAUSE_S = 1.0
-GO_ON = (
+ROUND_PAUSE_S = 1.0
+RETRYABLE_EXIT_CODES = (
     ExitCode.REFUSED,
     ExitCode.INTERNAL,
     ExitCode.UNKNOWN,
@@ -45,8 +45,8 @@
     request_id: str = ""
 
 
-def call(
-    world: World, access: Access, method: str, request: Message, timeout_s: float
+def call_instances(
+    context: Context, access: Access, method: str, request: Message, timeout_s: float
 ) -> Result[Any, Failure]:
     """Send `request` until one instance settles it.
 
@@ -76,54 +76,54 @@
     """
     request_id = getattr(request, "request_id", "")
     try:
-        return _call_in_rounds(world, access, method, request, timeout_s)
+        return _call_in_rounds(context, access, method, request, timeout_s)
     except KeyboardInterrupt:
         if METHODS[method].changes:
             note = f"{method} may have been done; repeat with --request_id={request_id}"
-            print(f"\nInterrupted: {note}", file=world.err)
+            print(f"\nInterrupted: {note}", file=context.err)
         raise
 
 
 def _call_in_rounds(
-    world: World, access: Access, method: str, request: Message, timeout_s: float
+    context: Context, access: Access, method: str, request: Message, timeout_s: float
 ) -> Result[Any, Failure]:
     changes = METHODS[method].changes
     request_id = getattr(request, "request_id", "")
     lost: Failure | None = None
     failures: list[Failure] = []
-    for number in range(ROUNDS):
+    for number in range(MAX_ROUNDS):
         if number:
-            world.sleep(PAUSE_S)
+            context.sleep(ROUND_PAUSE_S)
         for address in access.addresses:
-            answer = _send(world, access, address, method, request, timeout_s)
+            answer = _send(context, access, address, method, request, timeout_s)
             if isinstance(answer, Ok):
                 return answer
             failure = answer.err_value._replace(request_id=request_id)
-            if _is_settled(failure, lost is not None):
+            if _is_final(failure, lost is not None):
                 return Err(failure)
             failures.append(failure)
-            if lost is None and _is_refused_enough(failures):
+            if lost is None and _has_enough_refusals(failures):
                 return Err(failure)
             if changes and failure.exit_code == ExitCode.UNKNOWN:
                 lost = failure
                 note = "no answer; repeating with the same request id"
-                print(f"{address}: {note}", file=world.err)
+                print(f"{address}: {note}", file=context.err)
         if lost is None:
             break
     return Err(lost or _pick_failure(failures))
 
 
-def _is_settled(failure: Failure, was_lost: bool) -> bool:
+def _is_final(failure: Failure, was_lost: bool) -> bool:
     # An answer was lost and the next instance refuses: "nothing was done" is then
     # true of the second sending only. Told as it stands, a script would send the
     # work under a new id and it would run twice. After a loss only the conflict of
     # the same request id settles the matter; anything else is still unknown.
     if was_lost:
         return failure.exit_code == ExitCode.CONFLICT
-    return failure.exit_code not in GO_ON
+    return failure.exit_code not in RETRYABLE_EXIT_CODES
 
 
-def _is_refused_enough(failures: list[Failure]) -> bool:
+def _has_enough_refusals(failures: list[Failure]) -> bool:
     """Return whether asking on is idle: what two refuse is not their own matter."""
     codes = [failure.exit_code for failure in failures]
     return codes.count(ExitCode.REFUSED) >= MAX_REFUSALS
@@ -131,11 +131,13 @@
 
 def _pick_failure(failures: list[Failure]) -> Failure:
     """Return the failure that tells the operator most."""
-    return min(failures, key=lambda failure: GO_ON.index(failure.exit_code))
+    return min(
+        failures, key=lambda failure: RETRYABLE_EXIT_CODES.index(failure.exit_code)
+    )
 
 
 def _send(
-    world: World,
+    context: Context,
     access: Access,
     address: str,
     method: str,
@@ -148,13 +150,13 @@
     }
     path = f"/{SERVICE}/{method}"
     body = request.SerializeToString()
-    answer = world.send(address, path, body, headers, timeout_s)
+    answer = context.send(address, path, body, headers, timeout_s)
     if isinstance(answer, Err):
-        return Err(_judge_call_error(method, answer.err_value))
-    return _judge_answer(method, address, answer.ok_value)
+        return Err(_convert_call_error(method, answer.err_value))
+    return _convert_response(method, address, answer.ok_value)
 
 
-def _judge_call_error(method: str, error: CallError) -> Failure:
+def _convert_call_error(method: str, error: CallError) -> Failure:
     told = ApiError(
         ErrorCode.UNKNOWN, describe_error(error), step=error.step, peer=error.peer
     )
@@ -163,7 +165,7 @@
     return Failure(ExitCode.UNKNOWN, told)
 
 
-def _judge_answer(
+def _convert_response(
     method: str, address: str, answer: HttpResponse
 ) -> Result[Any, Failure]:
     if answer.status == STATUS_OK:
@@ -172,14 +174,16 @@
             response.ParseFromString(answer.body)
             return Ok(response)
         except DecodeError:
-            return Err(_judge_strange(method, address, answer))
+            return Err(_convert_unreadable_response(method, address, answer))
     error = decode_error(answer.body)
     if error is None:
-        return Err(_judge_strange(method, address, answer))
-    return Err(Failure(EXIT_OF_CODE[error.code], error))
+        return Err(_convert_unreadable_response(method, address, answer))
+    return Err(Failure(EXIT_CODE_BY_ERROR[error.code], error))
 
 
-def _judge_strange(method: str, address: str, answer: HttpResponse) -> Failure:
+def _convert_unreadable_response(
+    method: str, address: str, answer: HttpResponse
+) -> Failure:
     """Judge an answer that is none of the schema's, say of something in between."""
     detail = f"status {answer.status} with a body that is not of the schema"
     if METHODS[method].changes:
--- a/plantainyard/commands/command.py
+++ b/plantainyard/commands/command.py
@@ -12,24 +12,24 @@
 from plantainyard.api.codec import JSON, encode_message
 from plantainyard.api.errors import encode_error
 from plantainyard.commands.access import Access
-from plantainyard.commands.caller import Failure, call
-from plantainyard.commands.exits import ExitCode
-from plantainyard.commands.world import World
+from plantainyard.commands.calls import Failure, call_instances
+from plantainyard.commands.context import Context
+from plantainyard.commands.exit_codes import ExitCode
 
 __all__ = [
     "OUTPUT_JSON",
     "Command",
     "Invocation",
     "UsageError",
-    "ask",
-    "define_nothing",
-    "define_request_id",
+    "call_method",
+    "define_no_flags",
+    "define_request_id_flag",
     "format_table",
     "pick_request_id",
     "report_failure",
     "run_call",
-    "show",
-    "show_json",
+    "print_message",
+    "print_json",
 ]
 
 OUTPUT_JSON = "json"
@@ -56,7 +56,7 @@
         What follows the flags.
     """
 
-    world: World
+    context: Context
     access: Access
     flags: flags.FlagValues
     arguments: tuple[str, ...]
@@ -88,19 +88,19 @@
     path: tuple[str, ...]
     arguments: str
     summary: str
-    about: str
+    description: str
     examples: tuple[str, ...]
-    define: Callable[[flags.FlagValues], None]
+    define_flags: Callable[[flags.FlagValues], None]
     run: Callable[[Invocation], ExitCode]
-    least: int = 0
-    most: int = 0
+    min_arguments: int = 0
+    max_arguments: int = 0
 
 
-def define_nothing(values: flags.FlagValues) -> None:
+def define_no_flags(values: flags.FlagValues) -> None:
     """Define no flags."""
 
 
-def define_request_id(values: flags.FlagValues) -> None:
+def define_request_id_flag(values: flags.FlagValues) -> None:
     """Define the flag of a call that changes something."""
     flags.DEFINE_string(
         "request_id",
@@ -112,13 +112,17 @@
 
 def pick_request_id(invocation: Invocation) -> str:
     """Return the given request id, or a new one."""
-    return invocation.flags.request_id or invocation.world.create_id()
+    return invocation.flags.request_id or invocation.context.create_id()
 
 
-def ask(invocation: Invocation, method: str, request: Message) -> Result[Any, Failure]:
+def call_method(
+    invocation: Invocation, method: str, request: Message
+) -> Result[Any, Failure]:
     """Send one call with the invocation's access."""
     timeout_s = invocation.flags.timeout_s
-    return call(invocation.world, invocation.access, method, request, timeout_s)
+    return call_instances(
+        invocation.context, invocation.access, method, request, timeout_s
+    )
 
 
 def run_call(
@@ -128,31 +132,31 @@
     render: Callable[[Any], str],
 ) -> ExitCode:
     """Send one call, show its answer as JSON or as `render` has it, and judge it."""
-    answer = ask(invocation, method, request)
+    answer = call_method(invocation, method, request)
     if isinstance(answer, Err):
         return report_failure(invocation, answer.err_value)
-    show(invocation, answer.ok_value, render)
+    print_message(invocation, answer.ok_value, render)
     return ExitCode.OK
 
 
-def show(
+def print_message(
     invocation: Invocation, message: Message, render: Callable[[Any], str]
 ) -> None:
     """Print `message` as the flag ``--output`` asks."""
     if invocation.flags.output == OUTPUT_JSON:
-        show_json(invocation, json.loads(encode_message(message, JSON)))
+        print_json(invocation, json.loads(encode_message(message, JSON)))
     else:
-        print(render(message), file=invocation.world.out)
+        print(render(message), file=invocation.context.out)
 
 
-def show_json(invocation: Invocation, data: Any) -> None:
+def print_json(invocation: Invocation, data: Any) -> None:
     """Print `data` as indented JSON."""
-    print(json.dumps(data, indent=2, sort_keys=True), file=invocation.world.out)
+    print(json.dumps(data, indent=2, sort_keys=True), file=invocation.context.out)
 
 
 def report_failure(invocation: Invocation, failure: Failure) -> ExitCode:
     """Print why a call came to nothing and what to do; return its exit code."""
-    err, error = invocation.world.err, failure.error
+    err, error = invocation.context.err, failure.error
     if invocation.flags.output == OUTPUT_JSON:
         told = json.loads(encode_error(error))
         print(json.dumps({**told, "request_id": failure.request_id}), file=err)
@@ -161,7 +165,7 @@
     if failure.exit_code == ExitCode.UNKNOWN:
         hint = f"Repeat with --request_id={failure.request_id}"
         print(f"It may have been done. {hint}", file=err)
-    elif _is_repeat(invocation) and failure.exit_code != ExitCode.CONFLICT:
+    elif _has_given_request_id(invocation) and failure.exit_code != ExitCode.CONFLICT:
         print(
             "This call did nothing. If an earlier one with this id ended unknown, it "
             "still is: repeat.",
@@ -170,7 +174,7 @@
     return failure.exit_code
 
 
-def _is_repeat(invocation: Invocation) -> bool:
+def _has_given_request_id(invocation: Invocation) -> bool:
     values = invocation.flags
     return "request_id" in values and bool(values.request_id)
 
--- a/plantainyard/commands/configurations.py
+++ b/plantainyard/commands/configurations.py
@@ -9,36 +9,36 @@
 
 from plantainyard.api import operators_pb2 as schema
 from plantainyard.api import write_value
-from plantainyard.commands.caller import Failure
+from plantainyard.commands.calls import Failure
 from plantainyard.commands.command import (
     Command,
     Invocation,
     UsageError,
-    ask,
-    define_nothing,
-    define_request_id,
+    call_method,
+    define_no_flags,
+    define_request_id_flag,
     format_table,
     pick_request_id,
     report_failure,
     run_call,
 )
-from plantainyard.commands.declare import read_text
-from plantainyard.commands.exits import ExitCode
-from plantainyard.commands.render import format_age, format_value, write_json
+from plantainyard.commands.exit_codes import ExitCode
+from plantainyard.commands.rendering import format_age, format_json, format_value
+from plantainyard.commands.work_flags import read_text
 from plantainyard.configuration import flatten_changes
 
-__all__ = ["COMMANDS", "change_configuration", "define_change"]
+__all__ = ["COMMANDS", "change_configuration", "define_change_flags"]
 
-UNREAD = -2
+READ_NEWEST = -2
 JSON_SUFFIX = ".json"
 
 
-def define_change(values: flags.FlagValues) -> None:
+def define_change_flags(values: flags.FlagValues) -> None:
     """Define the flags of a change of the configuration."""
-    define_request_id(values)
+    define_request_id_flag(values)
     flags.DEFINE_integer(
         "base_version",
-        UNREAD,
+        READ_NEWEST,
         "Version that the change builds on; by default the newest, read just before.",
         flag_values=values,
     )
@@ -48,7 +48,7 @@
 
 
 def _define_apply(values: flags.FlagValues) -> None:
-    define_change(values)
+    define_change_flags(values)
     flags.DEFINE_multi_string(
         "set", [], "KEY=VALUE, the value in JSON; may be repeated.", flag_values=values
     )
@@ -93,7 +93,7 @@
 
 def change_configuration(invocation: Invocation, changes: dict[str, Any]) -> ExitCode:
     """Apply changes on top of the base version that the flags choose."""
-    base = _find_base(invocation)
+    base = _find_base_version(invocation)
     if isinstance(base, Err):
         return report_failure(invocation, base.err_value)
     try:
@@ -109,19 +109,23 @@
     return run_call(invocation, "ApplyConfiguration", request, _format_applied)
 
 
-def _find_base(invocation: Invocation) -> Result[int, Failure]:
+def _find_base_version(invocation: Invocation) -> Result[int, Failure]:
     given = invocation.flags.base_version
-    if given != UNREAD:
+    if given != READ_NEWEST:
         return Ok(given)
     # A repeat by hand after a lost answer must build on the version of the first
     # sending: the newest may by now be that change itself.
     if invocation.flags.request_id:
         raise UsageError("--request_id: expected --base_version of the first try too")
-    answer = ask(invocation, "GetConfiguration", schema.GetConfigurationRequest())
+    answer = call_method(
+        invocation, "GetConfiguration", schema.GetConfigurationRequest()
+    )
     if isinstance(answer, Err):
         return answer
     version: int = answer.ok_value.version
-    print(f"building on version {version} (--base_version)", file=invocation.world.err)
+    print(
+        f"building on version {version} (--base_version)", file=invocation.context.err
+    )
     return Ok(version)
 
 
@@ -147,7 +151,7 @@
 
 
 def _format_configuration(answer: schema.GetConfigurationResponse) -> str:
-    rows = ((key, write_json(answer.values[key])) for key in sorted(answer.values))
+    rows = ((key, format_json(answer.values[key])) for key in sorted(answer.values))
     table = format_table(("key", "value"), rows)
     age = format_age(answer.age_s)
     return f"{table}\nversion {answer.version}, known current {age}"
@@ -174,7 +178,7 @@
             change.version,
             change.base_version if change.HasField("base_version") else "-",
             key,
-            write_json(change.changes[key]),
+            format_json(change.changes[key]),
         )
         for change in answer.changes
         for key in sorted(change.changes)
@@ -183,7 +187,7 @@
     return f"{table}\nolder ones: --before_version" if answer.more else table
 
 
-def _tell_status(invocation: Invocation) -> ExitCode:
+def _show_status(invocation: Invocation) -> ExitCode:
     request = schema.GetConfigurationStatusRequest()
     return run_call(invocation, "GetConfigurationStatus", request, _format_status)
 
@@ -257,7 +261,7 @@
         "Tell on which instances the newest version is in force.",
         "An instance that is cut off may hold an older one; the table says since when.",
         ("plantainyard config status",),
-        define_nothing,
-        _tell_status,
+        define_no_flags,
+        _show_status,
     ),
 )
--- a/plantainyard/commands/world.py
+++ b/plantainyard/commands/context.py
@@ -13,14 +13,14 @@
 from plantainyard.errors import CallError
 from plantainyard.transport import HttpResponse, build_peer, build_pool, send_request
 
-__all__ = ["Send", "World", "create_world"]
+__all__ = ["Send", "Context", "create_context"]
 
 Send = Callable[
     [str, str, bytes, Mapping[str, str], float], Result[HttpResponse, CallError]
 ]
 
 
-class World(NamedTuple):
+class Context(NamedTuple):
     """The outside of a command.
 
     Attributes
@@ -48,7 +48,7 @@
     create_id: Callable[[], str]
 
 
-def create_world() -> World:
+def create_context() -> Context:
     """Return the real one."""
     pool = build_pool()
 
@@ -62,7 +62,7 @@
         peer = build_peer(address, pool, timeout_s)
         return send_request(peer, path, "POST", path, body, headers)
 
-    return World(
+    return Context(
         os.environ,
         sys.stdout,
         sys.stderr,
--- a/plantainyard/commands/exits.py
+++ b/plantainyard/commands/exit_codes.py
@@ -4,7 +4,7 @@
 
 from plantainyard.api import ErrorCode
 
-__all__ = ["EXIT_MEANINGS", "EXIT_OF_CODE", "ExitCode", "describe_exits"]
+__all__ = ["EXIT_MEANINGS", "EXIT_CODE_BY_ERROR", "ExitCode", "describe_exit_codes"]
 
 
 class ExitCode(IntEnum):
@@ -43,7 +43,7 @@
     ExitCode.NO_READER: "standard output was closed before all was printed",
 }
 
-EXIT_OF_CODE = {
+EXIT_CODE_BY_ERROR = {
     ErrorCode.MALFORMED: ExitCode.USAGE,
     ErrorCode.TOO_LARGE: ExitCode.USAGE,
     ErrorCode.UNAUTHORIZED: ExitCode.UNAUTHORIZED,
@@ -56,7 +56,7 @@
 }
 
 
-def describe_exits() -> str:
+def describe_exit_codes() -> str:
     """Return the exit codes as lines for people."""
     return "\n".join(
         f"  {code.value:>3}  {meaning}" for code, meaning in EXIT_MEANINGS.items()
--- a/plantainyard/commands/guide.py
+++ b/plantainyard/commands/help_texts.py
@@ -6,11 +6,11 @@
 from absl import flags
 
 from plantainyard.commands.command import Command
-from plantainyard.commands.exits import describe_exits
+from plantainyard.commands.exit_codes import describe_exit_codes
 
 __all__ = ["describe_command", "describe_commands"]
 
-WIDTH = 79
+LINE_WIDTH = 79
 INTRODUCTION = """\
 plantainyard drives a deployment of the plantainyard scheduler.
 
@@ -42,7 +42,7 @@
             *lines,
             "",
             "Exit codes:",
-            describe_exits(),
+            describe_exit_codes(),
         ]
     )
 
@@ -66,7 +66,7 @@
             f"usage: {usage} [flags]",
             "",
             command.summary,
-            textwrap.fill(command.about, WIDTH),
+            textwrap.fill(command.description, LINE_WIDTH),
             "",
             "Examples:",
             *examples,
@@ -74,7 +74,7 @@
             *_describe_flags("Flags:", own),
             *_describe_flags("Flags of all subcommands:", shared),
             "Exit codes:",
-            describe_exits(),
+            describe_exit_codes(),
         ]
     )
 
--- a/plantainyard/commands/instances.py
+++ b/plantainyard/commands/instances.py
@@ -9,23 +9,23 @@
     Command,
     Invocation,
     UsageError,
-    ask,
-    define_nothing,
-    define_request_id,
+    call_method,
+    define_no_flags,
+    define_request_id_flag,
     format_table,
     pick_request_id,
+    print_json,
     report_failure,
     run_call,
-    show_json,
 )
-from plantainyard.commands.exits import ExitCode
-from plantainyard.commands.render import format_age, format_ages
+from plantainyard.commands.exit_codes import ExitCode
+from plantainyard.commands.rendering import format_age, format_ages
 
 __all__ = ["COMMANDS"]
 
 
 def _define_drain(values: flags.FlagValues) -> None:
-    define_request_id(values)
+    define_request_id_flag(values)
     flags.DEFINE_string("instance", "", "Entry instance to empty.", flag_values=values)
     flags.DEFINE_string("worker", "", "Worker to empty.", flag_values=values)
     flags.DEFINE_bool("undo", False, "Take it back into use.", flag_values=values)
@@ -51,14 +51,14 @@
 
 
 def _dump(invocation: Invocation) -> ExitCode:
-    answer = ask(invocation, "Dump", schema.DumpRequest())
+    answer = call_method(invocation, "Dump", schema.DumpRequest())
     if isinstance(answer, Err):
         return report_failure(invocation, answer.err_value)
-    show_json(invocation, json_format.MessageToDict(answer.ok_value.state))
+    print_json(invocation, json_format.MessageToDict(answer.ok_value.state))
     return ExitCode.OK
 
 
-def _tell_status(invocation: Invocation) -> ExitCode:
+def _show_status(invocation: Invocation) -> ExitCode:
     return run_call(invocation, "Status", schema.StatusRequest(), _format_status)
 
 
@@ -140,7 +140,7 @@
         "Asks the first instance that answers; name one with --address. Secrets are "
         "not part of it.",
         ("plantainyard dump --address=10.10.1.1:7401 > dump.json",),
-        define_nothing,
+        define_no_flags,
         _dump,
     ),
     Command(
@@ -149,7 +149,7 @@
         "Tell how one instance is: readiness, racks, peers, configuration.",
         "Asks the first instance that answers; name one with --address.",
         ("plantainyard status --address=10.10.1.1:7401",),
-        define_nothing,
-        _tell_status,
+        define_no_flags,
+        _show_status,
     ),
 )
--- a/plantainyard/commands/jobs.py
+++ b/plantainyard/commands/jobs.py
@@ -8,41 +8,41 @@
     Command,
     Invocation,
     UsageError,
-    ask,
-    define_nothing,
-    define_request_id,
+    call_method,
+    define_no_flags,
+    define_request_id_flag,
     format_table,
     pick_request_id,
+    print_message,
     report_failure,
     run_call,
-    show,
 )
-from plantainyard.commands.declare import (
-    define_work,
-    read_declared_file,
-    read_text,
-    read_work,
-)
-from plantainyard.commands.exits import ExitCode
-from plantainyard.commands.render import (
+from plantainyard.commands.exit_codes import ExitCode
+from plantainyard.commands.rendering import (
     STATE_PREFIX,
     format_explanation,
     format_job,
     format_jobs,
 )
 from plantainyard.commands.waiting import wait_for_job
+from plantainyard.commands.work_flags import (
+    define_work_flags,
+    read_request_file,
+    read_text,
+    read_work_flags,
+)
 
 __all__ = [
     "COMMANDS",
     "cancel_jobs",
-    "define_filters",
+    "define_filter_flags",
     "describe_job",
     "format_cancelled",
     "list_jobs",
 ]
 
-PAGE = 1_000
-MAX_NUMBER = 2**31 - 1
+MAX_PAGE_SIZE = 1_000
+MAX_TASK_NUMBER = 2**31 - 1
 UNSPECIFIED = "unspecified"
 STATES = [
     name.removeprefix(STATE_PREFIX).lower()
@@ -52,7 +52,7 @@
 
 
 def _define_create(values: flags.FlagValues) -> None:
-    define_work(values)
+    define_work_flags(values)
     flags.DEFINE_integer("tasks", 1, "Number of tasks.", flag_values=values)
     flags.DEFINE_float(
         "run_s", 0.0, "Declared run time of one task in seconds.", flag_values=values
@@ -64,10 +64,10 @@
 def _create(invocation: Invocation) -> ExitCode:
     values = invocation.flags
     if values.file:
-        request = read_declared_file(invocation, schema.CreateJobRequest)
+        request = read_request_file(invocation, schema.CreateJobRequest)
     else:
         request = schema.CreateJobRequest(
-            **read_work(invocation),
+            **read_work_flags(invocation),
             task_count=values.tasks,
             run_s=values.run_s,
             urgent=values.urgent,
@@ -82,7 +82,7 @@
     return f"{answer.job.job_id} accepted, with home domain {answer.job.domain}"
 
 
-def define_filters(values: flags.FlagValues) -> None:
+def define_filter_flags(values: flags.FlagValues) -> None:
     """Define the flags that choose what is listed."""
     flags.DEFINE_string("team", "", "Only this team's.", flag_values=values)
     flags.DEFINE_enum("state", None, STATES, "Only in this state.", flag_values=values)
@@ -106,8 +106,8 @@
     )
     whole = schema.ListJobsResponse()
     while True:
-        request.page_size = min(PAGE, values.limit - len(whole.jobs))
-        answer = ask(invocation, "ListJobs", request)
+        request.page_size = min(MAX_PAGE_SIZE, values.limit - len(whole.jobs))
+        answer = call_method(invocation, "ListJobs", request)
         if isinstance(answer, Err):
             return report_failure(invocation, answer.err_value)
         page: schema.ListJobsResponse = answer.ok_value
@@ -116,9 +116,9 @@
         whole.next_page_token = request.page_token = page.next_page_token
         if not page.next_page_token or len(whole.jobs) >= values.limit:
             break
-    show(invocation, whole, format_jobs)
+    print_message(invocation, whole, format_jobs)
     if whole.next_page_token:
-        print("There are more; raise --limit.", file=invocation.world.err)
+        print("There are more; raise --limit.", file=invocation.context.err)
     return ExitCode.OK
 
 
@@ -142,14 +142,14 @@
 
 def _explain(invocation: Invocation) -> ExitCode:
     job_id, number = invocation.arguments
-    if not number.isdecimal() or int(number) > MAX_NUMBER:
+    if not number.isdecimal() or int(number) > MAX_TASK_NUMBER:
         raise UsageError(f"expected the number of a task, got {number!r}")
     request = schema.ExplainTaskRequest(job_id=job_id, number=int(number))
     return run_call(invocation, "ExplainTask", request, format_explanation)
 
 
 def _define_cancel(values: flags.FlagValues) -> None:
-    define_request_id(values)
+    define_request_id_flag(values)
     flags.DEFINE_string(
         "ids_file", "", "File with a job id on each line.", flag_values=values
     )
@@ -215,7 +215,7 @@
             "plantainyard jobs list --team=billing --state=waiting",
             "plantainyard jobs list --output=json --limit=5000",
         ),
-        define_filters,
+        define_filter_flags,
         _list,
     ),
     Command(
@@ -237,7 +237,7 @@
         "off it now, or what it would cost there, by the parts of the cost. Costs have "
         "no unit; less is better.",
         ("plantainyard jobs explain 5b0c7a9e1f23.addis-kality 0",),
-        define_nothing,
+        define_no_flags,
         _explain,
         2,
         2,
--- a/plantainyard/commands/render.py
+++ b/plantainyard/commands/rendering.py
@@ -21,11 +21,11 @@
     "format_size",
     "format_state",
     "format_value",
-    "write_json",
+    "format_json",
 ]
 
 STALE_S = 30.0
-NEVER_S = 1e9
+UNKNOWN_AGE_S = 1e9
 STATE_PREFIX = "JOB_STATE_"
 
 
@@ -60,10 +60,10 @@
     """Return a configuration value, or a dash where it is not set."""
     if not message.HasField(field):
         return "-"
-    return write_json(getattr(message, field))
+    return format_json(getattr(message, field))
 
 
-def write_json(value: Value) -> str:
+def format_json(value: Value) -> str:
     """Return a configuration value as JSON on one line."""
     return json.dumps(read_value(value))
 
@@ -94,7 +94,7 @@
     >>> format_age(2.04), format_age(float("inf"))
     ('2.0 s ago', 'never')
     """
-    return f"{age_s:.1f} s ago" if age_s < NEVER_S else "never"
+    return f"{age_s:.1f} s ago" if age_s < UNKNOWN_AGE_S else "never"
 
 
 def format_ages(ages: Iterable[schema.DomainAge]) -> list[str]:
--- a/plantainyard/commands/run.py
+++ b/plantainyard/commands/run.py
@@ -14,13 +14,13 @@
     Invocation,
     UsageError,
 )
-from plantainyard.commands.exits import ExitCode
-from plantainyard.commands.guide import describe_command, describe_commands
-from plantainyard.commands.world import World
+from plantainyard.commands.context import Context
+from plantainyard.commands.exit_codes import ExitCode
+from plantainyard.commands.help_texts import describe_command, describe_commands
 
 __all__ = ["COMMANDS", "run_command"]
 
-HELP = frozenset({"--help", "-help", "-h", "help"})
+HELP_WORDS = frozenset({"--help", "-help", "-h", "help"})
 COMMANDS: tuple[Command, ...] = (
     *jobs.COMMANDS,
     *services.COMMANDS,
@@ -30,26 +30,26 @@
 )
 
 
-def run_command(words: Sequence[str], world: World) -> ExitCode:
+def run_command(words: Sequence[str], context: Context) -> ExitCode:
     """Run the subcommand in `words`, which exclude the program's name."""
-    if not words or words[0] in HELP:
-        print(describe_commands(COMMANDS, ()), file=world.out)
+    if not words or words[0] in HELP_WORDS:
+        print(describe_commands(COMMANDS, ()), file=context.out)
         return ExitCode.OK if words else ExitCode.USAGE
     command = _find_command(words)
     if command is None:
-        return _explain_unknown(words, world)
+        return _report_unknown_command(words, context)
     own, shared = flags.FlagValues(), flags.FlagValues()
-    command.define(own)
-    _define_shared(shared)
+    command.define_flags(own)
+    _define_shared_flags(shared)
     rest = list(words[len(command.path) :])
-    if HELP.intersection(rest):
-        print(describe_command(command, own, shared), file=world.out)
+    if HELP_WORDS.intersection(rest):
+        print(describe_command(command, own, shared), file=context.out)
         return ExitCode.OK
     try:
-        return _run(command, rest, world)
+        return _run(command, rest, context)
     except (UsageError, flags.Error) as error:
         usage = " ".join(("plantainyard", *command.path))
-        print(f"usage: {error}\nsee '{usage} --help'", file=world.err)
+        print(f"usage: {error}\nsee '{usage} --help'", file=context.err)
         return ExitCode.USAGE
     except KeyboardInterrupt:
         return ExitCode.INTERRUPTED
@@ -62,20 +62,20 @@
     )
 
 
-def _explain_unknown(words: Sequence[str], world: World) -> ExitCode:
+def _report_unknown_command(words: Sequence[str], context: Context) -> ExitCode:
     group = [c for c in COMMANDS if c.path[0] == words[0]]
-    if group and HELP.intersection(words[1:2]):
-        print(describe_commands(COMMANDS, words[:1]), file=world.out)
+    if group and HELP_WORDS.intersection(words[1:2]):
+        print(describe_commands(COMMANDS, words[:1]), file=context.out)
         return ExitCode.OK
     known = [" ".join(c.path) for c in group or COMMANDS]
     print(
         f"usage: no subcommand '{' '.join(words[:2])}'; known are: {', '.join(known)}",
-        file=world.err,
+        file=context.err,
     )
     return ExitCode.USAGE
 
 
-def _define_shared(values: flags.FlagValues) -> None:
+def _define_shared_flags(values: flags.FlagValues) -> None:
     flags.DEFINE_multi_string(
         "address",
         [],
@@ -104,18 +104,18 @@
     )
 
 
-def _run(command: Command, rest: list[str], world: World) -> ExitCode:
+def _run(command: Command, rest: list[str], context: Context) -> ExitCode:
     values = flags.FlagValues()
-    command.define(values)
-    _define_shared(values)
+    command.define_flags(values)
+    _define_shared_flags(values)
     values.set_gnu_getopt(True)
     arguments = tuple(values(["plantainyard", *rest])[1:])
-    if not command.least <= len(arguments) <= command.most:
+    if not command.min_arguments <= len(arguments) <= command.max_arguments:
         expected = command.arguments or "no arguments"
         raise UsageError(f"expected {expected}, got {' '.join(arguments) or 'none'}")
     access = find_access(
-        values.address, values.token_file, values.profile, world.environ
+        values.address, values.token_file, values.profile, context.environ
     )
     if isinstance(access, Err):
         raise UsageError(access.err_value)
-    return command.run(Invocation(world, access.ok_value, values, arguments))
+    return command.run(Invocation(context, access.ok_value, values, arguments))
--- a/plantainyard/commands/services.py
+++ b/plantainyard/commands/services.py
@@ -7,31 +7,31 @@
 from plantainyard.commands.command import (
     Command,
     Invocation,
-    ask,
-    define_nothing,
-    define_request_id,
+    call_method,
+    define_no_flags,
+    define_request_id_flag,
+    print_message,
     report_failure,
     run_call,
-    show,
 )
-from plantainyard.commands.declare import (
-    define_work,
-    parse_pairs,
-    read_declared_file,
-    read_work,
-)
-from plantainyard.commands.exits import ExitCode
+from plantainyard.commands.exit_codes import ExitCode
 from plantainyard.commands.jobs import (
     cancel_jobs,
-    define_filters,
+    define_filter_flags,
     list_jobs,
 )
-from plantainyard.commands.render import format_job
+from plantainyard.commands.rendering import format_job
+from plantainyard.commands.work_flags import (
+    define_work_flags,
+    parse_pairs,
+    read_request_file,
+    read_work_flags,
+)
 
 __all__ = ["COMMANDS"]
 
-PAGE = 1_000
-LIVE = frozenset(
+MAX_PAGE_SIZE = 1_000
+LIVE_STATES = frozenset(
     {
         schema.JOB_STATE_WAITING,
         schema.JOB_STATE_RUNNING,
@@ -41,7 +41,7 @@
 
 
 def _define_create(values: flags.FlagValues) -> None:
-    define_work(values)
+    define_work_flags(values)
     flags.DEFINE_list(
         "runners", [], "DOMAIN=NUMBER of runners, ...", flag_values=values
     )
@@ -56,10 +56,10 @@
 def _create(invocation: Invocation) -> ExitCode:
     values = invocation.flags
     if values.file:
-        request = read_declared_file(invocation, schema.CreateServiceRequest)
+        request = read_request_file(invocation, schema.CreateServiceRequest)
     else:
         request = schema.CreateServiceRequest(
-            **read_work(invocation),
+            **read_work_flags(invocation),
             runners=parse_pairs("runners", values.runners),
             slots=values.slots,
             connections=values.connections,
@@ -83,20 +83,22 @@
 def _find_parts(invocation: Invocation) -> list[schema.JobSummary] | ExitCode:
     name = invocation.arguments[0]
     request = schema.ListJobsRequest(
-        kind=schema.JOB_KIND_SERVICE, name_prefix=name, page_size=PAGE
+        kind=schema.JOB_KIND_SERVICE, name_prefix=name, page_size=MAX_PAGE_SIZE
     )
     parts: list[schema.JobSummary] = []
     while True:
-        answer = ask(invocation, "ListJobs", request)
+        answer = call_method(invocation, "ListJobs", request)
         if isinstance(answer, Err):
             return report_failure(invocation, answer.err_value)
         page: schema.ListJobsResponse = answer.ok_value
-        parts += [job for job in page.jobs if job.name == name and job.state in LIVE]
+        parts += [
+            job for job in page.jobs if job.name == name and job.state in LIVE_STATES
+        ]
         if not page.next_page_token:
             break
         request.page_token = page.next_page_token
     if not parts:
-        print(f"not found: no service {name} that runs", file=invocation.world.err)
+        print(f"not found: no service {name} that runs", file=invocation.context.err)
         return ExitCode.NOT_FOUND
     return parts
 
@@ -107,10 +109,10 @@
         return parts
     for part in parts:
         request = schema.DescribeJobRequest(job_id=part.job_id)
-        answer = ask(invocation, "DescribeJob", request)
+        answer = call_method(invocation, "DescribeJob", request)
         if isinstance(answer, Err):
             return report_failure(invocation, answer.err_value)
-        show(
+        print_message(
             invocation, answer.ok_value, lambda described: format_job(described) + "\n"
         )
     return ExitCode.OK
@@ -146,7 +148,7 @@
         "List services, a line for each failure domain's part.",
         "The reason tells why runners are missing.",
         ("plantainyard services list --domain=kumasi-adum",),
-        define_filters,
+        define_filter_flags,
         _list,
     ),
     Command(
@@ -155,7 +157,7 @@
         "Show a service: its parts, runners and where they run.",
         "With --output=json one object for each part.",
         ("plantainyard services describe gate-clearing",),
-        define_nothing,
+        define_no_flags,
         _describe,
         1,
         1,
@@ -166,7 +168,7 @@
         "Stop a service in every failure domain.",
         "Its runners get no new requests, and end once those they have are over.",
         ("plantainyard services cancel gate-clearing",),
-        define_request_id,
+        define_request_id_flag,
         _cancel,
         1,
         1,
--- a/plantainyard/commands/teams.py
+++ b/plantainyard/commands/teams.py
@@ -7,13 +7,16 @@
     Command,
     Invocation,
     UsageError,
-    define_nothing,
+    define_no_flags,
     format_table,
     run_call,
 )
-from plantainyard.commands.configurations import change_configuration, define_change
-from plantainyard.commands.exits import ExitCode
-from plantainyard.commands.render import format_ages, format_size
+from plantainyard.commands.configurations import (
+    change_configuration,
+    define_change_flags,
+)
+from plantainyard.commands.exit_codes import ExitCode
+from plantainyard.commands.rendering import format_ages, format_size
 from plantainyard.configuration import build_quota_key
 from plantainyard.work import Size
 
@@ -48,7 +51,7 @@
 
 
 def _define_set_team(values: flags.FlagValues) -> None:
-    define_change(values)
+    define_change_flags(values)
     flags.DEFINE_float("cores", None, "Cores at one time.", flag_values=values)
     flags.DEFINE_float("memory_gb", None, "Memory at one time.", flag_values=values)
     flags.DEFINE_integer(
@@ -78,7 +81,7 @@
         "teams.<name>.cores and so on. What is used is told for the failure domain of "
         "the answering instance; name one with --address.",
         ("plantainyard teams list",),
-        define_nothing,
+        define_no_flags,
         _list_teams,
     ),
     Command(
--- a/plantainyard/commands/tests/world.py
+++ b/plantainyard/commands/tests/fake_context.py
@@ -13,7 +13,7 @@
 )
 from plantainyard.api import operators_pb2 as schema
 from plantainyard.api.errors import STATUS_OF_CODE
-from plantainyard.commands import World
+from plantainyard.commands import Context
 from plantainyard.errors import CallError, ErrorKind
 from plantainyard.transport import HttpResponse
 
@@ -25,12 +25,12 @@
     "ENVIRON",
     "LOST",
     "REJECTED",
-    "STRANGE",
+    "GARBLED",
     "SUMMARY",
-    "accept_jobs",
-    "fail",
-    "make_world",
-    "read",
+    "build_accepting_handlers",
+    "build_failing_handler",
+    "make_context",
+    "read_output",
 ]
 
 ENVIRON = {
@@ -46,43 +46,45 @@
     "--memory_gb=1",
     "--run_s=1",
 ]
-ANSWERED, LOST, DOWN, STRANGE = "answered", "lost", "down", "strange"
+ANSWERED, LOST, DOWN, GARBLED = "answered", "lost", "down", "strange"
 BUSY, REJECTED = ErrorCode.REFUSED, ErrorCode.INFEASIBLE
 SUMMARY = schema.JobSummary(job_id="j0", name="n", state=schema.JOB_STATE_RUNNING)
 
 
-def fail(code, **more):
+def build_failing_handler(code, **more):
     return lambda request: Err(ApiError(code, **more))
 
 
-def make_world(handlers, fates=(), environ=ENVIRON):
+def make_context(handlers, outcomes=(), environ=ENVIRON):
     """Return a world whose sendings meet `fates` in turn, then are answered.
 
     A lost sending reaches the handler; only its answer is lost. A busy or rejecting
     instance does nothing.
     """
-    remaining, sent = list(fates), []
+    remaining, sent = list(outcomes), []
 
     def send(address, path, body, headers, timeout_s):
         sent.append((address, body))
-        fate = remaining.pop(0) if remaining else ANSWERED
-        if fate == DOWN:
+        outcome = remaining.pop(0) if remaining else ANSWERED
+        if outcome == DOWN:
             return Err(CallError(ErrorKind.UNREACHABLE, path, address))
-        if fate in (BUSY, REJECTED):
+        if outcome in (BUSY, REJECTED):
             return Ok(
-                HttpResponse(STATUS_OF_CODE[fate], {}, encode_error(ApiError(fate)))
+                HttpResponse(
+                    STATUS_OF_CODE[outcome], {}, encode_error(ApiError(outcome))
+                )
             )
         method = path.rpartition("/")[2]
         answer = serve_call(handlers, method, headers["Content-Type"], body)
-        if fate == LOST:
+        if outcome == LOST:
             return Err(CallError(ErrorKind.LOST, path, address))
-        if fate == STRANGE:
+        if outcome == GARBLED:
             return Ok(HttpResponse(502, {}, b"<html>"))
         return Ok(HttpResponse(answer.status, {}, answer.body))
 
     clock = iter(range(10_000))
     ids = (f"request-{n}" for n in range(100))
-    world = World(
+    context = Context(
         environ,
         io.StringIO(),
         io.StringIO(),
@@ -91,10 +93,10 @@
         lambda: next(clock),
         lambda: next(ids),
     )
-    return world, sent
+    return context, sent
 
 
-def accept_jobs(accepted):
+def build_accepting_handlers(accepted):
     def handle(request):
         job_id = accepted.setdefault(request.request_id, f"j{len(accepted)}")
         return Ok(schema.CreateJobResponse(job=schema.AcceptedJob(job_id=job_id)))
@@ -102,5 +104,5 @@
     return {"CreateJob": handle}
 
 
-def read(stream: Any) -> str:
+def read_output(stream: Any) -> str:
     return stream.getvalue()
--- a/plantainyard/commands/tests/test_run.py
+++ b/plantainyard/commands/tests/test_run.py
@@ -19,20 +19,20 @@
     write_value,
 )
 from plantainyard.api import operators_pb2 as schema
-from plantainyard.commands import COMMANDS, ExitCode, create_world, run_command
-from plantainyard.commands.tests.world import (
+from plantainyard.commands import COMMANDS, ExitCode, create_context, run_command
+from plantainyard.commands.tests.fake_context import (
     BUSY,
     CREATE,
     DOWN,
     ENVIRON,
+    GARBLED,
     LOST,
     REJECTED,
-    STRANGE,
     SUMMARY,
-    accept_jobs,
-    fail,
-    make_world,
-    read,
+    build_accepting_handlers,
+    build_failing_handler,
+    make_context,
+    read_output,
 )
 from plantainyard.metrics import create_meter
 from plantainyard.serving import serve_app
@@ -40,35 +40,35 @@
 from plantainyard.settings.tests.test_load import MINIMAL
 
 
-@given(st.lists(st.sampled_from([LOST, DOWN, BUSY, REJECTED, STRANGE]), max_size=8))
+@given(st.lists(st.sampled_from([LOST, DOWN, BUSY, REJECTED, GARBLED]), max_size=8))
 @settings(derandomize=True, deadline=None, max_examples=200)
-def test_job_is_accepted_once_and_told_truly(fates):
+def test_job_is_accepted_once_and_told_truly(outcomes):
     """Connections break, instances are down or busy, and a proxy answers nonsense.
 
     The operator's script sees one exit code. "Not done" while the job was accepted
     would make it send the work again, and statements would be billed twice.
     """
     accepted: dict = {}
-    world, sent = make_world(accept_jobs(accepted), fates)
-    code = run_command(CREATE, world)
-    reached = any(fate in (LOST, STRANGE) for fate in fates[: len(sent)])
+    context, sent = make_context(build_accepting_handlers(accepted), outcomes)
+    code = run_command(CREATE, context)
+    reached = any(outcome in (LOST, GARBLED) for outcome in outcomes[: len(sent)])
     assert len(accepted) <= 1
     assert len({body for _, body in sent}) == 1
     if code == ExitCode.OK:
-        assert "j0 accepted" in read(world.out)
+        assert "j0 accepted" in read_output(context.out)
     else:
         assert (code == ExitCode.UNKNOWN) == reached
         assert code in {5, 3, 6, 8}
         assert bool(accepted) <= reached
     if code == ExitCode.UNKNOWN:
-        assert "--request_id=request-0" in read(world.err)
+        assert "--request_id=request-0" in read_output(context.err)
 
 
 def test_two_refusals_are_enough():
     """The log is out, and every instance waits for it before it refuses."""
-    world, sent = make_world({}, [BUSY] * 4)
+    context, sent = make_context({}, [BUSY] * 4)
     environ = {**ENVIRON, "PLANTAINYARD_ADDRESSES": "127.0.0.1:1,127.0.0.1:2,[::1]:3"}
-    assert run_command(CREATE, world._replace(environ=environ)) == 3
+    assert run_command(CREATE, context._replace(environ=environ)) == 3
     assert len(sent) == 2
 
 
@@ -85,13 +85,15 @@
     ],
 )
 def test_each_error_has_its_exit_code(code, expected):
-    error = fail(code, field="size.cores", detail="too many", retry_after_s=4.0)
-    world, _ = make_world({"CreateJob": error})
-    assert run_command(CREATE, world) == expected
-    assert "size.cores: too many" in read(world.err)
-    world, _ = make_world({"CreateJob": error})
-    assert run_command([*CREATE, "--output=json"], world) == expected
-    assert json.loads(read(world.err).splitlines()[-1])["code"] == code
+    error = build_failing_handler(
+        code, field="size.cores", detail="too many", retry_after_s=4.0
+    )
+    context, _ = make_context({"CreateJob": error})
+    assert run_command(CREATE, context) == expected
+    assert "size.cores: too many" in read_output(context.err)
+    context, _ = make_context({"CreateJob": error})
+    assert run_command([*CREATE, "--output=json"], context) == expected
+    assert json.loads(read_output(context.err).splitlines()[-1])["code"] == code
 
 
 def test_refused_repeat_by_hand_leaves_the_first_call_open():
@@ -100,9 +102,9 @@
     Read as "not done", the refusal would make the operator send the work anew, and
     the first call may have been accepted.
     """
-    world, _ = make_world(accept_jobs({}), [BUSY, BUSY])
-    assert run_command([*CREATE, "--request_id=request-9"], world) == 3
-    assert "still is: repeat" in read(world.err)
+    context, _ = make_context(build_accepting_handlers({}), [BUSY, BUSY])
+    assert run_command([*CREATE, "--request_id=request-9"], context) == 3
+    assert "still is: repeat" in read_output(context.err)
 
 
 @pytest.mark.parametrize("second", [BUSY, REJECTED])
@@ -113,8 +115,8 @@
     it under a new id, and it runs twice.
     """
     accepted: dict = {}
-    world, _ = make_world(accept_jobs(accepted), [LOST, *[second] * 9])
-    assert run_command(CREATE, world) == ExitCode.UNKNOWN
+    context, _ = make_context(build_accepting_handlers(accepted), [LOST, *[second] * 9])
+    assert run_command(CREATE, context) == ExitCode.UNKNOWN
     assert len(accepted) == 1
 
 
@@ -145,10 +147,10 @@
     ],
 )
 def test_wrong_usage_is_told_and_sends_nothing(words):
-    world, sent = make_world({})
-    assert run_command(words.split(), world) == ExitCode.USAGE
+    context, sent = make_context({})
+    assert run_command(words.split(), context) == ExitCode.USAGE
     assert not sent
-    assert read(world.err) or not words
+    assert read_output(context.err) or not words
 
 
 def test_access_comes_from_flags_environment_or_profile(tmp_path):
@@ -163,29 +165,29 @@
         ({"PLANTAINYARD_PROFILE": str(profile)}, [], "http://127.0.0.1:7"),
     ]
     for environ, words, address in cases:
-        world, sent = make_world(handlers, environ=environ)
-        assert run_command(["dump", *words], world) == ExitCode.OK
+        context, sent = make_context(handlers, environ=environ)
+        assert run_command(["dump", *words], context) == ExitCode.OK
         assert sent[0][0] == address
     profile.write_text("address = 1\n")
     for words in ([], [f"--profile={profile}"]):
-        world, sent = make_world(handlers, environ={})
-        assert run_command(["dump", *words], world) == ExitCode.USAGE
-        assert "addresses" in read(world.err)
+        context, sent = make_context(handlers, environ={})
+        assert run_command(["dump", *words], context) == ExitCode.USAGE
+        assert "addresses" in read_output(context.err)
 
 
 def test_help_teaches_each_subcommand():
     for command in COMMANDS:
-        world, _ = make_world({}, environ={})
-        assert run_command([*command.path, "--help"], world) == ExitCode.OK
-        text = read(world.out)
+        context, _ = make_context({}, environ={})
+        assert run_command([*command.path, "--help"], context) == ExitCode.OK
+        text = read_output(context.out)
         values = flags.FlagValues()
-        command.define(values)
+        command.define_flags(values)
         assert all(example in text for example in command.examples)
         assert all(f"{name}" in text for name in values)
         assert "Exit codes:" in text
-    world, _ = make_world({}, environ={})
-    assert run_command(["--help"], world) == ExitCode.OK
-    assert all(" ".join(c.path) in read(world.out) for c in COMMANDS)
+    context, _ = make_context({}, environ={})
+    assert run_command(["--help"], context) == ExitCode.OK
+    assert all(" ".join(c.path) in read_output(context.out) for c in COMMANDS)
 
 
 def test_wait_shows_progress_until_the_end():
@@ -195,10 +197,10 @@
         job = schema.JobSummary(job_id="j0", state=next(states), reason="no room")
         return Ok(schema.DescribeJobResponse(job=job))
 
-    world, _ = make_world({"DescribeJob": describe}, [DOWN, DOWN])
-    assert run_command(["jobs", "wait", "j0"], world) == ExitCode.OK
-    assert "asking on" in read(world.err)
-    assert "no room" in read(world.err)
+    context, _ = make_context({"DescribeJob": describe}, [DOWN, DOWN])
+    assert run_command(["jobs", "wait", "j0"], context) == ExitCode.OK
+    assert "asking on" in read_output(context.err)
+    assert "no room" in read_output(context.err)
 
 
 @pytest.mark.parametrize(
@@ -212,8 +214,8 @@
 def test_wait_tells_how_it_ended(state, words, code):
     job = schema.JobSummary(job_id="j0", state=state)
     answer = Ok(schema.DescribeJobResponse(job=job))
-    world, _ = make_world({"DescribeJob": lambda request: answer})
-    assert run_command(["jobs", "wait", "j0", *words], world) == code
+    context, _ = make_context({"DescribeJob": lambda request: answer})
+    assert run_command(["jobs", "wait", "j0", *words], context) == code
 
 
 def test_interrupts_tell_what_goes_on():
@@ -227,13 +229,13 @@
         raise KeyboardInterrupt
 
     answer = Ok(schema.DescribeJobResponse(job=SUMMARY))
-    world, _ = make_world({"DescribeJob": lambda request: answer})
-    world = world._replace(sleep=interrupt)
-    assert run_command(["jobs", "wait", "j0"], world) == ExitCode.INTERRUPTED
-    assert "j0 goes on" in read(world.err)
-    world = make_world({})[0]._replace(send=interrupt)
-    assert run_command(CREATE, world) == ExitCode.INTERRUPTED
-    assert "--request_id=request-0" in read(world.err)
+    context, _ = make_context({"DescribeJob": lambda request: answer})
+    context = context._replace(sleep=interrupt)
+    assert run_command(["jobs", "wait", "j0"], context) == ExitCode.INTERRUPTED
+    assert "j0 goes on" in read_output(context.err)
+    context = make_context({})[0]._replace(send=interrupt)
+    assert run_command(CREATE, context) == ExitCode.INTERRUPTED
+    assert "--request_id=request-0" in read_output(context.err)
 
 
 def test_list_follows_pages_up_to_the_limit():
@@ -242,10 +244,10 @@
         jobs = [SUMMARY] * min(2, request.page_size)
         return Ok(schema.ListJobsResponse(jobs=jobs, next_page_token=token))
 
-    world, sent = make_world({"ListJobs": page})
+    context, sent = make_context({"ListJobs": page})
     words = ["jobs", "list", "--limit=5", "--state=running", "--output=json"]
-    assert run_command(words, world) == ExitCode.OK
-    assert len(json.loads(read(world.out))["jobs"]) == 5
+    assert run_command(words, context) == ExitCode.OK
+    assert len(json.loads(read_output(context.out))["jobs"]) == 5
     assert len(sent) == 3
 
 
@@ -265,16 +267,16 @@
         ),
         "ApplyConfiguration": apply,
     }
-    world, _ = make_world(handlers)
+    context, _ = make_context(handlers)
     words = ["config", "apply", str(changes), "--unset=weights.tail", "--dry_run"]
-    assert run_command(words, world) == ExitCode.OK
+    assert run_command(words, context) == ExitCode.OK
     assert (seen[0].base_version, seen[0].dry_run) == (7, True)
     assert seen[0].changes["weights.tail"].HasField("null_value")
     assert seen[0].changes["teams.a.cores"].number_value == 2
-    assert "teams.a.cores" in read(world.out)
+    assert "teams.a.cores" in read_output(context.out)
 
 
-EVERY_READ = {
+METHOD_BY_COMMAND = {
     "jobs list": "ListJobs",
     "jobs describe j0": "DescribeJob",
     "jobs explain j0 3": "ExplainTask",
@@ -303,16 +305,16 @@
     return message
 
 
-@pytest.mark.parametrize("words", EVERY_READ)
+@pytest.mark.parametrize("words", METHOD_BY_COMMAND)
 @pytest.mark.parametrize("output", ["table", "json"])
 def test_every_answer_can_be_shown(words, output):
-    method = EVERY_READ[words]
+    method = METHOD_BY_COMMAND[words]
     for answer in (METHODS[method].response(), fill(METHODS[method].response())):
-        world, _ = make_world({method: lambda request, a=answer: Ok(a)})
-        code = run_command([*words.split(), f"--output={output}"], world)
+        context, _ = make_context({method: lambda request, a=answer: Ok(a)})
+        code = run_command([*words.split(), f"--output={output}"], context)
         assert code == ExitCode.OK
         if output == "json" or words == "dump":
-            json.loads(read(world.out))
+            json.loads(read_output(context.out))
 
 
 def test_whole_path_over_a_socket():
@@ -320,15 +322,17 @@
     accepted: dict = {}
     loaded = parse_settings(MINIMAL, "x").unwrap()
     probes = Probes(list, list, dict)
-    app = create_app(loaded, accept_jobs(accepted), probes, create_meter(Metrics()))
+    app = create_app(
+        loaded, build_accepting_handlers(accepted), probes, create_meter(Metrics())
+    )
     # Its loop closes its own sockets: closed from here, they would be gone while the
     # loop waits for them, and its thread would end in an error.
     with serve_app(app, "127.0.0.1:0", 4, 10, 100_000, 1.0) as address:
         environ = {**ENVIRON, "PLANTAINYARD_ADDRESSES": address}
-        world = create_world()._replace(
+        context = create_context()._replace(
             environ=environ, out=io.StringIO(), err=io.StringIO()
         )
-        assert run_command([*CREATE, "--request_id=same-request"], world) == 0
+        assert run_command([*CREATE, "--request_id=same-request"], context) == 0
         body = {"request_id": "same-request", "name": "n", "team": "t", "run_s": 1}
         body |= {"task_count": 1, "size": {"cores": 1, "memory_gb": 1}}
         request = urllib.request.Request(
@@ -341,4 +345,4 @@
         )
         with urllib.request.urlopen(request) as answer:
             assert json.load(answer)["job"]["job_id"] == "j0"
-        assert "j0 accepted" in read(world.out)
+        assert "j0 accepted" in read_output(context.out)
--- a/plantainyard/commands/waiting.py
+++ b/plantainyard/commands/waiting.py
@@ -7,18 +7,25 @@
 from result import Err
 
 from plantainyard.api import operators_pb2 as schema
-from plantainyard.commands.caller import Failure
-from plantainyard.commands.command import Invocation, ask, report_failure, show
-from plantainyard.commands.exits import ExitCode
-from plantainyard.commands.render import format_counts, format_job, format_state
+from plantainyard.commands.calls import Failure
+from plantainyard.commands.command import (
+    Invocation,
+    call_method,
+    print_message,
+    report_failure,
+)
+from plantainyard.commands.exit_codes import ExitCode
+from plantainyard.commands.rendering import format_counts, format_job, format_state
 
 __all__ = ["wait_for_job"]
 
 FIRST_PAUSE_S = 0.25
-LONGEST_PAUSE_S = 5.0
+MAX_PAUSE_S = 5.0
 PAUSE_GROWTH = 1.5
-TRANSIENT = frozenset({ExitCode.REFUSED, ExitCode.UNREACHABLE, ExitCode.INTERNAL})
-ENDS = {
+TRANSIENT_EXIT_CODES = frozenset(
+    {ExitCode.REFUSED, ExitCode.UNREACHABLE, ExitCode.INTERNAL}
+)
+EXIT_CODE_BY_FINAL_STATE = {
     schema.JOB_STATE_DONE: ExitCode.OK,
     schema.JOB_STATE_CANCELLED: ExitCode.ENDED_OTHERWISE,
     schema.JOB_STATE_INFEASIBLE: ExitCode.ENDED_OTHERWISE,
@@ -33,33 +40,33 @@
     An instance that can't be reached is no reason to stop waiting: the job goes on.
     """
     (job_id,) = invocation.arguments
-    world, values = invocation.world, invocation.flags
-    note = _create_note(invocation)
-    deadline = world.clock() + values.wait_s if values.wait_s else None
+    context, values = invocation.context, invocation.flags
+    note = _create_progress_printer(invocation)
+    deadline = context.clock() + values.wait_s if values.wait_s else None
     request = schema.DescribeJobRequest(job_id=job_id, tasks_limit=1)
     try:
         for pause_s in _iter_pauses():
-            answer = ask(invocation, "DescribeJob", request)
+            answer = call_method(invocation, "DescribeJob", request)
             if isinstance(answer, Err):
-                if answer.err_value.exit_code not in TRANSIENT:
+                if answer.err_value.exit_code not in TRANSIENT_EXIT_CODES:
                     return report_failure(invocation, answer.err_value)
-                note(_describe_silence(answer.err_value))
+                note(_describe_missing_response(answer.err_value))
             else:
                 described: schema.DescribeJobResponse = answer.ok_value
                 note(_describe_progress(described.job))
-                if described.job.state in ENDS:
-                    show(invocation, described, format_job)
-                    return ENDS[described.job.state]
-            if deadline is not None and world.clock() >= deadline:
+                if described.job.state in EXIT_CODE_BY_FINAL_STATE:
+                    print_message(invocation, described, format_job)
+                    return EXIT_CODE_BY_FINAL_STATE[described.job.state]
+            if deadline is not None and context.clock() >= deadline:
                 note(f"{job_id} is still running; the wait ended, the job goes on")
                 return ExitCode.STILL_RUNNING
-            world.sleep(pause_s)
+            context.sleep(pause_s)
     except KeyboardInterrupt:
         print(
             f"\nInterrupted: only the wait has ended; {job_id} goes on.\n"
             f"  see it:  plantainyard jobs describe {job_id}\n"
             f"  stop it: plantainyard jobs cancel {job_id}",
-            file=world.err,
+            file=context.err,
         )
         return ExitCode.INTERRUPTED
     return ExitCode.INTERNAL
@@ -69,17 +76,17 @@
     growing = itertools.accumulate(
         itertools.repeat(PAUSE_GROWTH), initial=FIRST_PAUSE_S, func=lambda a, b: a * b
     )
-    return (min(pause_s, LONGEST_PAUSE_S) for pause_s in growing)
+    return (min(pause_s, MAX_PAUSE_S) for pause_s in growing)
 
 
-def _create_note(invocation: Invocation) -> Callable[[str], None]:
+def _create_progress_printer(invocation: Invocation) -> Callable[[str], None]:
     """Return a function that prints a line of progress when it has changed."""
     printed: list[str] = []
 
     def note(text: str) -> None:
         if printed[-1:] != [text]:
             printed[:] = [text]
-            print(text, file=invocation.world.err, flush=True)
+            print(text, file=invocation.context.err, flush=True)
 
     return note
 
@@ -89,5 +96,5 @@
     return f"{format_state(job.state)}: {format_counts(job.counts)}{because}"
 
 
-def _describe_silence(failure: Failure) -> str:
+def _describe_missing_response(failure: Failure) -> str:
     return f"no answer ({failure.error.detail}); asking on"
--- a/plantainyard/commands/declare.py
+++ b/plantainyard/commands/work_flags.py
@@ -11,16 +11,22 @@
 from plantainyard.commands.command import (
     Invocation,
     UsageError,
-    define_request_id,
+    define_request_id_flag,
     pick_request_id,
 )
 
-__all__ = ["define_work", "parse_pairs", "read_declared_file", "read_text", "read_work"]
+__all__ = [
+    "define_work_flags",
+    "parse_pairs",
+    "read_request_file",
+    "read_text",
+    "read_work_flags",
+]
 
 
-def define_work(values: flags.FlagValues) -> None:
+def define_work_flags(values: flags.FlagValues) -> None:
     """Define the flags that batch jobs and services share."""
-    define_request_id(values)
+    define_request_id_flag(values)
     text, number = flags.DEFINE_string, flags.DEFINE_float
     text("file", "", "JSON file with the whole request.", flag_values=values)
     text("name", "", "Name of the work.", flag_values=values)
@@ -53,7 +59,7 @@
     )
 
 
-def read_work(invocation: Invocation) -> dict[str, Any]:
+def read_work_flags(invocation: Invocation) -> dict[str, Any]:
     """Return the fields that batch jobs and services share, from the flags."""
     values = invocation.flags
     payload = read_text(values.payload_file) if values.payload_file else values.payload
@@ -77,7 +83,7 @@
     }
 
 
-def read_declared_file(invocation: Invocation, message_class: type[Message]) -> Any:
+def read_request_file(invocation: Invocation, message_class: type[Message]) -> Any:
     """Return the request in the file of ``--file``, with its request id filled in."""
     values = invocation.flags
     body = read_text(values.file).encode()
--- a/plantainyard/operators/__init__.py
+++ b/plantainyard/operators/__init__.py
@@ -14,10 +14,10 @@
     get_configuration_status,
 )
 from .creation import cancel_jobs, create_job, create_service
-from .explaining import explain_task
+from .explanation import explain_task
 from .listing import describe_job, list_jobs, list_teams
 from .node import Node, ask_actor, make_url
-from .standing import describe_state, dump, find_faults, find_waits, tell_status
+from .status import describe_state, dump, find_faults, get_status, list_unready_reasons
 
 __all__ = [
     "Node",
@@ -25,9 +25,9 @@
     "build_handlers",
     "describe_state",
     "find_faults",
-    "find_waits",
+    "list_unready_reasons",
     "make_url",
-    "tell_status",
+    "get_status",
 ]
 
 _HANDLERS: dict[str, Callable[[Node, Any], Any]] = {
@@ -44,7 +44,7 @@
     "GetConfigurationStatus": get_configuration_status,
     "ListJobs": list_jobs,
     "ListTeams": list_teams,
-    "Status": tell_status,
+    "Status": get_status,
 }
 
 
--- a/plantainyard/operators/configurations.py
+++ b/plantainyard/operators/configurations.py
@@ -17,7 +17,7 @@
 
 from .node import (
     Node,
-    explain_report,
+    build_append_error,
     list_peers,
     read_config,
     submit_and_wait,
@@ -31,7 +31,7 @@
     "get_configuration_status",
 ]
 
-_DEFAULT_HISTORY = 50
+_DEFAULT_HISTORY_LIMIT = 50
 
 
 def apply_configuration(
@@ -42,14 +42,16 @@
     changes = read_changes(request)
     shown = [
         schema.ConfigurationChange(
-            key=key, before=_write_optional(view.values.get(key)), after=write_value(v)
+            key=key,
+            before=_write_optional_value(view.values.get(key)),
+            after=write_value(v),
         )
         for key, v in sorted(changes.items())
     ]
     if request.dry_run:
         newer = [view.versions.get(key, -1) for key in changes]
         if max(newer, default=-1) > request.base_version:
-            return Err(_conflict(max(newer)))
+            return Err(_build_conflict_error(max(newer)))
         return Ok(
             schema.ApplyConfigurationResponse(
                 version=request.base_version, changes=shown
@@ -74,17 +76,17 @@
 ) -> Result[int, ApiError]:
     record = log_state.make_config(request_id, base, changes)
     report = submit_and_wait(node.config, record)
-    error = explain_report(report)
+    error = build_append_error(report)
     return Ok(report.offset) if error is None else Err(error)
 
 
-def _conflict(version: int) -> ApiError:
+def _build_conflict_error(version: int) -> ApiError:
     return ApiError(
         ErrorCode.CONFLICT, "a key was changed since", "base_version", 0.0, version
     )
 
 
-def _write_optional(value: Any) -> Value | None:
+def _write_optional_value(value: Any) -> Value | None:
     return None if value is None else write_value(value)
 
 
@@ -116,7 +118,7 @@
         for entry in reversed(view.history)
         if not has_bound or entry.version < request.before_version
     ]
-    limit = request.limit or _DEFAULT_HISTORY
+    limit = request.limit or _DEFAULT_HISTORY_LIMIT
     changes = [_write_entry(entry) for entry in islice(older, limit)]
     return Ok(
         schema.GetConfigurationHistoryResponse(changes=changes, more=len(older) > limit)
@@ -135,7 +137,7 @@
 ) -> Result[schema.GetConfigurationStatusResponse, ApiError]:
     """Tell where each instance stands, by its newest report."""
     view = read_config(node)
-    instances = [_write_own(node, view), *_write_peers(node)]
+    instances = [_write_own_status(node, view), *_write_peers(node)]
     newest = max(instance.version for instance in instances)
     return Ok(
         schema.GetConfigurationStatusResponse(
@@ -144,7 +146,7 @@
     )
 
 
-def _write_own(node: Node, view: ConfigView) -> schema.InstanceConfiguration:
+def _write_own_status(node: Node, view: ConfigView) -> schema.InstanceConfiguration:
     instance = node.settings.instance
     return schema.InstanceConfiguration(
         instance=instance.id,
--- a/plantainyard/operators/creation.py
+++ b/plantainyard/operators/creation.py
@@ -21,20 +21,20 @@
 from plantainyard.placement import check_possible
 from plantainyard.work import Job, Size, WorkerInfo
 
-from .homes import (
-    allot,
-    find_job_domain,
-    list_allowed,
-    make_job_id,
-    name_request,
-    pick_home,
+from .home_domains import (
+    allot_tasks,
+    choose_home_domain,
+    list_eligible_domains,
+    make_job_id_stem,
+    parse_home_domain,
+    qualify_request_id,
 )
 from .node import (
     Node,
-    call_operator,
-    explain_report,
-    explain_silence,
+    build_append_error,
+    build_unreachable_error,
     find_peer,
+    forward_call,
     list_instances,
     query,
     read_config,
@@ -43,8 +43,8 @@
 
 __all__ = ["cancel_jobs", "create_job", "create_service", "list_workers"]
 
-_DRY_OFFSET = -1
-_RETRY_S = 2.0
+_DRY_RUN_OFFSET = -1
+_RETRY_AFTER_S = 2.0
 
 
 def list_workers(node: Node) -> list[WorkerInfo]:
@@ -60,22 +60,22 @@
     node: Node, request: schema.CreateJobRequest
 ) -> Result[schema.CreateJobResponse, ApiError]:
     """Accept a batch job in its home domain."""
-    job = read_job(request, make_job_id(request.request_id))
+    job = read_job(request, make_job_id_stem(request.request_id))
     workers = list_workers(node)
     listed = [i.worker for i in list_instances(node) if i.worker is not None]
     if not listed:
-        return Err(_refuse_unread())
-    home = pick_home(request.request_id, list_allowed(job, listed))
+        return Err(_build_unread_list_error())
+    home = choose_home_domain(request.request_id, list_eligible_domains(job, listed))
     if home is None:
         failing = check_possible(job, listed) or "constraints"
-        return Err(_refuse_infeasible("size", f"no worker meets: {failing}"))
-    named = name_request(request.request_id, home)
+        return Err(_build_infeasible_error("size", f"no worker meets: {failing}"))
+    named = qualify_request_id(request.request_id, home)
     if home != node.settings.instance.domain:
         forwarded = schema.CreateJobRequest()
         forwarded.CopyFrom(request)
         forwarded.request_id = named
         return _forward(node, home, "CreateJob", forwarded, schema.CreateJobResponse())
-    job = job._replace(id=f"{make_job_id(named)}.{home}")
+    job = job._replace(id=f"{make_job_id_stem(named)}.{home}")
     accepted = _accept(node, named, job, workers, request.dry_run)
     return accepted.map(lambda part: schema.CreateJobResponse(job=part))
 
@@ -92,18 +92,20 @@
     """
     workers = list_workers(node)
     if not workers:
-        return Err(_refuse_unread())
-    stem = make_job_id(request.request_id)
+        return Err(_build_unread_list_error())
+    stem = make_job_id_stem(request.request_id)
     parts = list(iter_service_parts(request, stem))
     unknown = {d for d in request.runners if not any(w.domain == d for w in workers)}
     if unknown:
         field = f"runners.{min(unknown)}"
-        return Err(_refuse_infeasible(field, "no such failure domain"))
+        return Err(_build_infeasible_error(field, "no such failure domain"))
     accepted: list[schema.AcceptedJob] = []
     for part in parts:
         result = _accept_part(node, request, part, workers)
         if isinstance(result, Err):
-            return Err(_tell_partial(result.err_value, [a.domain for a in accepted]))
+            return Err(
+                _mark_partial_success(result.err_value, [a.domain for a in accepted])
+            )
         accepted.append(result.ok_value)
     return Ok(schema.CreateServiceResponse(jobs=accepted))
 
@@ -116,7 +118,7 @@
 ) -> Result[schema.AcceptedJob, ApiError]:
     (domain,) = part.constraints.domains
     if domain == node.settings.instance.domain:
-        named = name_request(request.request_id, domain)
+        named = qualify_request_id(request.request_id, domain)
         return _accept(node, named, part, workers, request.dry_run)
     forwarded = schema.CreateServiceRequest()
     forwarded.CopyFrom(request)
@@ -133,8 +135,8 @@
 ) -> Result[Any, ApiError]:
     peer = find_peer(node, domain)
     if peer is None:
-        return Err(explain_silence(node, domain))
-    return call_operator(node, peer, method, request, response)
+        return Err(build_unreachable_error(node, domain))
+    return forward_call(node, peer, method, request, response)
 
 
 def _accept(
@@ -142,14 +144,14 @@
 ) -> Result[schema.AcceptedJob, ApiError]:
     domain = node.settings.instance.domain
     members = [w for w in workers if w.domain == domain]
-    allotment, failing = allot(job, members, _find_share(node, job.team, workers))
+    allotment, failing = allot_tasks(job, members, _find_share(node, job.team, workers))
     if failing:
-        return Err(_refuse_infeasible("size", f"no worker meets: {failing}"))
+        return Err(_build_infeasible_error("size", f"no worker meets: {failing}"))
     if dry_run:
-        return Ok(schema.AcceptedJob(domain=domain, offset=_DRY_OFFSET))
+        return Ok(schema.AcceptedJob(domain=domain, offset=_DRY_RUN_OFFSET))
     record = log_state.make_accept(request_id, job, allotment)
     report = submit_and_wait(node.domain, record)
-    error = explain_report(report)
+    error = build_append_error(report)
     if error is not None:
         return Err(error)
     add_count(node.meter, "jobs.accepted")
@@ -161,12 +163,12 @@
     return read_shares(read_config(node).values, racks).get(team)
 
 
-def _refuse_unread() -> ApiError:
+def _build_unread_list_error() -> ApiError:
     detail = "the platform's list is not read yet"
-    return ApiError(ErrorCode.REFUSED, detail, retry_after_s=_RETRY_S)
+    return ApiError(ErrorCode.REFUSED, detail, retry_after_s=_RETRY_AFTER_S)
 
 
-def _tell_partial(error: ApiError, done: list[str]) -> ApiError:
+def _mark_partial_success(error: ApiError, done: list[str]) -> ApiError:
     """Return the error of a call that took effect in some domains already.
 
     Notes
@@ -178,10 +180,12 @@
     if not done:
         return error
     detail = f"done in {', '.join(done)}; then {error.code}: {error.detail}"
-    return error._replace(code=ErrorCode.UNKNOWN, detail=detail, retry_after_s=_RETRY_S)
+    return error._replace(
+        code=ErrorCode.UNKNOWN, detail=detail, retry_after_s=_RETRY_AFTER_S
+    )
 
 
-def _refuse_infeasible(field: str, detail: str) -> ApiError:
+def _build_infeasible_error(field: str, detail: str) -> ApiError:
     return ApiError(ErrorCode.INFEASIBLE, detail, field)
 
 
@@ -189,13 +193,13 @@
     node: Node, request: schema.CancelJobsRequest
 ) -> Result[schema.CancelJobsResponse, ApiError]:
     """Cancel jobs, with one record in each of their home domains."""
-    groups = groupby(sorted(request.job_ids, key=find_job_domain), find_job_domain)
+    groups = groupby(sorted(request.job_ids, key=parse_home_domain), parse_home_domain)
     cancelled: list[schema.CancelledJob] = []
     for domain, jobs in groups:
         result = _cancel_in(node, request.request_id, domain, list(jobs))
         if isinstance(result, Err):
             done = sorted({job.domain for job in cancelled})
-            return Err(_tell_partial(result.err_value, done))
+            return Err(_mark_partial_success(result.err_value, done))
         cancelled.extend(result.ok_value)
     return Ok(schema.CancelJobsResponse(jobs=cancelled))
 
@@ -209,19 +213,19 @@
             node, domain, "CancelJobs", forwarded, schema.CancelJobsResponse()
         )
         return result.map(lambda response: list(response.jobs))
-    over = query(node.domain, partial(_find_over, jobs))
+    over = query(node.domain, partial(_find_ended, jobs))
     missing = [job for job in jobs if over[job] is None]
     if missing:
         return Err(ApiError(ErrorCode.NOT_FOUND, missing[0], "job_ids"))
-    record = log_state.make_cancel(name_request(request_id, domain), jobs)
+    record = log_state.make_cancel(qualify_request_id(request_id, domain), jobs)
     report = submit_and_wait(node.domain, record)
-    error = explain_report(report)
+    error = build_append_error(report)
     if error is not None:
         return Err(error)
     return Ok(list(_iter_cancelled(jobs, domain, report.offset, over.__getitem__)))
 
 
-def _find_over(jobs: list[str], actor: Any, _: float) -> dict[str, bool | None]:
+def _find_ended(jobs: list[str], actor: Any, _: float) -> dict[str, bool | None]:
     state = actor.node.domain
     found = {job: log_state.get_job(state, job) for job in jobs}
     return {
--- a/plantainyard/operators/explaining.py
+++ b/plantainyard/operators/explanation.py
@@ -12,13 +12,13 @@
 from plantainyard.state.ranges import has_number
 from plantainyard.work import TaskKey
 
-from .homes import find_job_domain
-from .node import Node, call_operator, find_peer, list_peers, query
+from .home_domains import parse_home_domain
+from .node import Node, find_peer, forward_call, list_peers, query
 
 __all__ = ["explain_task", "find_task_rack"]
 
 _ENDED = "ended"
-_RETRY_S = 2.0
+_RETRY_AFTER_S = 2.0
 
 
 def explain_task(
@@ -32,13 +32,15 @@
     read further in the log: they would pass the call to and fro until neither had a
     thread left for heartbeats. A relayed call is answered from what is known here.
     """
-    domain = find_job_domain(request.job_id)
+    domain = parse_home_domain(request.job_id)
     if domain != node.settings.instance.domain:
         peer = find_peer(node, domain)
         if peer is None:
             detail = f"{domain or 'the home domain'} is not heard from"
-            return Err(ApiError(ErrorCode.REFUSED, detail, retry_after_s=_RETRY_S))
-        return _pass_on(node, peer, request)
+            return Err(
+                ApiError(ErrorCode.REFUSED, detail, retry_after_s=_RETRY_AFTER_S)
+            )
+        return _forward(node, peer, request)
     task = TaskKey(request.job_id, request.number)
     response: schema.ExplainTaskResponse | None = query(
         node.domain, partial(_explain, task)
@@ -52,14 +54,14 @@
     relayed = schema.ExplainTaskRequest()
     relayed.CopyFrom(request)
     relayed.relayed = True
-    return _pass_on(node, peer, relayed)
+    return _forward(node, peer, relayed)
 
 
-def _pass_on(
+def _forward(
     node: Node, peer: Any, request: schema.ExplainTaskRequest
 ) -> Result[schema.ExplainTaskResponse, ApiError]:
     empty = schema.ExplainTaskResponse()
-    return call_operator(node, peer, "ExplainTask", request, empty)
+    return forward_call(node, peer, "ExplainTask", request, empty)
 
 
 def find_task_rack(
--- a/plantainyard/operators/homes.py
+++ b/plantainyard/operators/home_domains.py
@@ -10,18 +10,18 @@
 from plantainyard.work import Job, Size, WorkerInfo
 
 __all__ = [
-    "allot",
-    "find_job_domain",
-    "list_allowed",
-    "make_job_id",
-    "name_request",
-    "pick_home",
+    "allot_tasks",
+    "parse_home_domain",
+    "list_eligible_domains",
+    "make_job_id_stem",
+    "qualify_request_id",
+    "choose_home_domain",
 ]
 
-_ID_DIGITS = 12
+_STEM_DIGITS = 12
 
 
-def list_allowed(job: Job, workers: Iterable[WorkerInfo]) -> list[str]:
+def list_eligible_domains(job: Job, workers: Iterable[WorkerInfo]) -> list[str]:
     """Return the failure domains that have a worker for the job, sorted.
 
     Parameters
@@ -35,7 +35,7 @@
     return sorted({w.domain for w in workers if check_worker(job, w) is None})
 
 
-def pick_home(request_id: str, allowed: Iterable[str]) -> str | None:
+def choose_home_domain(request_id: str, allowed: Iterable[str]) -> str | None:
     """Return the domain that decides on a request, None where none is allowed.
 
     Notes
@@ -49,18 +49,18 @@
     return find_home_domain(request_id, names) if names else None
 
 
-def name_request(request_id: str, home: str) -> str:
+def qualify_request_id(request_id: str, home: str) -> str:
     """Return the request id with its home as prefix, as the log keeps it."""
     prefix = f"{home}."
     return request_id if request_id.startswith(prefix) else prefix + request_id
 
 
-def make_job_id(request_id: str) -> str:
+def make_job_id_stem(request_id: str) -> str:
     """Return the stem of a job's id; the domain's name is added after a dot."""
-    return xxhash.xxh3_64_hexdigest(request_id.encode())[:_ID_DIGITS]
+    return xxhash.xxh3_64_hexdigest(request_id.encode())[:_STEM_DIGITS]
 
 
-def find_job_domain(job_id: str) -> str:
+def parse_home_domain(job_id: str) -> str:
     """Return the home domain that a job's id names.
 
     Examples
@@ -71,7 +71,7 @@
     return job_id.partition(".")[2]
 
 
-def allot(
+def allot_tasks(
     job: Job, workers: Iterable[WorkerInfo], share: Size | None = None
 ) -> tuple[dict[str, int], str]:
     """Divide a job's tasks over the racks of its home domain.
--- a/plantainyard/operators/listing.py
+++ b/plantainyard/operators/listing.py
@@ -15,12 +15,12 @@
 from plantainyard.placement import explain
 from plantainyard.work import Size
 
-from .homes import find_job_domain
+from .home_domains import parse_home_domain
 from .node import (
     Node,
-    call_operator,
-    explain_silence,
+    build_unreachable_error,
     find_peer,
+    forward_call,
     list_instances,
     list_peers,
     query,
@@ -29,11 +29,11 @@
 
 __all__ = ["describe_job", "list_jobs", "list_teams"]
 
-_PAGE = 100
-_PLACES = 100
-_MAX_PAGE = 1000
+_DEFAULT_PAGE_SIZE = 100
+_DEFAULT_PLACES = 100
+_MAX_PAGE_SIZE = 1000
 # Age that is told of a domain that could not be asked at all.
-_UNREAD_S = 1e9
+_UNKNOWN_AGE_S = 1e9
 
 
 def list_jobs(
@@ -42,7 +42,7 @@
     """List jobs of all domains that are heard from, by id."""
     own = node.settings.instance.domain
     wanted = {request.domain} if request.domain else _list_domains(node)
-    size = request.page_size or _PAGE
+    size = request.page_size or _DEFAULT_PAGE_SIZE
     jobs, ages = [], []
     if own in wanted:
         jobs += query(node.domain, _summarize_all)
@@ -50,7 +50,7 @@
     for domain in sorted(wanted - {own}):
         remote = _list_remote(node, domain, request)
         if remote is None:
-            ages.append(schema.DomainAge(domain=domain, age_s=_UNREAD_S))
+            ages.append(schema.DomainAge(domain=domain, age_s=_UNKNOWN_AGE_S))
         else:
             jobs += remote.jobs
             ages += remote.ages
@@ -77,8 +77,8 @@
     asked = schema.ListJobsRequest()
     asked.CopyFrom(request)
     asked.domain = domain
-    asked.page_size = _MAX_PAGE
-    answer = call_operator(node, peer, "ListJobs", asked, schema.ListJobsResponse())
+    asked.page_size = _MAX_PAGE_SIZE
+    answer = forward_call(node, peer, "ListJobs", asked, schema.ListJobsResponse())
     return None if isinstance(answer, Err) else answer.ok_value
 
 
@@ -120,7 +120,7 @@
             job_id=entry.id,
             name=entry.name,
             team=entry.team,
-            kind=_name_kind(entry.latency_critical),
+            kind=_get_kind(entry.latency_critical),
             state=ended,
             domain=domain,
             counts=shown,
@@ -131,8 +131,8 @@
         job_id=job.id,
         name=job.name,
         team=job.team,
-        kind=_name_kind(job.latency_critical),
-        state=_judge_state(entry),
+        kind=_get_kind(job.latency_critical),
+        state=_determine_state(entry),
         domain=domain,
         counts=shown,
         reason=_find_reason(actor, job.id),
@@ -140,11 +140,11 @@
     )
 
 
-def _name_kind(latency_critical: bool) -> schema.JobKind:
+def _get_kind(latency_critical: bool) -> schema.JobKind:
     return schema.JOB_KIND_SERVICE if latency_critical else schema.JOB_KIND_BATCH
 
 
-def _judge_state(entry: log_state.JobState) -> schema.JobState:
+def _determine_state(entry: log_state.JobState) -> schema.JobState:
     if entry.cancelled:
         return schema.JOB_STATE_CANCELLED
     return (
@@ -161,13 +161,13 @@
     node: Node, request: schema.DescribeJobRequest
 ) -> Result[schema.DescribeJobResponse, ApiError]:
     """Tell all about one job; the owner of one of its racks is asked."""
-    domain = find_job_domain(request.job_id)
+    domain = parse_home_domain(request.job_id)
     if domain != node.settings.instance.domain:
         peer = find_peer(node, domain)
         if peer is None:
-            return Err(explain_silence(node, domain))
-        return _pass_on(node, peer, request)
-    limit = request.tasks_limit or _PLACES
+            return Err(build_unreachable_error(node, domain))
+        return _forward(node, peer, request)
+    limit = request.tasks_limit or _DEFAULT_PLACES
     response = query(node.domain, partial(_describe, request.job_id, limit))
     if response is None:
         return Err(ApiError(ErrorCode.NOT_FOUND, "no such job", "job_id"))
@@ -184,14 +184,14 @@
     relayed = schema.DescribeJobRequest()
     relayed.CopyFrom(request)
     relayed.relayed = True
-    return _pass_on(node, owner, relayed)
+    return _forward(node, owner, relayed)
 
 
-def _pass_on(
+def _forward(
     node: Node, peer: Any, request: schema.DescribeJobRequest
 ) -> Result[schema.DescribeJobResponse, ApiError]:
     empty = schema.DescribeJobResponse()
-    return call_operator(node, peer, "DescribeJob", request, empty)
+    return forward_call(node, peer, "DescribeJob", request, empty)
 
 
 def _describe(
@@ -277,7 +277,7 @@
     """List teams with their quotas, and their use in this failure domain."""
     view = read_config(node)
     quotas = read_quotas(view.values)
-    used = query(node.domain, _sum_teams)
+    used = query(node.domain, _sum_usage_by_team)
     age_s = query(node.domain, _read_age)
     own = node.settings.instance.domain
     return Ok(
@@ -292,14 +292,14 @@
     )
 
 
-def _sum_teams(actor: Any, _: float) -> dict[str, tuple[Size, int, int]]:
+def _sum_usage_by_team(actor: Any, _: float) -> dict[str, tuple[Size, int, int]]:
     teams: dict[str, list[log_state.JobState]] = {}
     for entry in actor.node.domain.jobs.values():
         teams.setdefault(entry.job.team, []).append(entry)
-    return {team: _sum_team(entries) for team, entries in teams.items()}
+    return {team: _sum_usage(entries) for team, entries in teams.items()}
 
 
-def _sum_team(entries: Iterable[log_state.JobState]) -> tuple[Size, int, int]:
+def _sum_usage(entries: Iterable[log_state.JobState]) -> tuple[Size, int, int]:
     sizes = [(entry.job.size, entry.assigned_count) for entry in entries]
     used = Size(
         sum(size.cores * count for size, count in sizes),
--- a/plantainyard/operators/node.py
+++ b/plantainyard/operators/node.py
@@ -37,9 +37,9 @@
 __all__ = [
     "Node",
     "ask_actor",
-    "call_operator",
-    "explain_report",
-    "explain_silence",
+    "forward_call",
+    "build_append_error",
+    "build_unreachable_error",
     "find_peer",
     "list_instances",
     "list_peers",
@@ -49,11 +49,11 @@
     "submit_and_wait",
 ]
 
-_QUERY_S = 5.0
-_SETTLE_S = 5.0
-_GIVE_UP_S = 8.0
-_RETRY_S = 2.0
-_OK = 200
+_QUERY_TIMEOUT_S = 5.0
+_APPEND_TIMEOUT_S = 5.0
+_REPORT_TIMEOUT_S = 8.0
+_RETRY_AFTER_S = 2.0
+_STATUS_OK = 200
 
 
 class Node(NamedTuple):
@@ -91,7 +91,7 @@
 
 def ask_actor(ref: pykka.ActorRef[Any], message: Any) -> Any:
     """Return an actor's answer to `message`."""
-    return ref.ask(message, timeout=_QUERY_S)
+    return ref.ask(message, timeout=_QUERY_TIMEOUT_S)
 
 
 def query(ref: pykka.ActorRef[Any], read: Any) -> Any:
@@ -101,7 +101,7 @@
 
 def read_config(node: Node) -> ConfigView:
     """Return the configuration in force here."""
-    view: Any = node.config.ask(ReadConfig(), timeout=_QUERY_S)
+    view: Any = node.config.ask(ReadConfig(), timeout=_QUERY_TIMEOUT_S)
     return cast(ConfigView, view)
 
 
@@ -123,11 +123,11 @@
     return max(peers, key=lambda peer: peer.heard_at, default=None)
 
 
-def explain_silence(node: Node, domain: str) -> ApiError:
+def build_unreachable_error(node: Node, domain: str) -> ApiError:
     """Return the error for a domain of which no instance is heard from."""
     if any(instance.domain == domain for instance in list_instances(node)):
         detail = f"no instance of {domain} is heard from"
-        return ApiError(ErrorCode.REFUSED, detail, retry_after_s=_RETRY_S)
+        return ApiError(ErrorCode.REFUSED, detail, retry_after_s=_RETRY_AFTER_S)
     return ApiError(ErrorCode.NOT_FOUND, f"no failure domain {domain!r}", "job_id")
 
 
@@ -157,16 +157,16 @@
             settled.set_result(report)
 
     key = uuid.uuid4().hex
-    expires_at = read_clock() + _SETTLE_S
+    expires_at = read_clock() + _APPEND_TIMEOUT_S
     submit = log_state.Submit(record, key, expires_at)
     ref.tell(SubmitRecord(submit, take))
     try:
-        return settled.result(_GIVE_UP_S)
+        return settled.result(_REPORT_TIMEOUT_S)
     except concurrent.futures.TimeoutError:
         return log_state.AppendReport(key, log_state.AppendStatus.UNKNOWN)
 
 
-def explain_report(report: log_state.AppendReport) -> ApiError | None:
+def build_append_error(report: log_state.AppendReport) -> ApiError | None:
     """Return the error that an append's report means, None where it took effect."""
     match report.status:
         case log_state.AppendStatus.APPLIED:
@@ -178,10 +178,10 @@
                 winning_version=report.offset,
             )
         case log_state.AppendStatus.NOT_RUN:
-            pause = report.retry_after_s or _RETRY_S
+            pause = report.retry_after_s or _RETRY_AFTER_S
             return ApiError(ErrorCode.REFUSED, _explain(report), retry_after_s=pause)
     return ApiError(
-        ErrorCode.UNKNOWN, "the log has not said yet", retry_after_s=_RETRY_S
+        ErrorCode.UNKNOWN, "the log has not said yet", retry_after_s=_RETRY_AFTER_S
     )
 
 
@@ -191,7 +191,7 @@
     return report.result.detail or report.result.reason or "abandoned"
 
 
-def call_operator(
+def forward_call(
     node: Node, peer: PeerView, method: str, request: Message, response: Message
 ) -> Result[Any, ApiError]:
     """Pass an operator's call on to another instance, once.
@@ -209,7 +209,9 @@
     response : Message
         An empty response, filled from the answer.
     """
-    target = build_peer(make_url(peer.control_address), node.pool, _GIVE_UP_S + 1.0)
+    target = build_peer(
+        make_url(peer.control_address), node.pool, _REPORT_TIMEOUT_S + 1.0
+    )
     headers = {
         "Authorization": build_authorization(node.settings.security.token.reveal()),
         "Content-Type": "application/x-protobuf",
@@ -219,7 +221,7 @@
     answer = send_request(target, step, "POST", f"/{SERVICE}/{method}", body, headers)
     if isinstance(answer, Err):
         return Err(build_api_error(answer.err_value))
-    if answer.ok_value.status != _OK:
+    if answer.ok_value.status != _STATUS_OK:
         error = decode_error(answer.ok_value.body)
         unreadable = ApiError(ErrorCode.UNKNOWN, step=step, peer=peer.instance)
         return Err(error or unreadable)
--- a/plantainyard/operators/standing.py
+++ b/plantainyard/operators/status.py
@@ -18,9 +18,15 @@
 
 from .node import Node, list_peers, query, read_config
 
-__all__ = ["describe_state", "dump", "find_faults", "find_waits", "tell_status"]
+__all__ = [
+    "describe_state",
+    "dump",
+    "find_faults",
+    "list_unready_reasons",
+    "get_status",
+]
 
-_ASK_S = 5.0
+_DUMP_TIMEOUT_S = 5.0
 
 
 def find_faults(node: Node) -> list[str]:
@@ -43,7 +49,7 @@
     return [f"the actor {name} has died" for name in dead]
 
 
-def find_waits(node: Node) -> list[str]:
+def list_unready_reasons(node: Node) -> list[str]:
     """Return why the balancer should send callers elsewhere; empty when ready."""
     faults = find_faults(node)
     if faults:
@@ -62,13 +68,13 @@
     return log_state.is_current(actor.stream.reader)
 
 
-def tell_status(
+def get_status(
     node: Node, request: schema.StatusRequest
 ) -> Result[schema.StatusResponse, ApiError]:
     """Tell how this instance is."""
     instance = node.settings.instance
     view = read_config(node)
-    waits = find_waits(node)
+    waits = list_unready_reasons(node)
     described = describe_gateway(node.gateway)
     age_s = query(
         node.domain,
@@ -99,7 +105,7 @@
         schema.PeerStatus(
             instance=peer.instance,
             domain=peer.domain,
-            state=_judge_peer(peer.state, peer.is_live),
+            state=_determine_peer_state(peer.state, peer.is_live),
             heard_s=peer.age_s,
             address=peer.control_address,
         )
@@ -107,7 +113,7 @@
     ]
 
 
-def _judge_peer(listed: str, is_live: bool) -> str:
+def _determine_peer_state(listed: str, is_live: bool) -> str:
     if listed in ("leaving", "gone"):
         return listed
     return "live" if is_live else "silent"
@@ -120,11 +126,11 @@
         "instance": node.settings.instance._asdict(),
         "process": node.name,
         "uptime_s": read_clock() - node.started_at,
-        "not_ready": find_waits(node),
+        "not_ready": list_unready_reasons(node),
         "configuration": view._asdict(),
         "domain": query(node.domain, dump_domain),
-        "peers": [_show_peer(peer) for peer in list_peers(node)],
-        "lenders": node.lender.ask(DumpLenders(), timeout=_ASK_S),
+        "peers": [_dump_peer(peer) for peer in list_peers(node)],
+        "lenders": node.lender.ask(DumpLenders(), timeout=_DUMP_TIMEOUT_S),
         "gateway": describe_gateway(node.gateway),
         "metrics": describe_meter(node.meter),
     }
@@ -135,7 +141,7 @@
     return shown
 
 
-def _show_peer(peer: Any) -> dict[str, Any]:
+def _dump_peer(peer: Any) -> dict[str, Any]:
     beat = peer.heartbeat._asdict() if peer.heartbeat else None
     return {**peer._asdict(), "heartbeat": beat}
 
--- a/plantainyard/operators/tests/test_explaining.py
+++ b/plantainyard/operators/tests/test_explanation.py
@@ -7,7 +7,7 @@
 
 from plantainyard import state as log_state
 from plantainyard.api import operators_pb2 as schema
-from plantainyard.operators import explaining, listing
+from plantainyard.operators import explanation, listing
 from plantainyard.work import Job, Size, TaskKey
 
 JOB = Job("j.a", "n", "t", False, 5, Size(1, 1), 1.0)
@@ -46,7 +46,7 @@
     entry = log_state.get_job(state, JOB.id)
     assert isinstance(entry, log_state.JobState)
     found = [
-        explaining.find_task_rack(state, entry, TaskKey(JOB.id, n)) for n in range(6)
+        explanation.find_task_rack(state, entry, TaskKey(JOB.id, n)) for n in range(6)
     ]
     assert found == ["r1", "r1", "r2", "r2", "r2", ""]
 
@@ -54,7 +54,7 @@
 @pytest.mark.parametrize(
     ("module", "handle", "request_class"),
     [
-        (explaining, "explain_task", schema.ExplainTaskRequest),
+        (explanation, "explain_task", schema.ExplainTaskRequest),
         (listing, "describe_job", schema.DescribeJobRequest),
     ],
 )
@@ -72,7 +72,7 @@
         assert len(calls) < 10
         return getattr(module, handle)(nodes[peer.process], request)
 
-    monkeypatch.setattr(module, "call_operator", pass_on)
+    monkeypatch.setattr(module, "forward_call", pass_on)
     monkeypatch.setattr(module, "list_peers", lambda node: node.listed)
     monkeypatch.setattr(module, "query", lambda actor, read: read(actor, 0.0))
     monkeypatch.setattr(listing, "_read_age", lambda actor, now: 0.0)
--- a/plantainyard/operators/tests/test_homes.py
+++ b/plantainyard/operators/tests/test_home_domains.py
@@ -2,7 +2,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from plantainyard.operators.homes import allot, list_allowed, name_request, pick_home
+from plantainyard.operators.home_domains import (
+    allot_tasks,
+    choose_home_domain,
+    list_eligible_domains,
+    qualify_request_id,
+)
 from plantainyard.work import Constraints, Job, Size, WorkerInfo
 
 WORKERS = [
@@ -21,18 +26,18 @@
     # A call's answer is lost and the operator repeats it at another instance, in
     # another domain. A home that followed from anything but the id would accept the
     # same work in two domains.
-    allowed = list_allowed(_job(), WORKERS)
-    home = pick_home(request_id, allowed)
+    allowed = list_eligible_domains(_job(), WORKERS)
+    home = choose_home_domain(request_id, allowed)
     assert home in allowed
-    named = name_request(request_id, home)
-    assert pick_home(named, allowed) == home
-    assert name_request(named, home) == named
+    named = qualify_request_id(request_id, home)
+    assert choose_home_domain(named, allowed) == home
+    assert qualify_request_id(named, home) == named
 
 
 @settings(derandomize=True, deadline=None)
 @given(st.integers(1, 80), st.integers(1, 500), st.booleans())
 def test_all_tasks_are_allotted_where_they_fit(cores, tasks, gang):
-    allotment, failing = allot(_job(cores, tasks, gang=gang), WORKERS)
+    allotment, failing = allot_tasks(_job(cores, tasks, gang=gang), WORKERS)
     if failing:
         assert not allotment
         return
@@ -51,4 +56,4 @@
     ],
 )
 def test_homes_meet_the_constraints(limits, expected):
-    assert list_allowed(_job(constraints=limits), WORKERS) == expected
+    assert list_eligible_domains(_job(constraints=limits), WORKERS) == expected
--- a/plantainyard/presence.py
+++ b/plantainyard/presence.py
@@ -33,7 +33,7 @@
 from plantainyard.operators import (
     Node,
     ask_actor,
-    find_waits,
+    list_unready_reasons,
     make_url,
 )
 from plantainyard.protocol import (
@@ -132,7 +132,7 @@
     local.config = cast(ConfigView, ask_actor(node.config, ReadConfig()))
     node.domain.tell(ConfigKnown(read_clock() - local.config.age_s))
     local.free_credits = read_room(node.gateway)
-    local.ready = not find_waits(node)
+    local.ready = not list_unready_reasons(node)
     local.draining = ask_actor(node.domain, Query(lambda actor, _: actor.node.stopping))
 
 
--- a/plantainyard/process.py
+++ b/plantainyard/process.py
@@ -55,8 +55,8 @@
     build_handlers,
     describe_state,
     find_faults,
-    find_waits,
-    tell_status,
+    get_status,
+    list_unready_reasons,
 )
 from plantainyard.presence import (
     LocalState,
@@ -322,7 +322,7 @@
         build_handlers(node),
         Probes(
             lambda: find_faults(node),
-            lambda: find_waits(node),
+            lambda: list_unready_reasons(node),
             lambda: describe_state(node),
         ),
         node.meter,
@@ -374,7 +374,7 @@
 
 def _send_metrics(node: Node) -> None:
     record_process(node.meter)
-    status = tell_status(node, schema.StatusRequest())
+    status = get_status(node, schema.StatusRequest())
     if isinstance(status, Ok):
         record_status(node.meter, status.ok_value)
     flush_meter(node.meter)
--- a/plantainyard/tests/test_docs.py
+++ b/plantainyard/tests/test_docs.py
@@ -19,7 +19,7 @@
 from plantainyard.api import operators_pb2 as schema
 from plantainyard.api.codec import JSON
 from plantainyard.api.errors import STATUS_OF_CODE
-from plantainyard.commands import EXIT_MEANINGS, World, run_command
+from plantainyard.commands import EXIT_MEANINGS, Context, run_command
 from plantainyard.configuration import KEYS
 from plantainyard.metrics import METRICS
 from plantainyard.settings import RULES, Settings
@@ -114,7 +114,7 @@
             response.job.state = 3  # type: ignore[attr-defined]
         return Ok(HttpResponse(200, {}, response.SerializeToString()))
 
-    world = World(
+    world = Context(
         {"PLANTAINYARD_ADDRESSES": "127.0.0.1:1", "PLANTAINYARD_TOKEN": "t" * 16},
         io.StringIO(),
         io.StringIO(),
