--- a/plantainyard/process.py
+++ b/plantainyard/process.py
@@ -22,11 +22,11 @@
     Gateway,
     call_peer,
     drain_gateway,
+    post_event,
     run_gateway,
     serve_gateway,
-    tell_event,
 )
-from plantainyard.gateway.tuning import build_routing_settings
+from plantainyard.gateway.routing_settings import build_routing_settings
 from plantainyard.metrics import Meter, create_meter, flush_meter
 from plantainyard.node import (
     CONFIG_STREAM,
@@ -55,8 +55,8 @@
     build_handlers,
     describe_state,
     find_faults,
-    find_waits,
-    tell_status,
+    get_status,
+    list_unready_reasons,
 )
 from plantainyard.presence import (
     LocalState,
@@ -295,7 +295,7 @@
         if update.epoch:
             lender.tell(update)
             changed = AuthorityChanged(update.rack, update.until, gained, time.time())
-            tell_event(gateway, changed)
+            post_event(gateway, changed)
         elif epoch:
             # Waits until both have stopped using the authority, because a successor
             # may act as soon as this function returns.
@@ -322,7 +322,7 @@
         build_handlers(node),
         Probes(
             lambda: find_faults(node),
-            lambda: find_waits(node),
+            lambda: list_unready_reasons(node),
             lambda: describe_state(node),
         ),
         node.meter,
@@ -374,7 +374,7 @@
 
 def _send_metrics(node: Node) -> None:
     record_process(node.meter)
-    status = tell_status(node, schema.StatusRequest())
+    status = get_status(node, schema.StatusRequest())
     if isinstance(status, Ok):
         record_status(node.meter, status.ok_value)
     flush_meter(node.meter)
