--- a/plantainyard/process.py
+++ b/plantainyard/process.py
@@ -33,11 +33,11 @@
     ConfigActor,
     ConfigChanged,
     DomainActor,
-    HeartbeatHeard,
+    HeartbeatReceived,
     InstancesListed,
     LenderActor,
+    LivePeers,
     PeersActor,
-    PeersHeard,
     Query,
     RackAuthority,
     Stop,
@@ -55,8 +55,8 @@
     build_handlers,
     describe_state,
     find_faults,
-    find_waits,
-    tell_status,
+    get_status,
+    list_unready_reasons,
 )
 from plantainyard.presence import (
     LocalState,
@@ -229,7 +229,7 @@
         lambda values: domain.tell(ConfigChanged(values)),
     )
 
-    def publish(update: InstancesListed | PeersHeard) -> None:
+    def publish(update: InstancesListed | LivePeers) -> None:
         domain.tell(update)
 
     peers = _start(
@@ -311,7 +311,7 @@
     settings = node.settings
 
     def exchange_heartbeats(heartbeat: Heartbeat) -> Heartbeat:
-        node.peers.tell(HeartbeatHeard(heartbeat))
+        node.peers.tell(HeartbeatReceived(heartbeat))
         return build_heartbeat(local, 0)
 
     def lend_credits(ask: CreditAsk) -> Message:
@@ -322,7 +322,7 @@
         build_handlers(node),
         Probes(
             lambda: find_faults(node),
-            lambda: find_waits(node),
+            lambda: list_unready_reasons(node),
             lambda: describe_state(node),
         ),
         node.meter,
@@ -374,7 +374,7 @@
 
 def _send_metrics(node: Node) -> None:
     record_process(node.meter)
-    status = tell_status(node, schema.StatusRequest())
+    status = get_status(node, schema.StatusRequest())
     if isinstance(status, Ok):
         record_status(node.meter, status.ok_value)
     flush_meter(node.meter)
