--- a/plantainyard/api/__init__.py
+++ b/plantainyard/api/__init__.py
@@ -1,4 +1,4 @@
-"""Operators' calls: the published schema, its generated code and their serving."""
+"""The operators' API: the published schema, its generated code and the server side."""
 
 from plantainyard.api.app import Probes, create_app, has_token, read_body
 from plantainyard.api.calls import (
@@ -33,14 +33,14 @@
 __all__ = [
     "METHODS",
     "SERVICE",
-    "CallResponse",
     "ApiError",
+    "CallResponse",
     "ErrorCode",
     "Handler",
     "Handlers",
     "Probes",
-    "build_error_response",
     "build_api_error",
+    "build_error_response",
     "create_app",
     "decode_error",
     "encode_error",
--- a/plantainyard/api/app.py
+++ b/plantainyard/api/app.py
@@ -1,4 +1,7 @@
-"""The WSGI application of the control port: operators' calls, checks and the dump."""
+"""The WSGI application of the control port.
+
+It serves operators' calls, the health and readiness checks, and the state dump.
+"""
 
 import json
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -37,16 +40,17 @@
 
 
 class Probes(NamedTuple):
-    """What the application asks of the daemon.
+    """Functions with which the application reads the state of the daemon.
 
     Attributes
     ----------
     healthy : callable
-        Reasons for which the process should be replaced; empty when well.
+        Returns the reasons to replace the process; empty if it is healthy.
     ready : callable
-        Reasons for which the balancer should send callers elsewhere.
+        Returns the reasons why a load balancer should send callers to another
+        instance; empty if the process is ready.
     dump : callable
-        The process's whole state, encodable as JSON, without secrets.
+        Returns the complete state of the process, JSON-encodable and without secrets.
     """
 
     healthy: Callable[[], Sequence[str]]
@@ -66,30 +70,30 @@
     Parameters
     ----------
     settings : Settings
-        Gives the token and the limit of bodies.
+        Gives the bearer token and the largest body.
     handlers : mapping
-        See `plantainyard.api.calls.serve_call`.
+        Handler of each method; see `plantainyard.api.calls.serve_call`.
     probes : Probes
-        Health, readiness and state.
+        Health, readiness and state of the daemon.
     meter : Meter
-        Counts refused calls.
+        Receives the counts of unauthorized and malformed calls.
     fallback : WSGIApplication, optional
-        Answers the other paths, such as those between instances, after the token
-        and the body's length have been checked.
+        Serves the other paths, such as those between instances. It is called after
+        the token and the length of the body have been checked.
 
     Notes
     -----
-    Health and readiness need no token: balancers send none, and the answers hold
-    nothing but reasons.
+    Health and readiness need no token, because load balancers don't send one and the
+    responses contain only reasons.
     """
     token = settings.security.token
     limit = settings.limits.body_bytes
 
     def serve(environ: WSGIEnvironment, start: StartResponse) -> Iterable[bytes]:
-        verb, path = environ["REQUEST_METHOD"], environ.get("PATH_INFO", "")
-        if verb == "GET" and path == HEALTH_PATH:
+        http_method, path = environ["REQUEST_METHOD"], environ.get("PATH_INFO", "")
+        if http_method == "GET" and path == HEALTH_PATH:
             return _send(start, _build_probe_response(_run_probe(probes.healthy)))
-        if verb == "GET" and path == READY_PATH:
+        if http_method == "GET" and path == READY_PATH:
             return _send(start, _build_probe_response(_run_probe(probes.ready)))
         if not has_token(environ, token.matches):
             add_count(meter, "calls.unauthorized")
@@ -97,40 +101,40 @@
             return _send(
                 start, build_error_response(ApiError(ErrorCode.UNAUTHORIZED, detail))
             )
-        if verb == "GET" and path == DUMP_PATH:
+        if http_method == "GET" and path == DUMP_PATH:
             return _send(
                 start, CallResponse(STATUS_OK, json.dumps(probes.dump()).encode())
             )
-        if path.startswith(CALL_PREFIX) and verb == "POST":
-            answer = _serve_operator_call(environ, handlers, path, limit)
+        if path.startswith(CALL_PREFIX) and http_method == "POST":
+            response = _serve_operator_call(environ, handlers, path, limit)
         elif fallback is not None and not path.startswith(CALL_PREFIX):
             if _read_content_length(environ) <= limit:
                 return fallback(environ, start)
-            answer = _build_too_large_response(limit)
+            response = _build_too_large_response(limit)
         else:
-            answer = build_error_response(
+            response = build_error_response(
                 ApiError(ErrorCode.NOT_FOUND, METHOD_HINT, "path")
             )
-        if answer.status in MALFORMED_STATUSES:
+        if response.status in MALFORMED_STATUSES:
             add_count(meter, "calls.malformed")
-        return _send(start, answer)
+        return _send(start, response)
 
     return serve
 
 
 def has_token(environ: WSGIEnvironment, matches: Callable[[str], bool]) -> bool:
-    """Return whether the request carries a bearer token that `matches`."""
-    scheme, _, offered = environ.get("HTTP_AUTHORIZATION", "").partition(" ")
-    return scheme.lower() == BEARER_SCHEME and matches(offered.strip())
+    """Return whether the request has a bearer token that `matches` accepts."""
+    scheme, _, token = environ.get("HTTP_AUTHORIZATION", "").partition(" ")
+    return scheme.lower() == BEARER_SCHEME and matches(token.strip())
 
 
 def read_body(environ: WSGIEnvironment, limit: int) -> bytes | None:
-    """Return the request's body, or None where it is longer than `limit` bytes.
+    """Return the body of the request, or None if it exceeds `limit` bytes.
 
     Notes
     -----
-    The server has received the body as a whole and sets its length, for chunked
-    bodies too, so that a slow sender holds no thread here.
+    The server receives the complete body and sets its length, also for chunked bodies,
+    before it calls the application. A slow sender therefore doesn't occupy a thread.
     """
     length = _read_content_length(environ)
     return None if length > limit else environ["wsgi.input"].read(length)
@@ -157,13 +161,13 @@
 
 
 def _run_probe(probe: Callable[[], Sequence[str]]) -> Sequence[str]:
-    """Return the reasons of `probe`, or that it has none to give.
+    """Return the reasons of `probe`, or one reason that says that the probe failed.
 
     Notes
     -----
-    Guards against a part of the process that hangs: the probe that waits for it ends
-    with an exception, and the balancer would get a page of the server in place of a
-    reason.
+    Guards against a part of the process that hangs. The probe that waits for it raises
+    an exception, and without this the load balancer would receive the server's error
+    page instead of a reason.
     """
     try:
         return probe()
@@ -177,13 +181,13 @@
     return CallResponse(STATUS_UNAVAILABLE if reasons else STATUS_OK, body)
 
 
-def _send(start: StartResponse, answer: CallResponse) -> list[bytes]:
+def _send(start: StartResponse, response: CallResponse) -> list[bytes]:
     headers = [
-        ("Content-Type", answer.content_type),
-        ("Content-Length", str(len(answer.body))),
+        ("Content-Type", response.content_type),
+        ("Content-Length", str(len(response.body))),
     ]
-    if answer.retry_after_s:
-        headers.append(("Retry-After", str(int(answer.retry_after_s))))
-    status = HTTPStatus(answer.status)
+    if response.retry_after_s:
+        headers.append(("Retry-After", str(int(response.retry_after_s))))
+    status = HTTPStatus(response.status)
     start(f"{status.value} {status.phrase}", headers)
-    return [answer.body]
+    return [response.body]
--- a/plantainyard/api/calls.py
+++ b/plantainyard/api/calls.py
@@ -1,4 +1,4 @@
-"""Operators' calls: from a method's name and a body to an answer."""
+"""Serving of operators' calls, from a method name and a body to a response."""
 
 import logging
 import math
@@ -34,20 +34,21 @@
 
 STATUS_OK = 200
 REQUEST_ID = "request_id"
+"""Field that every request of a mutating method has."""
 
 Handler = Callable[[Any], Result[Message, ApiError]]
 Handlers = Mapping[str, Handler]
 
 
 class Method(NamedTuple):
-    """A method of the schema.
+    """A method of the schema's service.
 
     Attributes
     ----------
     request, response : type
-        Generated message classes.
+        Generated classes of its messages.
     is_mutating : bool
-        Whether a call changes something, and so carries a request id.
+        Whether a call changes state and therefore has a request id.
     """
 
     request: type[Message]
@@ -56,7 +57,7 @@
 
 
 class CallResponse(NamedTuple):
-    """An HTTP answer."""
+    """The HTTP response to a call."""
 
     status: int
     body: bytes
@@ -80,50 +81,52 @@
 def serve_call(
     handlers: Handlers, method_name: str, content_type: str, body: bytes
 ) -> CallResponse:
-    """Decode, check, hand over and encode one call.
+    """Decode, check and handle one call, and return its encoded response.
 
     Parameters
     ----------
     handlers : mapping
-        Method name to the function that answers it. A handler must itself be safe
-        to repeat with the same request id.
+        Function that handles each method, by method name. A handler must be
+        idempotent for calls with the same request id.
     method_name : str
-        Last part of the path.
+        Last segment of the path.
     content_type : str
-        The request's header.
+        Content-Type header of the request.
     body : bytes
-        The request's body.
+        Body of the request.
 
     Returns
     -------
     CallResponse
-        In the form of the request; errors are always JSON.
+        Encoded like the request, except that errors are always JSON.
     """
     method = METHODS.get(method_name)
     if method is None or method_name not in handlers:
         detail = f"no such method; known are {', '.join(METHODS)}"
         return build_error_response(ApiError(ErrorCode.NOT_FOUND, detail, "method"))
-    form = parse_content_type(content_type)
-    if form is None:
+    encoding = parse_content_type(content_type)
+    if encoding is None:
         detail = f"expected {JSON} or {BINARY}"
         return build_error_response(
             ApiError(ErrorCode.MALFORMED, detail, "Content-Type")
         )
-    decoded = decode_message(method.request, form, body)
+    decoded = decode_message(method.request, encoding, body)
     if isinstance(decoded, Err):
         return build_error_response(decoded.err_value)
-    bad = check_request(decoded.ok_value)
-    if bad is not None:
-        detail = f"expected {bad.expected}"
-        return build_error_response(ApiError(ErrorCode.MALFORMED, detail, bad.path))
-    handled = _handle(method_name, method, handlers[method_name], decoded.ok_value)
-    if isinstance(handled, Ok):
-        return CallResponse(STATUS_OK, encode_message(handled.ok_value, form), form)
-    return build_error_response(handled.err_value)
+    invalid = check_request(decoded.ok_value)
+    if invalid is not None:
+        detail = f"expected {invalid.expected}"
+        return build_error_response(ApiError(ErrorCode.MALFORMED, detail, invalid.path))
+    result = _handle(method_name, method, handlers[method_name], decoded.ok_value)
+    if isinstance(result, Ok):
+        return CallResponse(
+            STATUS_OK, encode_message(result.ok_value, encoding), encoding
+        )
+    return build_error_response(result.err_value)
 
 
 def build_error_response(error: ApiError) -> CallResponse:
-    """Return the HTTP answer that tells of `error`."""
+    """Return the HTTP response that reports `error`."""
     status = STATUS_OF_CODE[error.code]
     return CallResponse(
         status, encode_error(error), JSON, math.ceil(error.retry_after_s)
@@ -135,11 +138,12 @@
 ) -> Result[Message, ApiError]:
     request_id = getattr(request, REQUEST_ID, "")
     step = f"api.{name}"
-    # A fault of the handler may come after the record was appended. Told as a plain
-    # failure, the operator would send the work again under a new id and it would run
-    # twice; told as unknown, the repeat carries the same id and is recognised.
+    # The handler may fail after the record was appended. If that were reported as a
+    # plain failure, the operator would submit the work again with a new id and it would
+    # run twice. After "unknown", the operator repeats the call with the same id, which
+    # is recognized.
     try:
-        handled = handler(request)
+        result = handler(request)
     except Exception:
         _logger.exception(
             "handler failed", extra={"step": step, "request_id": request_id}
@@ -147,6 +151,6 @@
         code = ErrorCode.UNKNOWN if method.is_mutating else ErrorCode.INTERNAL
         return Err(ApiError(code, "a fault of the daemon; see its log", step=step))
     if method.is_mutating:
-        outcome = handled.err_value.code if isinstance(handled, Err) else "accepted"
+        outcome = result.err_value.code if isinstance(result, Err) else "accepted"
         log_step(_logger, logging.INFO, outcome, step, request_id=request_id)
-    return handled
+    return result
--- a/plantainyard/api/checks.py
+++ b/plantainyard/api/checks.py
@@ -1,4 +1,4 @@
-"""What each request's fields must be, beyond their types."""
+"""Checks of the values in requests that their types don't express."""
 
 import math
 import re
@@ -21,7 +21,8 @@
 __all__ = ["CHECKS", "InvalidField", "check_request"]
 
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_-]{0,63}")
-# Callers are told 128; instances put the home domain in front when they pass one on.
+# The limit for operators is 128. An instance prepends the home domain to an id that it
+# forwards.
 REQUEST_ID = re.compile(r"[A-Za-z0-9._-]{8,200}")
 DRAINING_KEYS = {
     "instance": build_instance_draining_key,
@@ -42,14 +43,22 @@
 
 
 class InvalidField(NamedTuple):
-    """A field whose value is impossible."""
+    """A field whose value is not allowed.
+
+    Attributes
+    ----------
+    path : str
+        Path of the field in the request.
+    expected : str
+        Description of the allowed values.
+    """
 
     path: str
     expected: str
 
 
 def check_request(request: Message) -> InvalidField | None:
-    """Return the first field of `request` that is missing or impossible, or None."""
+    """Return the first field of `request` that is missing or invalid, or None."""
     check = CHECKS.get(request.DESCRIPTOR.name, lambda _: ())
     return next(iter(check(request)), None)
 
@@ -60,15 +69,15 @@
 
 
 def _check_integer(
-    path: str, value: int, low: int, high: int
+    path: str, value: int, minimum: int, maximum: int
 ) -> Iterator[InvalidField]:
-    if not low <= value <= high:
-        yield InvalidField(path, f"an integer from {low} to {high}")
+    if not minimum <= value <= maximum:
+        yield InvalidField(path, f"an integer from {minimum} to {maximum}")
 
 
-def _check_number(path: str, value: float, high: float) -> Iterator[InvalidField]:
-    if not (math.isfinite(value) and 0 < value <= high):
-        yield InvalidField(path, f"a number above 0, to {high:g}")
+def _check_number(path: str, value: float, maximum: float) -> Iterator[InvalidField]:
+    if not (math.isfinite(value) and 0 < value <= maximum):
+        yield InvalidField(path, f"a number above 0, to {maximum:g}")
 
 
 def _check_request_id(request: Any) -> Iterator[InvalidField]:
@@ -84,15 +93,19 @@
     )
 
 
-def _check_constraints(limits: schema.Constraints) -> Iterator[InvalidField]:
-    for field, names in (("regions", limits.regions), ("domains", limits.domains)):
+def _check_constraints(constraints: schema.Constraints) -> Iterator[InvalidField]:
+    for field, names in (
+        ("regions", constraints.regions),
+        ("domains", constraints.domains),
+    ):
         for i, name in enumerate(names):
             yield from _check_name(f"constraints.{field}[{i}]", name)
-    if limits.accelerator:
-        yield from _check_name("constraints.accelerator", limits.accelerator)
+    if constraints.accelerator:
+        yield from _check_name("constraints.accelerator", constraints.accelerator)
 
 
-def _check_declaration(request: Any) -> Iterator[InvalidField]:
+def _check_common_fields(request: Any) -> Iterator[InvalidField]:
+    """Yield the invalid fields among those that jobs and services share."""
     yield from _check_request_id(request)
     yield from _check_name("team", request.team)
     yield from _check_size(request.size)
@@ -107,13 +120,13 @@
     request: schema.CreateServiceRequest,
 ) -> Iterator[InvalidField]:
     yield from _check_name("name", request.name)
-    yield from _check_declaration(request)
+    yield from _check_common_fields(request)
     if not request.runners:
         yield InvalidField("runners", "at least one failure domain")
     allowed = request.constraints.domains
-    for domain, number in request.runners.items():
+    for domain, count in request.runners.items():
         yield from _check_name("runners", domain)
-        yield from _check_integer(f"runners.{domain}", number, 1, MAX_RUNNERS)
+        yield from _check_integer(f"runners.{domain}", count, 1, MAX_RUNNERS)
         if allowed and domain not in allowed:
             yield InvalidField(
                 f"runners.{domain}", "a domain that constraints.domains has"
@@ -128,7 +141,7 @@
         or not request.name.isprintable()
     ):
         yield InvalidField("name", f"1 to {MAX_JOB_NAME_LENGTH} printable characters")
-    yield from _check_declaration(request)
+    yield from _check_common_fields(request)
     yield from _check_integer("task_count", request.task_count, 1, MAX_TASKS)
     yield from _check_number("run_s", request.run_s, MAX_RUN_S)
 
@@ -182,14 +195,14 @@
     if kind == "number_value":
         yield value.number_value
         return
-    inner: Iterable[Value] = {
+    nested: Iterable[Value] = {
         "struct_value": value.struct_value.fields.values(),
         "list_value": value.list_value.values,
     }.get(kind or "", ())
-    yield from chain.from_iterable(map(_iter_numbers, inner))
+    yield from chain.from_iterable(map(_iter_numbers, nested))
 
 
-def _check_history(
+def _check_get_history(
     request: schema.GetConfigurationHistoryRequest,
 ) -> Iterator[InvalidField]:
     yield from _check_integer("limit", request.limit, 0, MAX_PAGE_SIZE)
@@ -212,6 +225,6 @@
     "ExplainTaskRequest": _check_explain_task,
     "CancelJobsRequest": _check_cancel_jobs,
     "ApplyConfigurationRequest": _check_apply_configuration,
-    "GetConfigurationHistoryRequest": _check_history,
+    "GetConfigurationHistoryRequest": _check_get_history,
     "DrainRequest": _check_drain,
 }
--- a/plantainyard/api/codec.py
+++ b/plantainyard/api/codec.py
@@ -1,4 +1,4 @@
-"""Messages of the schema as JSON and as binary protobuf, strictly read."""
+"""Strict decoding and encoding of the schema's messages as JSON or binary protobuf."""
 
 import json
 from collections.abc import Iterator
@@ -34,6 +34,8 @@
     RecursionError,
     EncodeError,
 )
+"""Exceptions that the library raises for JSON values that a message can't hold."""
+
 EXPECTED_TYPES = {
     FieldDescriptor.CPPTYPE_INT32: "an integer of 32 bits",
     FieldDescriptor.CPPTYPE_INT64: "an integer of 64 bits",
@@ -47,14 +49,14 @@
 
 
 class FieldError(NamedTuple):
-    """A field that can't be read, and why."""
+    """A field that can't be decoded, and the reason."""
 
     path: str
     detail: str
 
 
 def parse_content_type(header: str) -> str | None:
-    """Return `JSON` or `BINARY` for a Content-Type header, None for others.
+    """Return `JSON` or `BINARY` for a Content-Type header, or None for other types.
 
     Examples
     --------
@@ -70,22 +72,22 @@
 def decode_message(
     message_class: type[MessageT], content_type: str, body: bytes
 ) -> Result[MessageT, ApiError]:
-    """Return the message in `body`, or an error that names the field at fault.
+    """Return the message in `body`, or an error that names the invalid field.
 
     Parameters
     ----------
     message_class : type
-        A generated class.
+        Generated class of the message.
     content_type : str
         `JSON` or `BINARY`.
     body : bytes
-        The whole body.
+        The complete body.
 
     Notes
     -----
-    Unknown fields are refused in both forms. The library would drop them; a newer
-    tool's constraint would then be lost without a sign and a task be allowed where
-    it must not run.
+    Unknown fields are rejected in both encodings. The library would drop them
+    silently, so a constraint from a newer tool would be lost and a task could be
+    placed where it must not run.
     """
     if content_type == BINARY:
         return _decode_binary(message_class, body)
@@ -93,7 +95,7 @@
 
 
 def encode_message(message: Message, content_type: str) -> bytes:
-    """Return `message` in the form of `content_type`; JSON names all fields."""
+    """Return `message` encoded as `content_type`; JSON includes every field."""
     if content_type == BINARY:
         return message.SerializeToString()
     data = json_format.MessageToDict(
@@ -126,8 +128,8 @@
     for field, value in message.ListFields():
         if field.message_type is None or _is_map(field):
             continue
-        inner = value if field.is_repeated else [value]
-        for item in inner:
+        nested = value if field.is_repeated else [value]
+        for item in nested:
             yield from _iter_unknown(item, f"{prefix}{field.name}.")
 
 
@@ -145,9 +147,9 @@
         json_format.ParseDict(data, message)
         message.SerializeToString()
     except PARSE_ERRORS as error:
-        found = _find_field_error(data, message.DESCRIPTOR, "")
-        fault = found or FieldError("", str(error).partition("\n")[0])
-        return Err(ApiError(ErrorCode.MALFORMED, fault.detail, fault.path))
+        field_error = _find_field_error(data, message.DESCRIPTOR, "")
+        cause = field_error or FieldError("", str(error).partition("\n")[0])
+        return Err(ApiError(ErrorCode.MALFORMED, cause.detail, cause.path))
     return Ok(message)
 
 
@@ -155,52 +157,56 @@
     data = dict(pairs)
     if len(data) != len(pairs):
         names = [name for name, _ in pairs]
-        twice = next(name for name in names if names.count(name) > 1)
-        raise ValueError(f"the name {twice!r} stands twice")
+        duplicate = next(name for name in names if names.count(name) > 1)
+        raise ValueError(f"the name {duplicate!r} stands twice")
     return data
 
 
 def _find_field_error(
     data: dict[str, Any], message: Any, path: str
 ) -> FieldError | None:
-    """Return the first field of `data` that `message` can't take.
+    """Return the first field of `data` that `message` can't hold, or None.
 
-    The library's own texts name only part of a path, and differ between versions.
+    Notes
+    -----
+    The library's own error texts contain only part of the path and differ between
+    versions.
     """
     names = {field.name: field for field in message.fields}
     names |= {field.json_name: field for field in message.fields}
     message_class = GetMessageClass(message)
     for name, value in data.items():
         if name not in names:
-            known = ", ".join(field.name for field in message.fields)
+            known_names = ", ".join(field.name for field in message.fields)
             return FieldError(
-                f"{path}{name}", f"unknown field; known are {known or 'none'}"
+                f"{path}{name}",
+                f"unknown field; known are {known_names or 'none'}",
             )
-        if fault := _find_value_error(
+        if error := _find_value_error(
             message_class, names[name], value, f"{path}{name}"
         ):
-            return fault
+            return error
     return None
 
 
 def _find_value_error(
     message_class: type[Message], field: FieldDescriptor, value: Any, path: str
 ) -> FieldError | None:
-    inner = field.message_type if _is_plain_message(field) else None
-    if inner is not None:
+    nested = field.message_type if _is_plain_message(field) else None
+    if nested is not None:
         if field.is_repeated and isinstance(value, list):
-            places = [(f"{path}[{i}]", item) for i, item in enumerate(value)]
+            items = [(f"{path}[{i}]", item) for i, item in enumerate(value)]
         else:
-            places = [(path, value)]
-        for place, item in places:
+            items = [(path, value)]
+        for item_path, item in items:
             if isinstance(item, dict) and (
-                fault := _find_field_error(item, inner, f"{place}.")
+                error := _find_field_error(item, nested, f"{item_path}.")
             ):
-                return fault
-    whole = message_class()
+                return error
+    whole_message = message_class()
     try:
-        json_format.ParseDict({field.name: value}, whole)
-        whole.SerializeToString()
+        json_format.ParseDict({field.name: value}, whole_message)
+        whole_message.SerializeToString()
     except PARSE_ERRORS:
         return FieldError(path, f"expected {_describe_expected(field)}")
     return None
@@ -211,15 +217,15 @@
         value = field.message_type.fields_by_name["value"]
         return f"an object whose values are each {_describe_expected(value)}"
     if field.enum_type is not None:
-        one = f"one of {', '.join(value.name for value in field.enum_type.values)}"
+        expected = f"one of {', '.join(value.name for value in field.enum_type.values)}"
     elif (
         field.message_type
         and field.message_type.full_name == f"{WELL_KNOWN_PACKAGE}Value"
     ):
-        one = "a JSON value"
+        expected = "a JSON value"
     else:
-        one = EXPECTED_TYPES[field.cpp_type]
-    return f"a list whose items are each {one}" if field.is_repeated else one
+        expected = EXPECTED_TYPES[field.cpp_type]
+    return f"a list whose items are each {expected}" if field.is_repeated else expected
 
 
 def _is_map(field: FieldDescriptor) -> bool:
--- a/plantainyard/api/convert.py
+++ b/plantainyard/api/convert.py
@@ -1,4 +1,4 @@
-"""Between messages of the schema and the package's own values."""
+"""Conversion between the schema's messages and the package's own types."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -23,27 +23,29 @@
 
 
 def read_size(size: schema.Size) -> Size:
-    """Return the value of a message."""
+    """Return the `Size` that a message holds."""
     return Size(size.cores, size.memory_gb, size.accelerators)
 
 
 def write_size(size: Size) -> schema.Size:
-    """Return the message of a value."""
+    """Return the message that holds a `Size`."""
     return schema.Size(**size._asdict())
 
 
-def read_constraints(limits: schema.Constraints) -> Constraints:
-    """Return the value of a message."""
-    return Constraints(tuple(limits.regions), tuple(limits.domains), limits.accelerator)
+def read_constraints(constraints: schema.Constraints) -> Constraints:
+    """Return the `Constraints` that a message holds."""
+    return Constraints(
+        tuple(constraints.regions), tuple(constraints.domains), constraints.accelerator
+    )
 
 
-def write_constraints(limits: Constraints) -> schema.Constraints:
-    """Return the message of a value."""
-    return schema.Constraints(**limits._asdict())
+def write_constraints(constraints: Constraints) -> schema.Constraints:
+    """Return the message that holds `Constraints`."""
+    return schema.Constraints(**constraints._asdict())
 
 
 def read_job(request: schema.CreateJobRequest, job_id: str) -> Job:
-    """Return the batch job that `request` declares."""
+    """Return the batch job that `request` describes."""
     return Job(
         id=job_id,
         name=request.name,
@@ -68,25 +70,25 @@
     Parameters
     ----------
     request : CreateServiceRequest
-        The declared service.
+        The service to create.
     job_id : str
-        Stem of the jobs' ids; the domain's name is added.
+        Prefix of the jobs' ids, to which the name of the domain is appended.
 
     Notes
     -----
-    Each part is constrained to its domain, so that no decision about it needs
+    Each job is constrained to its domain, so that decisions about it don't depend on
     another domain.
     """
-    limits = read_constraints(request.constraints)
-    for domain, number in sorted(request.runners.items()):
+    constraints = read_constraints(request.constraints)
+    for domain, count in sorted(request.runners.items()):
         yield Job(
             id=f"{job_id}.{domain}",
             name=request.name,
             team=request.team,
             latency_critical=True,
-            task_count=number,
+            task_count=count,
             size=read_size(request.size),
-            constraints=limits._replace(domains=(domain,)),
+            constraints=constraints._replace(domains=(domain,)),
             workload=request.workload,
             slots=request.slots,
             connections=request.connections,
@@ -95,23 +97,23 @@
 
 
 def read_value(value: Value) -> Any:
-    """Return a JSON value; whole numbers come back as integers.
+    """Return the JSON value that a message holds, with whole numbers as integers.
 
     Notes
     -----
-    Protobuf's values know only floating-point numbers, and a count that came back
-    as 40.0 would fail the check that it is an integer.
+    Protobuf's `Value` holds only floating-point numbers. A count that was read as 40.0
+    would fail the check that it is an integer.
     """
     return _restore_integers(json_format.MessageToDict(value))
 
 
 def write_value(value: Any) -> Value:
-    """Return the message of a JSON value."""
+    """Return the message that holds a JSON value."""
     return json_format.ParseDict(value, Value())
 
 
 def read_changes(request: schema.ApplyConfigurationRequest) -> dict[str, Any]:
-    """Return the changes of a request; None takes a key away."""
+    """Return the changes in a request; the value None removes a key."""
     return {key: read_value(value) for key, value in request.changes.items()}
 
 
--- a/plantainyard/api/errors.py
+++ b/plantainyard/api/errors.py
@@ -1,4 +1,4 @@
-"""Errors of operators' calls, and the HTTP status of each."""
+"""Errors of operators' calls, their HTTP statuses and their JSON encoding."""
 
 import json
 import math
@@ -16,10 +16,11 @@
 ]
 
 NO_VERSION = -1
+"""Value of `ApiError.winning_version` without a conflict."""
 
 
 class ErrorCode:
-    """Names of the kinds of `ApiError`; the schema's head says what each promises."""
+    """Codes of `ApiError`; the head of the schema says what each one guarantees."""
 
     MALFORMED = "malformed"
     UNAUTHORIZED = "unauthorized"
@@ -55,22 +56,22 @@
 
 
 class ApiError(NamedTuple):
-    """Why an operator's call has no answer.
+    """The reason why an operator's call failed.
 
     Attributes
     ----------
     code : str
-        One of the names in `ErrorCode`.
+        One of the values in `ErrorCode`.
     detail : str
-        Free text for people.
+        Human-readable description.
     field : str
-        Path of the field that is at fault, such as ``size.cores``.
+        Path of the invalid field, such as ``size.cores``.
     retry_after_s : float
-        Seconds after which to come back; zero where no time is named.
+        Seconds after which to retry, or zero if unspecified.
     winning_version : int
-        For a conflict the newer version, else -1.
+        The newer version in a conflict, otherwise -1.
     step, peer : str
-        Where the error arose, if at another process.
+        The step and the peer at which the error arose, if in another process.
     """
 
     code: str
@@ -83,12 +84,13 @@
 
 
 def build_api_error(error: CallError) -> ApiError:
-    """Return what an operator is told when the call `error` was the cause.
+    """Return the error to report to an operator when another call failed with `error`.
 
     Notes
     -----
-    Only a call that provably had no effect becomes ``refused``; everything else is
-    ``unknown``, which the operator settles by repeating with the same request id.
+    Only a call that provably had no effect is reported as ``refused`` or ``conflict``.
+    All others are ``unknown``, which the operator resolves by repeating the call with
+    the same request id.
     """
     return ApiError(
         KIND_TO_CODE[error.kind],
@@ -100,7 +102,7 @@
 
 
 def encode_error(error: ApiError) -> bytes:
-    """Return `error` as the JSON body of an answer, empty fields left out."""
+    """Return `error` as the JSON body of a response, without empty fields."""
     default = ApiError(error.code)
     fields = {
         name: value
@@ -111,23 +113,23 @@
 
 
 def decode_error(body: bytes) -> ApiError | None:
-    """Return the error that `encode_error` wrote, or None for any other body."""
+    """Return the error that `encode_error` encoded, or None for any other body."""
     try:
         data = json.loads(body)
     except (ValueError, RecursionError):
         return None
     if not isinstance(data, dict) or data.get("code") not in STATUS_OF_CODE:
         return None
-    known = {name: value for name, value in data.items() if name in ApiError._fields}
-    return ApiError(**known) if _has_right_types(known) else None
+    fields = {name: value for name, value in data.items() if name in ApiError._fields}
+    return ApiError(**fields) if _has_valid_types(fields) else None
 
 
-def _has_right_types(known: dict[str, Any]) -> bool:
-    retry_after_s = known.get("retry_after_s", 0.0)
-    version = known.get("winning_version", NO_VERSION)
+def _has_valid_types(fields: dict[str, Any]) -> bool:
+    retry_after_s = fields.get("retry_after_s", 0.0)
+    version = fields.get("winning_version", NO_VERSION)
     texts = [
         value
-        for name, value in known.items()
+        for name, value in fields.items()
         if name not in ("retry_after_s", "winning_version")
     ]
     return (
--- a/plantainyard/api/gauges.py
+++ b/plantainyard/api/gauges.py
@@ -1,4 +1,4 @@
-"""Gauges of an instance, taken from what it tells operators of itself."""
+"""Gauges of an instance, derived from the status that it reports to operators."""
 
 import resource
 import time
@@ -12,20 +12,23 @@
 LIVE = "live"
 MS_PER_S = 1_000
 MAX_AGE_S = 1e9
+"""Largest age in seconds that a gauge shows, also for events that never occurred."""
+
 STATM = Path("/proc/self/statm")
 RESIDENT_PAGES_FIELD = 1
+"""Index of the number of resident pages in `STATM`."""
 
 
 def record_status(meter: Meter, status: schema.StatusResponse) -> None:
-    """Set the gauges that follow from an instance's status.
+    """Set the gauges that are derived from an instance's status.
 
     Parameters
     ----------
     meter : Meter
-        Where they are set.
+        Holds the gauges.
     status : StatusResponse
-        What the instance tells of itself; the figures of a dashboard and those of
-        the command line then can't contradict each other.
+        The status that the command line shows, so that a dashboard and the command
+        line can't contradict each other.
     """
     racks = status.racks
     owned = sum(rack.authority for rack in racks)
@@ -45,13 +48,13 @@
 
 
 def _limit_age(age_s: float) -> float:
-    """Return an age that a gauge can have, also where something never was."""
+    """Return the age limited to `MAX_AGE_S`, as it is infinite without an event."""
     return min(age_s, MAX_AGE_S)
 
 
 def record_process(meter: Meter) -> None:
-    """Record the processor time since the last call, and the resident memory."""
-    spent_ms = int(time.process_time() * MS_PER_S)
-    add_count(meter, "process.cpu", spent_ms - meter.counts.get("process.cpu", 0))
+    """Record the CPU time since the previous call, and the resident memory."""
+    cpu_ms = int(time.process_time() * MS_PER_S)
+    add_count(meter, "process.cpu", cpu_ms - meter.counts.get("process.cpu", 0))
     pages = int(STATM.read_text("ascii").split()[RESIDENT_PAGES_FIELD])
     set_gauge(meter, "process.memory", pages * resource.getpagesize())
--- a/plantainyard/api/tests/test_calls.py
+++ b/plantainyard/api/tests/test_calls.py
@@ -1,4 +1,4 @@
-"""Operators' calls: faults name their field, and a repeat has no second effect."""
+"""Operators' calls: validation, idempotent repeats, error reports and probes."""
 
 import io
 import json
@@ -48,14 +48,14 @@
 )
 
 
-def read_error(answer) -> ApiError:
-    error = decode_error(answer.body)
+def read_error(response) -> ApiError:
+    error = decode_error(response.body)
     assert error is not None
     return error
 
 
 def accept_job(accepted: dict):
-    """CallResponse as a daemon does: the job's id follows from the request id."""
+    """Return handlers that, like a daemon, derive a job's id from the request id."""
 
     def handle(request):
         job_id = accepted.setdefault(request.request_id, f"j{len(accepted)}")
@@ -65,9 +65,9 @@
     return {"CreateJob": handle}
 
 
-def call(body, handlers=None, method="CreateJob", form=JSON):
+def call(body, handlers=None, method="CreateJob", encoding=JSON):
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
-    return serve_call(handlers or accept_job({}), method, form, data)
+    return serve_call(handlers or accept_job({}), method, encoding, data)
 
 
 @pytest.mark.parametrize(
@@ -89,14 +89,14 @@
         ({"run_s": 0}, "run_s"),
     ],
 )
-def test_fault_names_its_field(change, field):
-    answer = call({**JOB, **change})
-    error = read_error(answer)
-    assert (answer.status, error.code, error.field) == (400, "malformed", field)
+def test_validation_error_names_its_field(change, field):
+    response = call({**JOB, **change})
+    error = read_error(response)
+    assert (response.status, error.code, error.field) == (400, "malformed", field)
     assert error.detail
 
 
-def test_faults_of_other_requests_name_their_field():
+def test_validation_errors_of_other_requests_name_their_field():
     apply = {"request_id": "0190f3c2-0001", "changes": {"teams.a": 1}}
     handlers = dict.fromkeys(METHODS, lambda request: Ok(request))
     cases = [
@@ -114,51 +114,51 @@
         read_error(call(body, handlers, method)).field for method, body, _ in cases
     ]
     assert found == [field for _, _, field in cases]
-    assert read_error(call(JOB, form="text/plain")).field == "Content-Type"
+    assert read_error(call(JOB, encoding="text/plain")).field == "Content-Type"
     assert "twice" in read_error(call(b'{"name":"a","name":"b"}')).detail
 
 
 @given(JSON_VALUES, st.sampled_from(sorted(METHODS)), st.data())
 @settings(derandomize=True, deadline=None, max_examples=300)
-def test_any_body_gets_an_answer(value, method, data):
-    """A script with a fault posts anything; the daemon tells it and lives on."""
+def test_any_body_gets_a_response(value, method, data):
+    """Guards against an unhandled exception when a faulty script posts any value."""
     names = [field.name for field in METHODS[method].request.DESCRIPTOR.fields]
     body = {data.draw(st.sampled_from(names)): value} if names else value
     handlers = {method: lambda request: Ok(METHODS[method].response())}
-    answer = call(body, handlers, method)
-    assert answer.status == 200 or read_error(answer).code == "malformed"
+    response = call(body, handlers, method)
+    assert response.status == 200 or read_error(response).code == "malformed"
     raw = data.draw(st.binary(max_size=30))
-    for form in (JSON, BINARY):
-        assert call(raw, handlers, method, form).status in (200, 400)
+    for encoding in (JSON, BINARY):
+        assert call(raw, handlers, method, encoding).status in (200, 400)
 
 
-def test_binary_refuses_unknown_fields_and_answers_in_kind():
+def test_binary_rejects_unknown_fields_and_gets_a_binary_response():
     request = schema.CreateJobRequest(**JOB)
-    answer = call(request.SerializeToString(), form=BINARY)
-    assert schema.CreateJobResponse.FromString(answer.body).job.job_id == "j0"
+    response = call(request.SerializeToString(), encoding=BINARY)
+    assert schema.CreateJobResponse.FromString(response.body).job.job_id == "j0"
     newer = request.SerializeToString() + b"\xf8\x07\x01"
-    assert read_error(call(newer, form=BINARY)).field == "127"
+    assert read_error(call(newer, encoding=BINARY)).field == "127"
 
 
 def test_repeat_with_the_same_id_has_one_effect():
-    """A script's connection breaks after the daemon accepted the job.
+    """Guards against running a job twice when a call is repeated.
 
-    The script sees no answer and repeats the call. Were the repeat a new job, the
-    statements would be billed twice.
+    A connection breaks after the daemon accepted the job, so the script receives no
+    response and repeats the call. As a new job, the statements would be billed twice.
     """
     accepted: dict = {}
-    answers = {call(JOB, accept_job(accepted)).body for _ in range(3)}
-    assert len(answers) == len(accepted) == 1
+    bodies = {call(JOB, accept_job(accepted)).body for _ in range(3)}
+    assert len(bodies) == len(accepted) == 1
 
 
 @pytest.mark.parametrize(
     ("method", "body", "status"), [("CreateJob", JOB, 504), ("Status", {}, 500)]
 )
-def test_fault_of_a_handler_is_never_told_as_not_run(method, body, status):
-    """The daemon appends the job's record and then fails on a fault of its own.
+def test_failure_of_a_handler_is_never_reported_as_not_run(method, body, status):
+    """Guards against running a job twice when its handler fails after the append.
 
-    Told "refused", the operator would send the job again under a new id and it
-    would run twice. A read changes nothing and says so.
+    If that were reported as "refused", the operator would submit the job again with a
+    new id. A call that only reads changes nothing, so it reports an internal error.
     """
 
     def fail(request):
@@ -172,7 +172,7 @@
     st.text(max_size=10),
 )
 @settings(derandomize=True, deadline=None, max_examples=50)
-def test_only_a_call_without_effect_becomes_refused(kind, detail):
+def test_only_a_call_without_effect_is_reported_as_refused(kind, detail):
     error = build_api_error(CallError(kind, "log.append", "log", detail))
     assert (error.code == ErrorCode.REFUSED) == (kind == ErrorKind.UNREACHABLE)
     assert decode_error(encode_error(error)) == error
@@ -180,9 +180,9 @@
 
 def test_conflict_names_the_winning_version():
     error = ApiError(ErrorCode.CONFLICT, "teams.a", winning_version=9)
-    answer = call(JOB, {"CreateJob": lambda request: Err(error)})
-    assert answer.status == 409
-    assert json.loads(answer.body)["winning_version"] == 9
+    response = call(JOB, {"CreateJob": lambda request: Err(error)})
+    assert response.status == 409
+    assert json.loads(response.body)["winning_version"] == 9
 
 
 def test_configuration_values_keep_their_types():
@@ -200,21 +200,21 @@
     assert isinstance(read_changes(seen[0])["teams.a.cores"], int)
 
 
-def test_service_parts_are_bound_to_their_domains():
+def test_jobs_of_a_service_are_constrained_to_their_domains():
     request = schema.CreateServiceRequest(
         name="orders", runners={"tema-harbour": 2, "accra-central": 3}, slots=8
     )
-    parts = list(iter_service_jobs(request, "s1"))
-    assert [(p.id, p.task_count, p.constraints.domains) for p in parts] == [
+    jobs = list(iter_service_jobs(request, "s1"))
+    assert [(job.id, job.task_count, job.constraints.domains) for job in jobs] == [
         ("s1.accra-central", 3, ("accra-central",)),
         ("s1.tema-harbour", 2, ("tema-harbour",)),
     ]
 
 
-def get(app, path, verb="GET", body=b"", **headers):
+def send(app, path, http_method="GET", body=b"", **headers):
     seen = []
     environ = {
-        "REQUEST_METHOD": verb,
+        "REQUEST_METHOD": http_method,
         "PATH_INFO": path,
         "CONTENT_LENGTH": str(len(body)),
         "CONTENT_TYPE": JSON,
@@ -225,20 +225,22 @@
     return int(seen[0][0][:3]), b"".join(parts), seen[0][1]
 
 
-def test_probe_that_fails_tells_so():
-    """An actor hangs, so the readiness check times out; the balancer asks why."""
+def test_failing_probe_is_reported_as_a_reason():
+    """Guards against an error page when a hanging actor makes a probe time out."""
 
-    def hang():
+    def time_out():
         raise TimeoutError
 
     loaded = parse_settings(MINIMAL, "x").unwrap()
-    app = create_app(loaded, {}, Probes(hang, hang, dict), create_meter(Metrics()))
+    app = create_app(
+        loaded, {}, Probes(time_out, time_out, dict), create_meter(Metrics())
+    )
     for path in ("/healthz", "/readyz"):
-        status, body, _ = get(app, path)
+        status, body, _ = send(app, path)
         assert (status, json.loads(body)["ok"]) == (503, False)
 
 
-def test_app_guards_token_and_length_and_tells_readiness():
+def test_app_checks_token_and_length_and_reports_readiness():
     loaded = parse_settings(MINIMAL, "x").unwrap()
     loaded = loaded._replace(limits=loaded.limits._replace(body_bytes=1_024))
     reasons = ["no configuration yet"]
@@ -249,15 +251,15 @@
     token = {"HTTP_AUTHORIZATION": "Bearer 0123456789abcdef"}
     path = "/plantainyard.v1.Operators/CreateJob"
     body = json.dumps(JOB).encode()
-    assert get(app, "/healthz")[0] == 200
-    assert get(app, "/readyz")[0] == 503
+    assert send(app, "/healthz")[0] == 200
+    assert send(app, "/readyz")[0] == 503
     reasons.clear()
-    assert get(app, "/readyz")[0] == 200
-    assert get(app, path, "POST", body)[0] == 401
+    assert send(app, "/readyz")[0] == 200
+    assert send(app, path, "POST", body)[0] == 401
     wrong = {"HTTP_AUTHORIZATION": "Bearer 0123456789abcdeg"}
-    assert get(app, "/dump", **wrong)[0] == 401
-    assert json.loads(get(app, "/dump", **token)[1]) == {"racks": {}}
-    status, _, headers = get(app, path, "POST", body, **token)
+    assert send(app, "/dump", **wrong)[0] == 401
+    assert json.loads(send(app, "/dump", **token)[1]) == {"racks": {}}
+    status, _, headers = send(app, path, "POST", body, **token)
     assert (status, headers["Retry-After"]) == (503, "2")
-    assert get(app, path, "POST", b"x" * 1_025, **token)[0] == 413
-    assert get(app, "/peer/heartbeat", "POST", **token)[0] == 404
+    assert send(app, path, "POST", b"x" * 1_025, **token)[0] == 413
+    assert send(app, "/peer/heartbeat", "POST", **token)[0] == 404
--- a/plantainyard/gateway/__init__.py
+++ b/plantainyard/gateway/__init__.py
@@ -14,13 +14,13 @@
 
 __all__ = [
     "Gateway",
-    "send_credit_request",
     "call_peer",
     "describe_gateway",
     "drain_gateway",
     "is_alive",
+    "post_event",
     "read_free_credits",
     "run_gateway",
+    "send_credit_request",
     "serve_gateway",
-    "post_event",
 ]
--- a/plantainyard/gateway/actor.py
+++ b/plantainyard/gateway/actor.py
@@ -39,16 +39,16 @@
 from plantainyard.settings import Settings
 
 __all__ = [
-    "Gateway",
     "ActionChannel",
+    "Gateway",
     "close_channel",
     "describe_gateway",
     "drain_gateway",
     "is_alive",
     "open_channel",
+    "post_event",
     "read_free_credits",
     "run_gateway",
-    "post_event",
 ]
 
 _TICK_INTERVAL_S = 0.1
--- a/plantainyard/gateway/app.py
+++ b/plantainyard/gateway/app.py
@@ -112,7 +112,7 @@
 
     def handle(incoming: IncomingRequest) -> FinalAnswer:
         if not free_threads.acquire(blocking=False):
-            return _build_full_answer(incoming.request)
+            return _build_overload_answer(incoming.request)
         try:
             return _process_request(gateway, sender, incoming)
         finally:
@@ -239,7 +239,7 @@
     return FinalAnswer(outcome, Reason.ANSWER_LOST, _RETRY_AFTER_S)
 
 
-def _build_full_answer(request: Request) -> FinalAnswer:
+def _build_overload_answer(request: Request) -> FinalAnswer:
     # The id of a non-idempotent request was not checked, so it may have run before.
     outcome = Outcome.REFUSED if request.idempotent else Outcome.UNKNOWN
     return FinalAnswer(outcome, Reason.QUEUE_FULL, _RETRY_AFTER_S)
--- a/plantainyard/gateway/attempts.py
+++ b/plantainyard/gateway/attempts.py
@@ -91,6 +91,17 @@
     ----------
     action : Send
         The request, its runner and its time limits.
+
+    Attributes
+    ----------
+    lock : threading.Lock
+        Guards the other attributes.
+    started_at : float
+        Time at which the thread began to send, or NaN before.
+    is_ended : bool
+        Whether the thread has finished sending.
+    is_abandoned : bool
+        Whether the caller's thread no longer waits for the end.
     """
 
     def __init__(self, action: Send) -> None:
--- a/plantainyard/gateway/routing_settings.py
+++ b/plantainyard/gateway/routing_settings.py
@@ -5,8 +5,8 @@
 
 __all__ = ["build_routing_settings"]
 
-_REQUESTS_PER_CREDIT_TERM = 6.0
-"""Credit requests in the term of one credit, if that is more than one every 0.5 s."""
+_MIN_REQUESTS_PER_CREDIT_TERM = 6.0
+"""Smallest number of credit requests in the term of a credit."""
 
 _BYTES_PER_MB = 1_000_000
 
@@ -26,7 +26,7 @@
     return RoutingSettings(
         credit_s=requests.credit_s,
         credit_request_interval_s=min(
-            0.5, requests.credit_s / _REQUESTS_PER_CREDIT_TERM
+            0.5, requests.credit_s / _MIN_REQUESTS_PER_CREDIT_TERM
         ),
         request_max_s=requests.request_max_s,
         drift=settings.platform.clock_drift,
