--- a/plantainyard/operators/__init__.py
+++ b/plantainyard/operators/__init__.py
@@ -1,4 +1,4 @@
-"""Answers to operators' calls, from the actors of one process."""
+"""Handlers of operators' calls, which query and command the actors of one process."""
 
 from collections.abc import Callable
 from functools import partial
@@ -49,5 +49,5 @@
 
 
 def build_handlers(node: Node) -> Handlers:
-    """Return the handler of each method of the schema."""
+    """Return the handler of each schema method, keyed by method name."""
     return {name: partial(handle, node) for name, handle in _HANDLERS.items()}
--- a/plantainyard/operators/configurations.py
+++ b/plantainyard/operators/configurations.py
@@ -1,4 +1,4 @@
-"""Calls about the configuration."""
+"""Handlers of calls that read or change the configuration."""
 
 from itertools import islice
 from typing import Any
@@ -37,7 +37,10 @@
 def apply_configuration(
     node: Node, request: schema.ApplyConfigurationRequest
 ) -> Result[schema.ApplyConfigurationResponse, ApiError]:
-    """Change the configuration on top of the version that the operator read."""
+    """Append a configuration change that builds on the request's base version.
+
+    A dry run only checks that no key was changed after the base version.
+    """
     view = read_config(node)
     changes = read_changes(request)
     shown = [
@@ -82,7 +85,11 @@
 
 def _build_conflict_error(version: int) -> ApiError:
     return ApiError(
-        ErrorCode.CONFLICT, "a key was changed since", "base_version", 0.0, version
+        ErrorCode.CONFLICT,
+        "a key was changed after the base version",
+        "base_version",
+        0.0,
+        version,
     )
 
 
@@ -98,7 +105,7 @@
 def get_configuration(
     node: Node, request: schema.GetConfigurationRequest
 ) -> Result[schema.GetConfigurationResponse, ApiError]:
-    """Return the values in force here."""
+    """Return the values in force on this instance whose keys have the prefix."""
     view = read_config(node)
     response = schema.GetConfigurationResponse(version=view.version, age_s=view.age_s)
     for key, value in view.values.items():
@@ -110,7 +117,7 @@
 def get_configuration_history(
     node: Node, request: schema.GetConfigurationHistoryRequest
 ) -> Result[schema.GetConfigurationHistoryResponse, ApiError]:
-    """Return accepted changes, newest first."""
+    """Return accepted changes, newest first, up to the requested limit."""
     view = read_config(node)
     has_bound = request.HasField("before_version")
     older = [
@@ -135,7 +142,7 @@
 def get_configuration_status(
     node: Node, request: schema.GetConfigurationStatusRequest
 ) -> Result[schema.GetConfigurationStatusResponse, ApiError]:
-    """Tell where each instance stands, by its newest report."""
+    """Return the configuration version of each instance, from its latest heartbeat."""
     view = read_config(node)
     instances = [_write_own_status(node, view), *_write_peers(node)]
     newest = max(instance.version for instance in instances)
@@ -175,7 +182,7 @@
 def drain(
     node: Node, request: schema.DrainRequest
 ) -> Result[schema.DrainResponse, ApiError]:
-    """Empty an instance or a worker ahead of a planned stop, or take it back."""
+    """Start or undo the draining of an instance or a worker, by configuration."""
     if request.WhichOneof("target") == "instance":
         key = build_instance_draining_key(request.instance)
     else:
--- a/plantainyard/operators/creation.py
+++ b/plantainyard/operators/creation.py
@@ -1,4 +1,8 @@
-"""Calls that accept or cancel work."""
+"""Handlers of calls that accept or cancel work.
+
+A call for another failure domain is forwarded to a live instance of that domain,
+which appends the record to its own log.
+"""
 
 from collections.abc import Callable, Iterable, Iterator
 from functools import partial
@@ -48,7 +52,7 @@
 
 
 def list_workers(node: Node) -> list[WorkerInfo]:
-    """Return the workers that the platform's list does not call gone."""
+    """Return the workers that the platform doesn't list as terminated."""
     return [
         i.worker
         for i in list_instances(node)
@@ -59,7 +63,7 @@
 def create_job(
     node: Node, request: schema.CreateJobRequest
 ) -> Result[schema.CreateJobResponse, ApiError]:
-    """Accept a batch job in its home domain."""
+    """Accept a batch job in its home domain, forwarding the call there if needed."""
     job = read_job(request, make_job_id_stem(request.request_id))
     workers = list_workers(node)
     listed = [i.worker for i in list_instances(node) if i.worker is not None]
@@ -69,14 +73,14 @@
     if home is None:
         failing = check_possible(job, listed) or "constraints"
         return Err(_build_infeasible_error("size", f"no worker meets: {failing}"))
-    named = qualify_request_id(request.request_id, home)
+    qualified_id = qualify_request_id(request.request_id, home)
     if home != node.settings.instance.domain:
         forwarded = schema.CreateJobRequest()
         forwarded.CopyFrom(request)
-        forwarded.request_id = named
+        forwarded.request_id = qualified_id
         return _forward(node, home, "CreateJob", forwarded, schema.CreateJobResponse())
-    job = job._replace(id=f"{make_job_id_stem(named)}.{home}")
-    accepted = _accept(node, named, job, workers, request.dry_run)
+    job = job._replace(id=f"{make_job_id_stem(qualified_id)}.{home}")
+    accepted = _accept(node, qualified_id, job, workers, request.dry_run)
     return accepted.map(lambda part: schema.CreateJobResponse(job=part))
 
 
@@ -87,8 +91,9 @@
 
     Notes
     -----
-    Each part is a record of its own domain. Where one of them is refused or unknown,
-    the error says so and a repeat with the same id completes the rest.
+    Each part is a separate record in the log of its domain. If one of them is refused
+    or its outcome is unknown, the error says so, and a retry with the same request id
+    completes the remaining parts.
     """
     workers = list_workers(node)
     if not workers:
@@ -118,8 +123,8 @@
 ) -> Result[schema.AcceptedJob, ApiError]:
     (domain,) = part.constraints.domains
     if domain == node.settings.instance.domain:
-        named = qualify_request_id(request.request_id, domain)
-        return _accept(node, named, part, workers, request.dry_run)
+        qualified_id = qualify_request_id(request.request_id, domain)
+        return _accept(node, qualified_id, part, workers, request.dry_run)
     forwarded = schema.CreateServiceRequest()
     forwarded.CopyFrom(request)
     for other in [d for d in forwarded.runners if d != domain]:
@@ -164,18 +169,19 @@
 
 
 def _build_unread_list_error() -> ApiError:
-    detail = "the platform's list is not read yet"
+    detail = "the platform's list of workers has not been read yet"
     return ApiError(ErrorCode.REFUSED, detail, retry_after_s=_RETRY_AFTER_S)
 
 
 def _mark_partial_success(error: ApiError, done: list[str]) -> ApiError:
-    """Return the error of a call that took effect in some domains already.
+    """Return the error of a call that has already taken effect in the domains `done`.
 
     Notes
     -----
-    Guards against "nothing was done" where a part runs: the operator would send the
-    work again under another id. Told as unknown, the repeat has the same id and
-    completes the rest.
+    Guards against reporting that nothing was done while a part is running: the
+    operator would resubmit the work under another request id and run it twice. With
+    the code ``unknown``, the operator retries with the same request id, which
+    completes the remaining parts.
     """
     if not done:
         return error
@@ -192,7 +198,7 @@
 def cancel_jobs(
     node: Node, request: schema.CancelJobsRequest
 ) -> Result[schema.CancelJobsResponse, ApiError]:
-    """Cancel jobs, with one record in each of their home domains."""
+    """Cancel jobs, with one record for each of their home domains."""
     groups = groupby(sorted(request.job_ids, key=parse_home_domain), parse_home_domain)
     cancelled: list[schema.CancelledJob] = []
     for domain, jobs in groups:
@@ -213,8 +219,8 @@
             node, domain, "CancelJobs", forwarded, schema.CancelJobsResponse()
         )
         return result.map(lambda response: list(response.jobs))
-    over = query(node.domain, partial(_find_ended, jobs))
-    missing = [job for job in jobs if over[job] is None]
+    ended = query(node.domain, partial(_find_ended, jobs))
+    missing = [job for job in jobs if ended[job] is None]
     if missing:
         return Err(ApiError(ErrorCode.NOT_FOUND, missing[0], "job_ids"))
     record = log_state.make_cancel(qualify_request_id(request_id, domain), jobs)
@@ -222,7 +228,7 @@
     error = build_append_error(report)
     if error is not None:
         return Err(error)
-    return Ok(list(_iter_cancelled(jobs, domain, report.offset, over.__getitem__)))
+    return Ok(list(_iter_cancelled(jobs, domain, report.offset, ended.__getitem__)))
 
 
 def _find_ended(jobs: list[str], actor: Any, _: float) -> dict[str, bool | None]:
@@ -237,9 +243,9 @@
 
 
 def _iter_cancelled(
-    jobs: list[str], domain: str, offset: int, was_over: Callable[[str], bool | None]
+    jobs: list[str], domain: str, offset: int, has_ended: Callable[[str], bool | None]
 ) -> Iterator[schema.CancelledJob]:
     for job in jobs:
         yield schema.CancelledJob(
-            job_id=job, domain=domain, offset=offset, was_over=bool(was_over(job))
+            job_id=job, domain=domain, offset=offset, was_over=bool(has_ended(job))
         )
--- a/plantainyard/operators/explanation.py
+++ b/plantainyard/operators/explanation.py
@@ -1,4 +1,4 @@
-"""The call that explains one task's place: why this worker, why not that one."""
+"""Handler of the call that explains why a task was or wasn't placed on a worker."""
 
 from functools import partial
 from typing import Any
@@ -24,19 +24,20 @@
 def explain_task(
     node: Node, request: schema.ExplainTaskRequest
 ) -> Result[schema.ExplainTaskResponse, ApiError]:
-    """Tell why a task is where it is; the owner of its rack is asked.
+    """Explain the placement of a task, as decided by the owner of its rack.
 
     Notes
     -----
-    Guards against two instances that each take the other for the owner, one having
-    read further in the log: they would pass the call to and fro until neither had a
-    thread left for heartbeats. A relayed call is answered from what is known here.
+    Guards against a forwarding loop between two instances that each believe that the
+    other owns the rack, because one has read further in the log: the loop would take
+    up all their threads and leave none for heartbeats. A relayed call is therefore
+    answered from this instance's own state.
     """
     domain = parse_home_domain(request.job_id)
     if domain != node.settings.instance.domain:
         peer = find_peer(node, domain)
         if peer is None:
-            detail = f"{domain or 'the home domain'} is not heard from"
+            detail = f"no live instance of {domain or 'the home domain'}"
             return Err(
                 ApiError(ErrorCode.REFUSED, detail, retry_after_s=_RETRY_AFTER_S)
             )
@@ -67,13 +68,13 @@
 def find_task_rack(
     state: log_state.DomainState, entry: log_state.JobState, task: TaskKey
 ) -> str:
-    """Return the rack that answers for a task; empty for one that has ended."""
+    """Return the rack that a task belongs to, or an empty string if it has ended."""
     assigned = (r for r, tasks in state.assigned.items() if task in tasks)
-    fresh = (
+    unattempted = (
         r for r, ranges in entry.unattempted.items() if has_number(ranges, task.number)
     )
     retries = (r for r, numbers in entry.retries.items() if task.number in numbers)
-    return next((r for racks in (assigned, fresh, retries) for r in racks), "")
+    return next((r for racks in (assigned, unattempted, retries) for r in racks), "")
 
 
 def _explain(task: TaskKey, actor: Any, _: float) -> schema.ExplainTaskResponse | None:
--- a/plantainyard/operators/home_domains.py
+++ b/plantainyard/operators/home_domains.py
@@ -1,4 +1,8 @@
-"""Which failure domain decides on a job, and how its tasks are divided over racks."""
+"""Choice of a job's home domain, and division of its tasks among the racks there.
+
+The home domain is the failure domain that decides on a job. It follows from the
+request id, so that retries at any instance reach the same domain.
+"""
 
 from collections.abc import Iterable, Mapping
 
@@ -22,46 +26,46 @@
 
 
 def list_eligible_domains(job: Job, workers: Iterable[WorkerInfo]) -> list[str]:
-    """Return the failure domains that have a worker for the job, sorted.
+    """Return the failure domains with a worker that could run the job, sorted.
 
     Parameters
     ----------
     job : Job
         The job.
     workers : iterable of WorkerInfo
-        All workers that are listed, those that are gone included: the choice of a home
-        must not change because a domain's workers are away for a while.
+        All listed workers, including terminated ones: the choice of a home domain
+        must not change because a domain's workers are temporarily unavailable.
     """
     return sorted({w.domain for w in workers if check_worker(job, w) is None})
 
 
 def choose_home_domain(request_id: str, allowed: Iterable[str]) -> str | None:
-    """Return the domain that decides on a request, None where none is allowed.
+    """Return the home domain of a request, or None if no domain is eligible.
 
     Notes
     -----
-    It follows from the id alone, so that a repeat at any instance finds the first
-    acceptance: a choice by load would accept the same work in two domains. It still
-    rests on the platform's list: a domain that is new on it changes the choice for
-    ids without a prefix.
+    The choice depends on the request id and not on load, so that a retry at any
+    instance finds the first acceptance: a choice by load could accept the same work
+    in two domains. It also depends on the platform's list: a newly listed domain
+    changes the choice for ids without a domain prefix.
     """
     names = list(allowed)
     return find_home_domain(request_id, names) if names else None
 
 
 def qualify_request_id(request_id: str, home: str) -> str:
-    """Return the request id with its home as prefix, as the log keeps it."""
+    """Return the request id prefixed with its home domain, as stored in the log."""
     prefix = f"{home}."
     return request_id if request_id.startswith(prefix) else prefix + request_id
 
 
 def make_job_id_stem(request_id: str) -> str:
-    """Return the stem of a job's id; the domain's name is added after a dot."""
+    """Return the stem of a job id, to which a dot and the domain's name are added."""
     return xxhash.xxh3_64_hexdigest(request_id.encode())[:_STEM_DIGITS]
 
 
 def parse_home_domain(job_id: str) -> str:
-    """Return the home domain that a job's id names.
+    """Return the home domain that a job id ends with.
 
     Examples
     --------
@@ -74,7 +78,7 @@
 def allot_tasks(
     job: Job, workers: Iterable[WorkerInfo], share: Size | None = None
 ) -> tuple[dict[str, int], str]:
-    """Divide a job's tasks over the racks of its home domain.
+    """Divide a job's tasks among the racks of its home domain.
 
     Parameters
     ----------
@@ -83,14 +87,14 @@
     workers : iterable of WorkerInfo
         All workers of the domain.
     share : Size, optional
-        The team's quota in one rack.
+        The team's share of its quota in one rack.
 
     Returns
     -------
     tuple of dict and str
         Number of tasks for each rack, in proportion to the cores of the racks that
-        can run one; or the constraint that no rack can meet. A gang goes to the rack
-        with the most cores as a whole.
+        can run a task, and an empty string; or an empty dict and the constraint that
+        no rack can meet. A gang is placed as a whole in the rack with the most cores.
     """
     racks: dict[str, list[WorkerInfo]] = {}
     for worker in workers:
@@ -114,7 +118,7 @@
     total = sum(weights.values())
     exact = {rack: count * weight / total for rack, weight in weights.items()}
     parts = {rack: int(value) for rack, value in exact.items()}
-    by_rest = sorted(weights, key=lambda rack: (parts[rack] - exact[rack], rack))
-    for rack in by_rest[: count - sum(parts.values())]:
+    by_remainder = sorted(weights, key=lambda rack: (parts[rack] - exact[rack], rack))
+    for rack in by_remainder[: count - sum(parts.values())]:
         parts[rack] += 1
     return {rack: part for rack, part in parts.items() if part}
--- a/plantainyard/operators/listing.py
+++ b/plantainyard/operators/listing.py
@@ -1,4 +1,4 @@
-"""Calls that tell about work: lists, one job, teams."""
+"""Handlers of calls that list jobs, describe one job and list teams."""
 
 import math
 from collections.abc import Iterable, Iterator
@@ -32,14 +32,14 @@
 _DEFAULT_PAGE_SIZE = 100
 _DEFAULT_PLACES = 100
 _MAX_PAGE_SIZE = 1000
-# Age that is told of a domain that could not be asked at all.
 _UNKNOWN_AGE_S = 1e9
+"""Age reported for a domain that can't be queried at all."""
 
 
 def list_jobs(
     node: Node, request: schema.ListJobsRequest
 ) -> Result[schema.ListJobsResponse, ApiError]:
-    """List jobs of all domains that are heard from, by id."""
+    """List the matching jobs of all reachable domains, sorted by id."""
     own = node.settings.instance.domain
     wanted = {request.domain} if request.domain else _list_domains(node)
     size = request.page_size or _DEFAULT_PAGE_SIZE
@@ -74,11 +74,11 @@
     peer = find_peer(node, domain)
     if peer is None:
         return None
-    asked = schema.ListJobsRequest()
-    asked.CopyFrom(request)
-    asked.domain = domain
-    asked.page_size = _MAX_PAGE_SIZE
-    answer = forward_call(node, peer, "ListJobs", asked, schema.ListJobsResponse())
+    forwarded = schema.ListJobsRequest()
+    forwarded.CopyFrom(request)
+    forwarded.domain = domain
+    forwarded.page_size = _MAX_PAGE_SIZE
+    answer = forward_call(node, peer, "ListJobs", forwarded, schema.ListJobsResponse())
     return None if isinstance(answer, Err) else answer.ok_value
 
 
@@ -105,7 +105,7 @@
     actor: Any, entry: log_state.JobState | log_state.JobSummary
 ) -> schema.JobSummary:
     counts = log_state.count_tasks(entry)
-    shown = schema.TaskCounts(
+    task_counts = schema.TaskCounts(
         waiting=counts.waiting + counts.failed,
         assigned=counts.assigned,
         done=counts.done,
@@ -113,7 +113,7 @@
     )
     domain = actor.node.settings.instance.domain
     if isinstance(entry, log_state.JobSummary):
-        ended = (
+        final_state = (
             schema.JOB_STATE_CANCELLED if counts.cancelled else schema.JOB_STATE_DONE
         )
         return schema.JobSummary(
@@ -121,11 +121,11 @@
             name=entry.name,
             team=entry.team,
             kind=_get_kind(entry.latency_critical),
-            state=ended,
+            state=final_state,
             domain=domain,
-            counts=shown,
+            counts=task_counts,
         )
-    shown.failures = sum(failure.failures for failure in entry.failures.values())
+    task_counts.failures = sum(failure.failures for failure in entry.failures.values())
     job = entry.job
     return schema.JobSummary(
         job_id=job.id,
@@ -134,7 +134,7 @@
         kind=_get_kind(job.latency_critical),
         state=_determine_state(entry),
         domain=domain,
-        counts=shown,
+        counts=task_counts,
         reason=_find_reason(actor, job.id),
         urgent=job.urgent,
     )
@@ -153,14 +153,14 @@
 
 
 def _find_reason(actor: Any, job_id: str) -> str:
-    held = (term.plan.reasons.get(job_id) for term in actor.node.terms.values())
-    return next((h.reason for h in held if h is not None), "")
+    reasons = (term.plan.reasons.get(job_id) for term in actor.node.terms.values())
+    return next((found.reason for found in reasons if found is not None), "")
 
 
 def describe_job(
     node: Node, request: schema.DescribeJobRequest
 ) -> Result[schema.DescribeJobResponse, ApiError]:
-    """Tell all about one job; the owner of one of its racks is asked."""
+    """Describe one job, preferably from the owner of a rack where its tasks wait."""
     domain = parse_home_domain(request.job_id)
     if domain != node.settings.instance.domain:
         peer = find_peer(node, domain)
@@ -172,8 +172,9 @@
     if response is None:
         return Err(ApiError(ErrorCode.NOT_FOUND, "no such job", "job_id"))
     owners = {share.owner for share in response.racks if share.waiting}
-    # Two instances may each take the other for the owner, one having read further in
-    # the log: they would pass the call to and fro until neither had a thread left.
+    # Two instances may each believe that the other is the owner, because one has read
+    # further in the log: they would forward the call to each other until neither had
+    # a free thread. A relayed call is therefore answered here.
     if not owners or node.name in owners or request.relayed:
         return Ok(response)
     owner = next(
@@ -274,7 +275,7 @@
 def list_teams(
     node: Node, request: schema.ListTeamsRequest
 ) -> Result[schema.ListTeamsResponse, ApiError]:
-    """List teams with their quotas, and their use in this failure domain."""
+    """List teams with their quotas and their resource usage in this failure domain."""
     view = read_config(node)
     quotas = read_quotas(view.values)
     used = query(node.domain, _sum_usage_by_team)
@@ -330,7 +331,7 @@
 
 
 def _write_quota(quota: Size | None) -> schema.Size | None:
-    """Return a quota's message; an unlimited resource is left at zero."""
+    """Return the message of a quota, with 0 for an unlimited resource."""
     if quota is None:
         return None
     limited = [value if math.isfinite(value) else 0 for value in quota]
--- a/plantainyard/operators/node.py
+++ b/plantainyard/operators/node.py
@@ -1,4 +1,4 @@
-"""What the handlers of operators' calls reach in their process."""
+"""Access of the handlers of operators' calls to the actors and peers of a process."""
 
 import concurrent.futures
 import uuid
@@ -66,15 +66,16 @@
     name : str
         Name of this process in claims.
     domain, config, peers, lender : pykka.ActorRef
-        The actors.
+        Actors of the domain's stream, the configuration, the peers and the lending of
+        slots.
     gateway : Gateway
-        The callers' side.
+        Serves callers' requests.
     pool : urllib3.PoolManager
-        Shared connections.
+        Shared connection pool.
     meter : Meter
-        Metrics.
+        Records metrics.
     started_at : float
-        Clock at the start.
+        Reading of `read_clock` when the process started, in seconds.
     """
 
     settings: Settings
@@ -90,68 +91,71 @@
 
 
 def ask_actor(ref: pykka.ActorRef[Any], message: Any) -> Any:
-    """Return an actor's answer to `message`."""
+    """Return an actor's reply to `message`."""
     return ref.ask(message, timeout=_QUERY_TIMEOUT_S)
 
 
 def query(ref: pykka.ActorRef[Any], read: Any) -> Any:
-    """Run `read` on an actor's state and return its plain values."""
+    """Return the result of `read`, called in an actor with the actor and its clock.
+
+    It must hold plain values only, and nothing that the actor goes on changing.
+    """
     return ask_actor(ref, Query(read))
 
 
 def read_config(node: Node) -> ConfigView:
-    """Return the configuration in force here."""
+    """Return the configuration in force on this instance."""
     view: Any = node.config.ask(ReadConfig(), timeout=_QUERY_TIMEOUT_S)
     return cast(ConfigView, view)
 
 
 def list_peers(node: Node) -> tuple[PeerView, ...]:
-    """Return what is known of the other instances."""
+    """Return the current view of each other instance."""
     views: tuple[PeerView, ...] = query(node.peers, read_peers)
     return views
 
 
 def list_instances(node: Node) -> tuple[Instance, ...]:
-    """Return the platform's list as it was last read."""
+    """Return the platform's list of instances as last read."""
     instances: tuple[Instance, ...] = query(node.peers, lambda a, _: a.instances)
     return instances
 
 
 def find_peer(node: Node, domain: str) -> PeerView | None:
-    """Return an instance of `domain` to pass a call on to, the last heard first."""
+    """Return the live instance of `domain` with the latest heartbeat, or None."""
     peers = [p for p in list_peers(node) if p.domain == domain and p.is_live]
     return max(peers, key=lambda peer: peer.heard_at, default=None)
 
 
 def build_unreachable_error(node: Node, domain: str) -> ApiError:
-    """Return the error for a domain of which no instance is heard from."""
+    """Return the error for a call to a domain without a live instance."""
     if any(instance.domain == domain for instance in list_instances(node)):
-        detail = f"no instance of {domain} is heard from"
+        detail = f"no live instance of {domain}"
         return ApiError(ErrorCode.REFUSED, detail, retry_after_s=_RETRY_AFTER_S)
     return ApiError(ErrorCode.NOT_FOUND, f"no failure domain {domain!r}", "job_id")
 
 
 def make_url(address: str) -> str:
-    """Return `address` as a URL."""
+    """Return `address` as a URL, with the scheme ``http`` unless it has one."""
     return address if "://" in address else f"http://{address}"
 
 
 def submit_and_wait(
     ref: pykka.ActorRef[Any], record: Mapping[str, Any]
 ) -> log_state.AppendReport:
-    """Append `record` and wait for what becomes of it.
+    """Append `record` to the actor's log and wait for the outcome.
 
     Returns
     -------
     AppendReport
-        Of status ``unknown`` where that isn't settled in time. Nothing is said to be
-        "not run" that may still take effect.
+        Its status is ``unknown`` if the outcome isn't known in time. A record that may
+        still take effect is never reported as ``not_run``.
     """
     settled: concurrent.futures.Future[log_state.AppendReport] = (
         concurrent.futures.Future()
     )
 
-    def take(report: log_state.AppendReport) -> None:
+    def settle(report: log_state.AppendReport) -> None:
         final = report.status != log_state.AppendStatus.UNKNOWN
         if final and not settled.done():
             settled.set_result(report)
@@ -159,7 +163,7 @@
     key = uuid.uuid4().hex
     expires_at = read_clock() + _APPEND_TIMEOUT_S
     submit = log_state.Submit(record, key, expires_at)
-    ref.tell(SubmitRecord(submit, take))
+    ref.tell(SubmitRecord(submit, settle))
     try:
         return settled.result(_REPORT_TIMEOUT_S)
     except concurrent.futures.TimeoutError:
@@ -167,47 +171,51 @@
 
 
 def build_append_error(report: log_state.AppendReport) -> ApiError | None:
-    """Return the error that an append's report means, None where it took effect."""
+    """Return the error for an append's report, or None if the record took effect."""
     match report.status:
         case log_state.AppendStatus.APPLIED:
             return None
         case log_state.AppendStatus.VOID:
             return ApiError(
                 ErrorCode.CONFLICT,
-                "another change came first",
+                "another change was accepted first",
                 winning_version=report.offset,
             )
         case log_state.AppendStatus.NOT_RUN:
             pause = report.retry_after_s or _RETRY_AFTER_S
-            return ApiError(ErrorCode.REFUSED, _explain(report), retry_after_s=pause)
+            return ApiError(
+                ErrorCode.REFUSED, _describe_refusal(report), retry_after_s=pause
+            )
     return ApiError(
-        ErrorCode.UNKNOWN, "the log has not said yet", retry_after_s=_RETRY_AFTER_S
+        ErrorCode.UNKNOWN,
+        "the log has not confirmed the record yet",
+        retry_after_s=_RETRY_AFTER_S,
     )
 
 
-def _explain(report: log_state.AppendReport) -> str:
+def _describe_refusal(report: log_state.AppendReport) -> str:
     if report.result is None:
-        return "the log took no record"
+        return "the log did not accept the record"
     return report.result.detail or report.result.reason or "abandoned"
 
 
 def forward_call(
     node: Node, peer: PeerView, method: str, request: Message, response: Message
 ) -> Result[Any, ApiError]:
-    """Pass an operator's call on to another instance, once.
+    """Forward an operator's call to another instance, without retries.
 
     Parameters
     ----------
     node : Node
         This process.
     peer : PeerView
-        The instance that is to answer.
+        The instance to forward to.
     method : str
         Name of the method.
     request : Message
-        The call.
+        Request of the call.
     response : Message
-        An empty response, filled from the answer.
+        An empty response message, which is filled and returned.
     """
     target = build_peer(
         make_url(peer.control_address), node.pool, _REPORT_TIMEOUT_S + 1.0
--- a/plantainyard/operators/status.py
+++ b/plantainyard/operators/status.py
@@ -1,4 +1,4 @@
-"""Calls about the answering process: its status, readiness and whole state."""
+"""Health, readiness, status and full state of this process."""
 
 import json
 from collections.abc import Mapping
@@ -30,12 +30,12 @@
 
 
 def find_faults(node: Node) -> list[str]:
-    """Return why the process should be replaced; empty when it is well.
+    """Return the reasons to replace the process, empty if it is healthy.
 
     Notes
     -----
-    Guards against a process that is left half alive: an actor that died takes no
-    messages, its duty rests, and every other part still looks well.
+    Guards against a process that keeps running after one of its actors has died: the
+    actor no longer handles messages, while all other parts still look healthy.
     """
     actors = {
         "domain": node.domain,
@@ -50,7 +50,7 @@
 
 
 def list_unready_reasons(node: Node) -> list[str]:
-    """Return why the balancer should send callers elsewhere; empty when ready."""
+    """Return why the load balancer should avoid this instance, empty if it is ready."""
     faults = find_faults(node)
     if faults:
         return faults
@@ -71,10 +71,10 @@
 def get_status(
     node: Node, request: schema.StatusRequest
 ) -> Result[schema.StatusResponse, ApiError]:
-    """Tell how this instance is."""
+    """Return the status of this instance, its racks and its peers."""
     instance = node.settings.instance
     view = read_config(node)
-    waits = list_unready_reasons(node)
+    unready_reasons = list_unready_reasons(node)
     described = describe_gateway(node.gateway)
     age_s = query(
         node.domain,
@@ -86,8 +86,8 @@
             region=instance.region,
             domain=instance.domain,
             software_version=__version__,
-            ready=not waits,
-            not_ready_reasons=waits,
+            ready=not unready_reasons,
+            not_ready_reasons=unready_reasons,
             uptime_s=read_clock() - node.started_at,
             configuration_version=view.version,
             configuration_age_s=view.age_s,
@@ -120,7 +120,7 @@
 
 
 def describe_state(node: Node) -> Mapping[str, Any]:
-    """Return the whole state of the process, without secrets."""
+    """Return the full state of the process as plain values, without secrets."""
     view = read_config(node)
     state = {
         "instance": node.settings.instance._asdict(),
@@ -134,22 +134,22 @@
         "gateway": describe_gateway(node.gateway),
         "metrics": describe_meter(node.meter),
     }
-    # Infinities and tuples are not JSON; what a person reads is.
-    shown: dict[str, Any] = json.loads(
+    # Tuples become lists and infinities become strings, which JSON can represent.
+    plain: dict[str, Any] = json.loads(
         json.dumps(state, default=str), parse_constant=str
     )
-    return shown
+    return plain
 
 
 def _dump_peer(peer: Any) -> dict[str, Any]:
-    beat = peer.heartbeat._asdict() if peer.heartbeat else None
-    return {**peer._asdict(), "heartbeat": beat}
+    heartbeat = peer.heartbeat._asdict() if peer.heartbeat else None
+    return {**peer._asdict(), "heartbeat": heartbeat}
 
 
 def dump(
     node: Node, request: schema.DumpRequest
 ) -> Result[schema.DumpResponse, ApiError]:
-    """Return the whole state of the process."""
+    """Return the response with the full state of the process."""
     response = schema.DumpResponse()
     json_format.ParseDict(dict(describe_state(node)), response.state)
     return Ok(response)
--- a/plantainyard/operators/tests/test_creation.py
+++ b/plantainyard/operators/tests/test_creation.py
@@ -1,3 +1,5 @@
+"""Accepting a service of which only some domains answer."""
+
 import uuid
 from typing import Any, cast
 
@@ -11,10 +13,11 @@
 WORKERS = [WorkerInfo(f"w-{d}", "", "r", d, d, Size(8, 8)) for d in ("a", "b")]
 
 
-def test_service_accepted_in_part_is_not_told_as_refused(monkeypatch):
-    # A service of two domains: the first accepts its part, the second can't be reached.
-    # The operator is told "nothing was done" and creates it again under another id;
-    # the first domain then runs twice as many runners.
+def test_partially_accepted_service_is_not_reported_as_refused(monkeypatch):
+    # Guards against an error that claims that nothing was done after the first of two
+    # domains accepted its part and the second could not be reached: the operator would
+    # create the service again under another id, and the first domain would run twice
+    # as many runners.
     answers = iter(
         [Ok(schema.AcceptedJob(domain="a")), Err(ApiError("refused", "cut"))]
     )
--- a/plantainyard/operators/tests/test_explanation.py
+++ b/plantainyard/operators/tests/test_explanation.py
@@ -1,4 +1,4 @@
-"""Explaining a task: found where it is, and asked of its rack's owner once."""
+"""Explaining a task: finding its rack, and forwarding to the rack's owner once."""
 
 from types import SimpleNamespace
 from typing import Any
@@ -29,7 +29,7 @@
 
 
 def build_node(name: str, other: str) -> Any:
-    """Return an instance that takes `other` for the owner of rack r1."""
+    """Return an instance that believes that `other` owns rack r1."""
     domain = SimpleNamespace(name=name, terms={}, domain=build_state(other))
     domain.settings = SimpleNamespace(instance=SimpleNamespace(domain="a"))
     peer = SimpleNamespace(is_live=True, process=other)
@@ -42,6 +42,7 @@
 
 
 def test_task_is_found_in_its_rack():
+    """Guards against attributing a waiting or assigned task to another rack."""
     state = build_state("x", assigned=[0])
     entry = log_state.get_job(state, JOB.id)
     assert isinstance(entry, log_state.JobState)
@@ -58,21 +59,24 @@
         (listing, "describe_job", schema.DescribeJobRequest),
     ],
 )
-def test_call_is_passed_on_to_an_owner_once(monkeypatch, module, handle, request_class):
-    """An operator asks about a task while its rack changes hands.
+def test_call_is_forwarded_to_an_owner_only_once(
+    monkeypatch, module, handle, request_class
+):
+    """Guards against a forwarding loop while the ownership of a rack changes.
 
-    A takes B for the owner; B has read further and takes A for it. The call goes to
-    and fro until neither has a thread left for heartbeats, and both count as dead.
+    A believes that B is the owner; B has read further in the log and believes that A
+    is. A loop would take up the threads of both, so that neither could send heartbeats
+    and both would count as dead.
     """
     nodes = {"A": build_node("A", "B"), "B": build_node("B", "A")}
     calls: list[str] = []
 
-    def pass_on(node, peer, method, request, response):
+    def forward(node, peer, method, request, response):
         calls.append(peer.process)
         assert len(calls) < 10
         return getattr(module, handle)(nodes[peer.process], request)
 
-    monkeypatch.setattr(module, "forward_call", pass_on)
+    monkeypatch.setattr(module, "forward_call", forward)
     monkeypatch.setattr(module, "list_peers", lambda node: node.listed)
     monkeypatch.setattr(module, "query", lambda actor, read: read(actor, 0.0))
     monkeypatch.setattr(listing, "_read_age", lambda actor, now: 0.0)
--- a/plantainyard/operators/tests/test_home_domains.py
+++ b/plantainyard/operators/tests/test_home_domains.py
@@ -1,3 +1,5 @@
+"""Choice of the home domain and division of tasks among racks."""
+
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -22,10 +24,10 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.text("abc0123", min_size=8, max_size=20))
-def test_repeat_of_a_request_finds_the_same_home(request_id):
-    # A call's answer is lost and the operator repeats it at another instance, in
-    # another domain. A home that followed from anything but the id would accept the
-    # same work in two domains.
+def test_retry_of_a_request_finds_the_same_home_domain(request_id):
+    # Guards against accepting the same work in two domains when the response is lost
+    # and the operator retries at an instance in another domain: the home domain must
+    # follow from the request id alone.
     allowed = list_eligible_domains(_job(), WORKERS)
     home = choose_home_domain(request_id, allowed)
     assert home in allowed
@@ -37,6 +39,8 @@
 @settings(derandomize=True, deadline=None)
 @given(st.integers(1, 80), st.integers(1, 500), st.booleans())
 def test_all_tasks_are_allotted_where_they_fit(cores, tasks, gang):
+    # Guards against tasks lost or added by rounding, and against racks that can't
+    # run them.
     allotment, failing = allot_tasks(_job(cores, tasks, gang=gang), WORKERS)
     if failing:
         assert not allotment
@@ -55,5 +59,6 @@
         (Constraints(accelerator="gpu"), []),
     ],
 )
-def test_homes_meet_the_constraints(limits, expected):
+def test_eligible_domains_meet_the_constraints(limits, expected):
+    # Guards against a home domain in which no worker may run the job.
     assert list_eligible_domains(_job(constraints=limits), WORKERS) == expected
