--- a/plantainyard/operators/listing.py
+++ b/plantainyard/operators/listing.py
@@ -153,7 +153,7 @@
 
 
 def _find_reason(actor: Any, job_id: str) -> str:
-    reasons = (term.plan.reasons.get(job_id) for term in actor.node.terms.values())
+    reasons = (term.plan.wait_reasons.get(job_id) for term in actor.node.terms.values())
     return next((found.reason for found in reasons if found is not None), "")
 
 
