--- a/plantainyard/gateway/peers.py
+++ b/plantainyard/gateway/peers.py
@@ -24,7 +24,7 @@
 _REFUSED_STATUSES = frozenset({400, 401, 403, 404, 405, 413, 429, 503})
 """HTTP statuses with which a peer says that it did not act on the request."""
 
-_T = TypeVar("_T")
+_ResponseT = TypeVar("_ResponseT")
 
 
 def call_peer(
@@ -32,9 +32,9 @@
     token: str,
     path: str,
     message: Message,
-    expected: type[_T],
+    expected: type[_ResponseT],
     timeout_s: float,
-) -> Result[_T, CallError]:
+) -> Result[_ResponseT, CallError]:
     """Send `message` to a peer, without retries, and return its response.
 
     Parameters
