--- a/plantainyard/commands/__init__.py
+++ b/plantainyard/commands/__init__.py
@@ -1,4 +1,4 @@
-"""The command-line tool: subcommands over the operators' schema."""
+"""The command-line tool, whose subcommands call the operators' interface."""
 
 from plantainyard.commands.context import Context, create_context
 from plantainyard.commands.exit_codes import EXIT_MEANINGS, ExitCode
--- a/plantainyard/commands/access.py
+++ b/plantainyard/commands/access.py
@@ -1,7 +1,7 @@
-"""Where the tool finds the instances' addresses and the token.
+"""Lookup of the instances' addresses and the token.
 
-Flags go before the environment, and the environment before the profile, a TOML
-file with the keys ``addresses`` and ``token`` or ``token_file``.
+Flags take precedence over the environment, and the environment over the profile, a
+TOML file with the keys ``addresses`` and ``token`` or ``token_file``.
 """
 
 import tomllib
@@ -25,14 +25,14 @@
 
 
 class Access(NamedTuple):
-    """How to reach the instances.
+    """Addresses of the instances, and the token to authenticate with.
 
     Attributes
     ----------
     addresses : tuple of str
         Base URLs of control addresses, tried in this order.
     token : Secret
-        Shown to each of them.
+        Sent to each of them.
     """
 
     addresses: tuple[str, ...]
@@ -45,27 +45,29 @@
     profile_path: str,
     environ: Mapping[str, str],
 ) -> Result[Access, str]:
-    """Return the access that flags, environment and profile give.
+    """Return the access configured by flags, the environment and the profile.
 
     Parameters
     ----------
     addresses, token_file, profile_path
-        Flags; empty where not given.
+        Values of the flags, empty if not given.
     environ : mapping
-        The environment's variables.
+        Environment variables.
 
     Returns
     -------
     Ok or Err
-        Err holds one line that says what is missing or wrong.
+        Err holds one line that says what is missing or invalid.
     """
     loaded = _load_profile(profile_path, environ)
     if isinstance(loaded, Err):
         return loaded
     profile = loaded.ok_value
-    listed = [part for part in environ.get(ENV_ADDRESSES, "").split(",") if part]
-    chosen = list(addresses) or listed or profile.get("addresses", [])
-    if not chosen:
+    from_environment = [
+        part for part in environ.get(ENV_ADDRESSES, "").split(",") if part
+    ]
+    selected = list(addresses) or from_environment or profile.get("addresses", [])
+    if not selected:
         return Err(
             f"no address of an instance: give --address=IP:PORT, set {ENV_ADDRESSES} "
             "or write 'addresses' into the profile"
@@ -73,46 +75,49 @@
     token = _find_token(token_file, environ, profile)
     if isinstance(token, Err):
         return token
-    bases = (a if "://" in a else HTTP_SCHEME + a for a in chosen)
-    return Ok(Access(tuple(base.rstrip("/") for base in bases), token.ok_value))
+    base_urls = (a if "://" in a else HTTP_SCHEME + a for a in selected)
+    return Ok(
+        Access(tuple(base_url.rstrip("/") for base_url in base_urls), token.ok_value)
+    )
 
 
 def _load_profile(path: str, environ: Mapping[str, str]) -> Result[dict[str, Any], str]:
-    named = path or environ.get(ENV_PROFILE, "")
-    place = (
-        Path(named) if named else Path(environ.get("HOME", "/")) / DEFAULT_PROFILE_PATH
+    given = path or environ.get(ENV_PROFILE, "")
+    location = (
+        Path(given) if given else Path(environ.get("HOME", "/")) / DEFAULT_PROFILE_PATH
     )
-    if not named and not place.is_file():
+    if not given and not location.is_file():
         return Ok({})
     try:
-        profile = tomllib.loads(place.read_text("utf-8"))
+        profile = tomllib.loads(location.read_text("utf-8"))
     except OSError as error:
-        return Err(f"{place}: {error.strerror}")
+        return Err(f"{location}: {error.strerror}")
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        return Err(f"{place}: expected well-formed TOML, got: {error}")
+        return Err(f"{location}: expected well-formed TOML, got: {error}")
     unknown = sorted(profile.keys() - set(PROFILE_KEYS))
     if unknown:
         known = ", ".join(PROFILE_KEYS)
-        return Err(f"{place}: {unknown[0]}: no such key; known are {known}")
+        return Err(f"{location}: {unknown[0]}: no such key; known are {known}")
     addresses = profile.get("addresses", [])
     if not isinstance(addresses, list) or not all(
         isinstance(address, str) for address in addresses
     ):
-        return Err(f"{place}: addresses: expected a list of strings")
+        return Err(f"{location}: addresses: expected a list of strings")
     for key in ("token", "token_file"):
         if not isinstance(profile.get(key, ""), str):
-            return Err(f"{place}: {key}: expected a string")
+            return Err(f"{location}: {key}: expected a string")
     if "token_file" in profile:
-        profile["token_file"] = str(place.parent / profile["token_file"])
+        profile["token_file"] = str(location.parent / profile["token_file"])
     return Ok(profile)
 
 
 def _find_token(
     token_file: str, environ: Mapping[str, str], profile: Mapping[str, str]
 ) -> Result[Secret, str]:
-    """Return the token of the first source that has one.
+    """Return the token of the first source that provides one.
 
-    There is no flag for the token itself: other users see a process's flags.
+    There is no flag for the token itself, because other users of the machine can see
+    the flags of a process.
     """
     sources = (
         ("", token_file),
--- a/plantainyard/commands/calls.py
+++ b/plantainyard/commands/calls.py
@@ -1,4 +1,8 @@
-"""One call of the schema, over the instances that are given."""
+"""A call of an operators' method, with failover between instances.
+
+A retry never repeats a change under another request id, so that lost responses don't
+duplicate work.
+"""
 
 from typing import Any, NamedTuple
 
@@ -25,19 +29,20 @@
     ExitCode.UNKNOWN,
     ExitCode.UNREACHABLE,
 )
+"""Failures after which the next instance is called, the most informative first."""
 
 
 class Failure(NamedTuple):
-    """Why a call came to nothing.
+    """Why a call failed.
 
     Attributes
     ----------
     exit_code : ExitCode
-        What the tool exits with.
+        Exit code of the tool.
     error : ApiError
-        What the last telling instance said.
+        Error of the instance whose failure is reported.
     request_id : str
-        Of a call that changes something.
+        Request id of a call that changes something, otherwise empty.
     """
 
     exit_code: ExitCode
@@ -48,20 +53,20 @@
 def call_instances(
     context: Context, access: Access, method: str, request: Message, timeout_s: float
 ) -> Result[Any, Failure]:
-    """Send `request` until one instance settles it.
+    """Send `request` to one instance after another until one gives a final response.
 
     Parameters
     ----------
-    world : World
-        Sends, sleeps and shows notes.
+    context : Context
+        Sends requests, sleeps and prints messages.
     access : Access
         The instances and the token.
     method : str
         A name in `plantainyard.api.METHODS`.
     request : Message
-        Of the method's request class, with its request id.
+        Message of the method's request class, with its request id.
     timeout_s : float
-        Longest wait for one instance's answer.
+        Timeout for the response of one instance, in seconds.
 
     Returns
     -------
@@ -70,17 +75,17 @@
 
     Notes
     -----
-    The next instance is asked where the one before could not be reached or refused,
-    up to two refusals. A call that changes something and whose answer was lost is
-    repeated with the same request id only, for a few rounds.
+    The next instance is called if the previous one could not be reached or refused,
+    up to two refusals. A call that changes something and whose response was lost is
+    repeated, only with the same request id, for up to three rounds.
     """
     request_id = getattr(request, "request_id", "")
     try:
         return _call_in_rounds(context, access, method, request, timeout_s)
     except KeyboardInterrupt:
         if METHODS[method].is_mutating:
-            note = f"{method} may have been done; repeat with --request_id={request_id}"
-            print(f"\nInterrupted: {note}", file=context.err)
+            hint = f"{method} may have been done; repeat with --request_id={request_id}"
+            print(f"\nInterrupted: {hint}", file=context.err)
         raise
 
 
@@ -89,48 +94,48 @@
 ) -> Result[Any, Failure]:
     changes = METHODS[method].is_mutating
     request_id = getattr(request, "request_id", "")
-    lost: Failure | None = None
+    lost_failure: Failure | None = None
     failures: list[Failure] = []
-    for number in range(MAX_ROUNDS):
-        if number:
+    for round_number in range(MAX_ROUNDS):
+        if round_number:
             context.sleep(ROUND_PAUSE_S)
         for address in access.addresses:
-            answer = _send(context, access, address, method, request, timeout_s)
-            if isinstance(answer, Ok):
-                return answer
-            failure = answer.err_value._replace(request_id=request_id)
-            if _is_final(failure, lost is not None):
+            response = _send(context, access, address, method, request, timeout_s)
+            if isinstance(response, Ok):
+                return response
+            failure = response.err_value._replace(request_id=request_id)
+            if _is_final(failure, lost_failure is not None):
                 return Err(failure)
             failures.append(failure)
-            if lost is None and _has_enough_refusals(failures):
+            if lost_failure is None and _has_enough_refusals(failures):
                 return Err(failure)
             if changes and failure.exit_code == ExitCode.UNKNOWN:
-                lost = failure
-                note = "no answer; repeating with the same request id"
-                print(f"{address}: {note}", file=context.err)
-        if lost is None:
+                lost_failure = failure
+                hint = "no answer; repeating with the same request id"
+                print(f"{address}: {hint}", file=context.err)
+        if lost_failure is None:
             break
-    return Err(lost or _pick_failure(failures))
+    return Err(lost_failure or _pick_failure(failures))
 
 
 def _is_final(failure: Failure, was_lost: bool) -> bool:
-    # An answer was lost and the next instance refuses: "nothing was done" is then
-    # true of the second sending only. Told as it stands, a script would send the
-    # work under a new id and it would run twice. After a loss only the conflict of
-    # the same request id settles the matter; anything else is still unknown.
+    # If a response was lost and the next instance refuses, "nothing was done" holds for
+    # the second request only. If the refusal were reported, a script would submit the
+    # work under a new id and it would run twice. After a lost response, only a conflict
+    # on the same request id is final; after any other failure the outcome is unknown.
     if was_lost:
         return failure.exit_code == ExitCode.CONFLICT
     return failure.exit_code not in RETRYABLE_EXIT_CODES
 
 
 def _has_enough_refusals(failures: list[Failure]) -> bool:
-    """Return whether asking on is idle: what two refuse is not their own matter."""
+    """Return whether to stop, because two refusals rule out one instance's fault."""
     codes = [failure.exit_code for failure in failures]
     return codes.count(ExitCode.REFUSED) >= MAX_REFUSALS
 
 
 def _pick_failure(failures: list[Failure]) -> Failure:
-    """Return the failure that tells the operator most."""
+    """Return the most informative failure."""
     return min(
         failures, key=lambda failure: RETRYABLE_EXIT_CODES.index(failure.exit_code)
     )
@@ -150,42 +155,42 @@
     }
     path = f"/{SERVICE}/{method}"
     body = request.SerializeToString()
-    answer = context.send(address, path, body, headers, timeout_s)
-    if isinstance(answer, Err):
-        return Err(_convert_call_error(method, answer.err_value))
-    return _convert_response(method, address, answer.ok_value)
+    response = context.send(address, path, body, headers, timeout_s)
+    if isinstance(response, Err):
+        return Err(_convert_call_error(method, response.err_value))
+    return _convert_response(method, address, response.ok_value)
 
 
 def _convert_call_error(method: str, error: CallError) -> Failure:
-    told = ApiError(
+    api_error = ApiError(
         ErrorCode.UNKNOWN, describe_error(error), step=error.step, peer=error.peer
     )
     if error.kind == ErrorKind.UNREACHABLE or not METHODS[method].is_mutating:
-        return Failure(ExitCode.UNREACHABLE, told._replace(code=ErrorCode.REFUSED))
-    return Failure(ExitCode.UNKNOWN, told)
+        return Failure(ExitCode.UNREACHABLE, api_error._replace(code=ErrorCode.REFUSED))
+    return Failure(ExitCode.UNKNOWN, api_error)
 
 
 def _convert_response(
-    method: str, address: str, answer: HttpResponse
+    method: str, address: str, response: HttpResponse
 ) -> Result[Any, Failure]:
-    if answer.status == STATUS_OK:
+    if response.status == STATUS_OK:
         try:
-            response = METHODS[method].response()
-            response.ParseFromString(answer.body)
-            return Ok(response)
+            message = METHODS[method].response()
+            message.ParseFromString(response.body)
+            return Ok(message)
         except DecodeError:
-            return Err(_convert_unreadable_response(method, address, answer))
-    error = decode_error(answer.body)
+            return Err(_convert_unreadable_response(method, address, response))
+    error = decode_error(response.body)
     if error is None:
-        return Err(_convert_unreadable_response(method, address, answer))
+        return Err(_convert_unreadable_response(method, address, response))
     return Err(Failure(EXIT_CODE_BY_ERROR[error.code], error))
 
 
 def _convert_unreadable_response(
-    method: str, address: str, answer: HttpResponse
+    method: str, address: str, response: HttpResponse
 ) -> Failure:
-    """Judge an answer that is none of the schema's, say of something in between."""
-    detail = f"status {answer.status} with a body that is not of the schema"
+    """Return the failure for a response that isn't of the schema, such as a proxy's."""
+    detail = f"status {response.status} with a body that is not of the schema"
     if METHODS[method].is_mutating:
         return Failure(
             ExitCode.UNKNOWN, ApiError(ErrorCode.UNKNOWN, detail, peer=address)
--- a/plantainyard/commands/command.py
+++ b/plantainyard/commands/command.py
@@ -1,4 +1,4 @@
-"""What a subcommand is made of, and what its runs share."""
+"""Definition of a subcommand, and functions that subcommands share."""
 
 import json
 from collections.abc import Callable, Iterable, Sequence
@@ -38,7 +38,7 @@
 
 
 class UsageError(Exception):
-    """The flags or arguments are wrong; the text says what is expected."""
+    """The flags or arguments are invalid; the message says what is expected."""
 
 
 class Invocation(NamedTuple):
@@ -46,14 +46,14 @@
 
     Attributes
     ----------
-    world : World
-        The outside.
+    context : Context
+        Environment, streams, network and clock.
     access : Access
         The instances and the token.
     flags : FlagValues
-        Of this subcommand.
+        Flags of this subcommand.
     arguments : tuple of str
-        What follows the flags.
+        Positional arguments.
     """
 
     context: Context
@@ -68,21 +68,21 @@
     Attributes
     ----------
     path : tuple of str
-        Its words, such as ``("jobs", "create")``.
+        Words of its name, such as ``("jobs", "create")``.
     arguments : str
-        Its arguments, for the usage line.
+        Its positional arguments, as shown in the usage line.
     summary : str
-        One line.
-    about : str
-        What a newcomer has to know.
+        One line of help.
+    description : str
+        Paragraph of help for a new user.
     examples : tuple of str
-        Whole command lines.
-    define : callable
+        Complete command lines.
+    define_flags : callable
         Defines its flags.
     run : callable
         Runs it and returns the exit code.
-    least, most : int
-        How many arguments it takes.
+    min_arguments, max_arguments : int
+        Bounds of the number of positional arguments.
     """
 
     path: tuple[str, ...]
@@ -101,7 +101,7 @@
 
 
 def define_request_id_flag(values: flags.FlagValues) -> None:
-    """Define the flag of a call that changes something."""
+    """Define the flag for the request id of a call that changes something."""
     flags.DEFINE_string(
         "request_id",
         "",
@@ -111,14 +111,14 @@
 
 
 def pick_request_id(invocation: Invocation) -> str:
-    """Return the given request id, or a new one."""
+    """Return the request id given by flag, or a new one."""
     return invocation.flags.request_id or invocation.context.create_id()
 
 
 def call_method(
     invocation: Invocation, method: str, request: Message
 ) -> Result[Any, Failure]:
-    """Send one call with the invocation's access."""
+    """Call a method with the invocation's access and timeout."""
     timeout_s = invocation.flags.timeout_s
     return call_instances(
         invocation.context, invocation.access, method, request, timeout_s
@@ -131,18 +131,21 @@
     request: Message,
     render: Callable[[Any], str],
 ) -> ExitCode:
-    """Send one call, show its answer as JSON or as `render` has it, and judge it."""
-    answer = call_method(invocation, method, request)
-    if isinstance(answer, Err):
-        return report_failure(invocation, answer.err_value)
-    print_message(invocation, answer.ok_value, render)
+    """Call a method, print its response or failure, and return the exit code.
+
+    The response is printed as JSON or as formatted by `render`.
+    """
+    response = call_method(invocation, method, request)
+    if isinstance(response, Err):
+        return report_failure(invocation, response.err_value)
+    print_message(invocation, response.ok_value, render)
     return ExitCode.OK
 
 
 def print_message(
     invocation: Invocation, message: Message, render: Callable[[Any], str]
 ) -> None:
-    """Print `message` as the flag ``--output`` asks."""
+    """Print `message` in the form that the flag ``--output`` selects."""
     if invocation.flags.output == OUTPUT_JSON:
         print_json(invocation, json.loads(encode_message(message, JSON)))
     else:
@@ -155,11 +158,11 @@
 
 
 def report_failure(invocation: Invocation, failure: Failure) -> ExitCode:
-    """Print why a call came to nothing and what to do; return its exit code."""
+    """Print why a call failed and what to do next, and return its exit code."""
     err, error = invocation.context.err, failure.error
     if invocation.flags.output == OUTPUT_JSON:
-        told = json.loads(encode_error(error))
-        print(json.dumps({**told, "request_id": failure.request_id}), file=err)
+        fields = json.loads(encode_error(error))
+        print(json.dumps({**fields, "request_id": failure.request_id}), file=err)
         return failure.exit_code
     print(_describe_failure(failure), file=err)
     if failure.exit_code == ExitCode.UNKNOWN:
@@ -191,6 +194,6 @@
 
 
 def format_table(headers: Sequence[str], rows: Iterable[Sequence[Any]]) -> str:
-    """Return rows as a table, or a word where there are none."""
-    listed = list(rows)
-    return tabulate(listed, headers, disable_numparse=True) if listed else "none"
+    """Return rows as a table, or ``none`` if there are no rows."""
+    row_list = list(rows)
+    return tabulate(row_list, headers, disable_numparse=True) if row_list else "none"
--- a/plantainyard/commands/configurations.py
+++ b/plantainyard/commands/configurations.py
@@ -1,4 +1,4 @@
-"""Subcommands for configuration."""
+"""Subcommands that show and change the configuration."""
 
 import json
 import tomllib
@@ -30,11 +30,12 @@
 __all__ = ["COMMANDS", "change_configuration", "define_change_flags"]
 
 READ_NEWEST = -2
+"""Base version that stands for the newest one, read just before the change."""
 JSON_SUFFIX = ".json"
 
 
 def define_change_flags(values: flags.FlagValues) -> None:
-    """Define the flags of a change of the configuration."""
+    """Define the flags of a configuration change."""
     define_request_id_flag(values)
     flags.DEFINE_integer(
         "base_version",
@@ -92,7 +93,7 @@
 
 
 def change_configuration(invocation: Invocation, changes: dict[str, Any]) -> ExitCode:
-    """Apply changes on top of the base version that the flags choose."""
+    """Apply changes on top of the base version selected by the flags."""
     base = _find_base_version(invocation)
     if isinstance(base, Err):
         return report_failure(invocation, base.err_value)
@@ -113,8 +114,8 @@
     given = invocation.flags.base_version
     if given != READ_NEWEST:
         return Ok(given)
-    # A repeat by hand after a lost answer must build on the version of the first
-    # sending: the newest may by now be that change itself.
+    # A manual retry after a lost response must build on the base version of the first
+    # request, because the newest version may now be that change itself.
     if invocation.flags.request_id:
         raise UsageError("--request_id: expected --base_version of the first try too")
     answer = call_method(
--- a/plantainyard/commands/context.py
+++ b/plantainyard/commands/context.py
@@ -1,4 +1,4 @@
-"""What a command has of the outside, passed in so that tests can replace it."""
+"""Access of a command to its surroundings, passed in so that tests can replace it."""
 
 import os
 import sys
@@ -21,20 +21,21 @@
 
 
 class Context(NamedTuple):
-    """The outside of a command.
+    """Environment, streams, network and clock of a command.
 
     Attributes
     ----------
     environ : mapping
-        The environment's variables.
+        Environment variables.
     out, err : file
-        Results go to `out`; progress and errors to `err`.
+        Results are printed to `out`, progress and errors to `err`.
     send : callable
-        ``send(address, path, body, headers, timeout_s)`` posts one request, once.
+        ``send(address, path, body, headers, timeout_s)`` posts a request without
+        retries.
     sleep : callable
-        Waits for some seconds.
+        Waits for a number of seconds.
     clock : callable
-        Returns seconds.
+        Returns the time in seconds.
     create_id : callable
         Returns a new request id.
     """
@@ -49,7 +50,7 @@
 
 
 def create_context() -> Context:
-    """Return the real one."""
+    """Return the context of this process."""
     pool = build_pool()
 
     def send(
--- a/plantainyard/commands/exit_codes.py
+++ b/plantainyard/commands/exit_codes.py
@@ -8,7 +8,7 @@
 
 
 class ExitCode(IntEnum):
-    """What a script may rely on."""
+    """Exit codes that scripts may rely on."""
 
     OK = 0
     INTERNAL = 1
@@ -57,7 +57,7 @@
 
 
 def describe_exit_codes() -> str:
-    """Return the exit codes as lines for people."""
+    """Return the exit codes and their meanings, one a line."""
     return "\n".join(
         f"  {code.value:>3}  {meaning}" for code, meaning in EXIT_MEANINGS.items()
     )
--- a/plantainyard/commands/help_texts.py
+++ b/plantainyard/commands/help_texts.py
@@ -1,4 +1,4 @@
-"""Help texts, made of the table of subcommands."""
+"""Help texts, generated from the definitions of the subcommands."""
 
 import textwrap
 from collections.abc import Iterable, Sequence
@@ -29,10 +29,10 @@
 """
 
 
-def describe_commands(commands: Sequence[Command], words: Sequence[str]) -> str:
-    """Return the help over all subcommands that begin with `words`."""
-    chosen = [c for c in commands if c.path[: len(words)] == tuple(words)]
-    usages = [(" ".join(c.path + (c.arguments,)).strip(), c.summary) for c in chosen]
+def describe_commands(commands: Sequence[Command], prefix: Sequence[str]) -> str:
+    """Return an overview of all subcommands whose path begins with `prefix`."""
+    selected = [c for c in commands if c.path[: len(prefix)] == tuple(prefix)]
+    usages = [(" ".join(c.path + (c.arguments,)).strip(), c.summary) for c in selected]
     width = max(len(usage) for usage, _ in usages)
     lines = [f"  {usage:<{width}}  {summary}" for usage, summary in usages]
     return "\n".join(
@@ -57,7 +57,7 @@
     command : Command
         The subcommand.
     own, shared : FlagValues
-        Its own flags and those of all subcommands.
+        Its own flags, and those that all subcommands share.
     """
     usage = " ".join(("plantainyard", *command.path, command.arguments)).strip()
     examples = [f"  {example}" for example in command.examples]
--- a/plantainyard/commands/instances.py
+++ b/plantainyard/commands/instances.py
@@ -1,4 +1,4 @@
-"""Subcommands for instances and workers: drain, dump and status."""
+"""Subcommands that drain, dump and show the status of instances and workers."""
 
 from absl import flags
 from google.protobuf import json_format
@@ -64,7 +64,7 @@
 
 def _format_status(answer: schema.StatusResponse) -> str:
     reasons = "; ".join(answer.not_ready_reasons)
-    facts = (
+    summary = (
         ("instance", f"{answer.instance} ({answer.domain}, {answer.region})"),
         ("software", f"{answer.software_version}, up {answer.uptime_s:.0f} s"),
         ("ready", "yes" if answer.ready else f"no: {reasons}"),
@@ -105,7 +105,7 @@
     peer_names = ("peer", "domain", "state", "heard from", "address")
     return "\n".join(
         [
-            *(f"{name + ':':<15} {value}" for name, value in facts),
+            *(f"{name + ':':<15} {value}" for name, value in summary),
             *format_ages(answer.streams),
             "",
             format_table(rack_names, racks),
--- a/plantainyard/commands/jobs.py
+++ b/plantainyard/commands/jobs.py
@@ -1,4 +1,4 @@
-"""Subcommands for batch jobs."""
+"""Subcommands that create, list, explain, cancel and wait for batch jobs."""
 
 from absl import flags
 from result import Err
@@ -83,7 +83,7 @@
 
 
 def define_filter_flags(values: flags.FlagValues) -> None:
-    """Define the flags that choose what is listed."""
+    """Define the flags that filter a list of jobs."""
     flags.DEFINE_string("team", "", "Only this team's.", flag_values=values)
     flags.DEFINE_enum("state", None, STATES, "Only in this state.", flag_values=values)
     flags.DEFINE_string("domain", "", "Only with this home domain.", flag_values=values)
@@ -94,7 +94,7 @@
 
 
 def list_jobs(invocation: Invocation, kind: "schema.JobKind") -> ExitCode:
-    """List work of one kind, page by page up to the limit."""
+    """Print the jobs of one kind, read page by page up to the limit."""
     values = invocation.flags
     state = (values.state or UNSPECIFIED).upper()
     request = schema.ListJobsRequest(
@@ -104,20 +104,20 @@
         domain=values.domain,
         name_prefix=values.name,
     )
-    whole = schema.ListJobsResponse()
+    merged = schema.ListJobsResponse()
     while True:
-        request.page_size = min(MAX_PAGE_SIZE, values.limit - len(whole.jobs))
+        request.page_size = min(MAX_PAGE_SIZE, values.limit - len(merged.jobs))
         answer = call_method(invocation, "ListJobs", request)
         if isinstance(answer, Err):
             return report_failure(invocation, answer.err_value)
         page: schema.ListJobsResponse = answer.ok_value
-        del whole.ages[:]
-        whole.MergeFrom(page)
-        whole.next_page_token = request.page_token = page.next_page_token
-        if not page.next_page_token or len(whole.jobs) >= values.limit:
+        del merged.ages[:]
+        merged.MergeFrom(page)
+        merged.next_page_token = request.page_token = page.next_page_token
+        if not page.next_page_token or len(merged.jobs) >= values.limit:
             break
-    print_message(invocation, whole, format_jobs)
-    if whole.next_page_token:
+    print_message(invocation, merged, format_jobs)
+    if merged.next_page_token:
         print("There are more; raise --limit.", file=invocation.context.err)
     return ExitCode.OK
 
@@ -133,7 +133,7 @@
 
 
 def describe_job(invocation: Invocation) -> ExitCode:
-    """Show one job."""
+    """Print one job."""
     request = schema.DescribeJobRequest(
         job_id=invocation.arguments[0], tasks_limit=invocation.flags.places
     )
@@ -156,7 +156,7 @@
 
 
 def cancel_jobs(invocation: Invocation, job_ids: list[str]) -> ExitCode:
-    """Cancel jobs in one call."""
+    """Cancel jobs in one call and print the outcome of each."""
     request = schema.CancelJobsRequest(
         request_id=pick_request_id(invocation), job_ids=job_ids
     )
@@ -164,7 +164,7 @@
 
 
 def format_cancelled(answer: schema.CancelJobsResponse) -> str:
-    """Return what became of each job."""
+    """Return a table with the outcome for each job."""
     rows = (
         (j.job_id, j.domain, "was over before" if j.was_over else "cancelled")
         for j in answer.jobs
--- a/plantainyard/commands/rendering.py
+++ b/plantainyard/commands/rendering.py
@@ -1,4 +1,4 @@
-"""Messages of the schema as tables for people."""
+"""Formatting of the schema's messages as text and tables."""
 
 import json
 from collections.abc import Iterable, Iterator, Mapping
@@ -25,7 +25,9 @@
 ]
 
 STALE_S = 30.0
+"""Age in seconds above which a failure domain is reported as stale."""
 UNKNOWN_AGE_S = 1e9
+"""Age in seconds from which on an age is shown as ``never``."""
 STATE_PREFIX = "JOB_STATE_"
 
 
@@ -38,7 +40,7 @@
 
 
 def format_counts(counts: schema.TaskCounts) -> str:
-    """Return numbers of tasks on one line.
+    """Return the numbers of tasks by state, on one line.
 
     Examples
     --------
@@ -51,13 +53,13 @@
 
 
 def format_size(size: schema.Size) -> str:
-    """Return a size on one line."""
+    """Return the resources of a size on one line."""
     text = f"{size.cores:g} cores, {size.memory_gb:g} GB"
     return f"{text}, {size.accelerators} accelerators" if size.accelerators else text
 
 
 def format_value(message: Message, field: str) -> str:
-    """Return a configuration value, or a dash where it is not set."""
+    """Return a configuration value as JSON, or a dash if it isn't set."""
     if not message.HasField(field):
         return "-"
     return format_json(getattr(message, field))
@@ -69,7 +71,7 @@
 
 
 def format_jobs(answer: schema.ListJobsResponse) -> str:
-    """Return a list of jobs with a warning for each failure domain that is stale."""
+    """Return a table of jobs, with a warning for each stale failure domain."""
     rows = (
         (
             job.job_id,
@@ -87,7 +89,7 @@
 
 
 def format_age(age_s: float) -> str:
-    """Return how long ago something was.
+    """Return an age as text.
 
     Examples
     --------
@@ -98,7 +100,7 @@
 
 
 def format_ages(ages: Iterable[schema.DomainAge]) -> list[str]:
-    """Return a line for each failure domain not read for some time."""
+    """Return a warning for each failure domain older than `STALE_S`."""
     return [
         f"{age.domain}: last read {format_age(age.age_s)}; what is told of it is old"
         for age in ages
@@ -107,7 +109,7 @@
 
 
 def format_job(answer: schema.DescribeJobResponse) -> str:
-    """Return all that is known of a job."""
+    """Return the description of a job, with its racks and places."""
     job, limits = answer.job, answer.constraints
     allowed = {
         "regions": ", ".join(limits.regions),
@@ -136,7 +138,7 @@
 
 
 def format_explanation(answer: schema.ExplainTaskResponse) -> str:
-    """Return why a task is where it is, and a line for each worker."""
+    """Return the explanation of a task's placement, with a line for each worker."""
     where = f" on {answer.worker}" if answer.worker else ""
     place = f", place {answer.place} in the order" if answer.place else ""
     headline = f"{answer.status}{where}: {answer.reason}{place}"
--- a/plantainyard/commands/run.py
+++ b/plantainyard/commands/run.py
@@ -1,4 +1,4 @@
-"""From the words of a command line to an exit code."""
+"""Parsing of a command line and dispatch to its subcommand."""
 
 from collections.abc import Sequence
 
@@ -30,18 +30,21 @@
 )
 
 
-def run_command(words: Sequence[str], context: Context) -> ExitCode:
-    """Run the subcommand in `words`, which exclude the program's name."""
-    if not words or words[0] in HELP_WORDS:
+def run_command(arguments: Sequence[str], context: Context) -> ExitCode:
+    """Run the subcommand that `arguments` name, and return its exit code.
+
+    The arguments exclude the program's name.
+    """
+    if not arguments or arguments[0] in HELP_WORDS:
         print(describe_commands(COMMANDS, ()), file=context.out)
-        return ExitCode.OK if words else ExitCode.USAGE
-    command = _find_command(words)
+        return ExitCode.OK if arguments else ExitCode.USAGE
+    command = _find_command(arguments)
     if command is None:
-        return _report_unknown_command(words, context)
+        return _report_unknown_command(arguments, context)
     own, shared = flags.FlagValues(), flags.FlagValues()
     command.define_flags(own)
     _define_shared_flags(shared)
-    rest = list(words[len(command.path) :])
+    rest = list(arguments[len(command.path) :])
     if HELP_WORDS.intersection(rest):
         print(describe_command(command, own, shared), file=context.out)
         return ExitCode.OK
@@ -55,21 +58,22 @@
         return ExitCode.INTERRUPTED
 
 
-def _find_command(words: Sequence[str]) -> Command | None:
+def _find_command(arguments: Sequence[str]) -> Command | None:
     return next(
-        (c for c in COMMANDS if c.path == tuple(words[: len(c.path)])),
+        (c for c in COMMANDS if c.path == tuple(arguments[: len(c.path)])),
         None,
     )
 
 
-def _report_unknown_command(words: Sequence[str], context: Context) -> ExitCode:
-    group = [c for c in COMMANDS if c.path[0] == words[0]]
-    if group and HELP_WORDS.intersection(words[1:2]):
-        print(describe_commands(COMMANDS, words[:1]), file=context.out)
+def _report_unknown_command(arguments: Sequence[str], context: Context) -> ExitCode:
+    group = [c for c in COMMANDS if c.path[0] == arguments[0]]
+    if group and HELP_WORDS.intersection(arguments[1:2]):
+        print(describe_commands(COMMANDS, arguments[:1]), file=context.out)
         return ExitCode.OK
     known = [" ".join(c.path) for c in group or COMMANDS]
     print(
-        f"usage: no subcommand '{' '.join(words[:2])}'; known are: {', '.join(known)}",
+        f"usage: no subcommand '{' '.join(arguments[:2])}'; "
+        f"known are: {', '.join(known)}",
         file=context.err,
     )
     return ExitCode.USAGE
--- a/plantainyard/commands/services.py
+++ b/plantainyard/commands/services.py
@@ -1,4 +1,4 @@
-"""Subcommands for services."""
+"""Subcommands that create, list, describe and cancel services."""
 
 from absl import flags
 from result import Err
--- a/plantainyard/commands/teams.py
+++ b/plantainyard/commands/teams.py
@@ -1,4 +1,4 @@
-"""Subcommands for teams and their quotas."""
+"""Subcommands that list teams and set their quotas."""
 
 from absl import flags
 
@@ -67,8 +67,8 @@
     if values.unlimited == bool(given):
         expected = ", ".join(f"--{name}" for name in Size._fields)
         raise UsageError(f"expected some of {expected}, or --unlimited")
-    chosen = given or amounts
-    changes = {build_quota_key(team, name): value for name, value in chosen.items()}
+    selected = given or amounts
+    changes = {build_quota_key(team, name): value for name, value in selected.items()}
     return change_configuration(invocation, changes)
 
 
--- a/plantainyard/commands/tests/fake_context.py
+++ b/plantainyard/commands/tests/fake_context.py
@@ -1,4 +1,4 @@
-"""A world for the command-line tool, whose sendings meet what a test wants."""
+"""A context for the command-line tool whose requests have preset outcomes."""
 
 import io
 from typing import Any
@@ -56,10 +56,11 @@
 
 
 def make_context(handlers, outcomes=(), environ=ENVIRON):
-    """Return a world whose sendings meet `fates` in turn, then are answered.
+    """Return a context, and the list of addresses and bodies of requests sent.
 
-    A lost sending reaches the handler; only its answer is lost. A busy or rejecting
-    instance does nothing.
+    The requests have the given `outcomes` in turn, and all later ones are answered by
+    `handlers`. A lost request reaches its handler; only the response is lost. A busy or
+    rejecting instance does nothing.
     """
     remaining, sent = list(outcomes), []
 
--- a/plantainyard/commands/tests/test_run.py
+++ b/plantainyard/commands/tests/test_run.py
@@ -1,4 +1,4 @@
-"""The command-line tool: exit codes, repeats, waits and tables."""
+"""The command-line tool: exit codes, retries, waiting and output."""
 
 import io
 import json
@@ -42,11 +42,12 @@
 
 @given(st.lists(st.sampled_from([LOST, DOWN, BUSY, REJECTED, GARBLED]), max_size=8))
 @settings(derandomize=True, deadline=None, max_examples=200)
-def test_job_is_accepted_once_and_told_truly(outcomes):
-    """Connections break, instances are down or busy, and a proxy answers nonsense.
+def test_job_is_accepted_once_and_reported_correctly(outcomes):
+    """Guards against reporting "not done" for a job that was accepted.
 
-    The operator's script sees one exit code. "Not done" while the job was accepted
-    would make it send the work again, and statements would be billed twice.
+    Connections break, instances are down or busy, and a proxy returns unreadable
+    responses. The operator's script only sees the exit code: after "not done" it would
+    submit the work again, and statements would be billed twice.
     """
     accepted: dict = {}
     context, sent = make_context(build_accepting_handlers(accepted), outcomes)
@@ -65,7 +66,10 @@
 
 
 def test_two_refusals_are_enough():
-    """The log is out, and every instance waits for it before it refuses."""
+    """Guards against calling every instance while the log is unavailable.
+
+    Each instance waits for the log before it refuses.
+    """
     context, sent = make_context({}, [BUSY] * 4)
     environ = {**ENVIRON, "PLANTAINYARD_ADDRESSES": "127.0.0.1:1,127.0.0.1:2,[::1]:3"}
     assert run_command(CREATE, context._replace(environ=environ)) == 3
@@ -85,6 +89,7 @@
     ],
 )
 def test_each_error_has_its_exit_code(code, expected):
+    """Guards against scripts that mistake one kind of failure for another."""
     error = build_failing_handler(
         code, field="size.cores", detail="too many", retry_after_s=4.0
     )
@@ -96,11 +101,11 @@
     assert json.loads(read_output(context.err).splitlines()[-1])["code"] == code
 
 
-def test_refused_repeat_by_hand_leaves_the_first_call_open():
-    """A call ended unknown; the operator repeats it by hand and is refused.
+def test_refused_manual_retry_leaves_the_first_call_unknown():
+    """Guards against taking the refusal of a manual retry as "not done".
 
-    Read as "not done", the refusal would make the operator send the work anew, and
-    the first call may have been accepted.
+    The first call ended with an unknown outcome and may have been accepted. The
+    operator would submit the work under a new id.
     """
     context, _ = make_context(build_accepting_handlers({}), [BUSY, BUSY])
     assert run_command([*CREATE, "--request_id=request-9"], context) == 3
@@ -108,11 +113,12 @@
 
 
 @pytest.mark.parametrize("second", [BUSY, REJECTED])
-def test_loss_then_refusal_stays_unknown(second):
-    """The first answer is lost; the second instance refuses, or sees no room ever.
+def test_refusal_after_a_lost_response_stays_unknown(second):
+    """Guards against "not done" when the response of the first instance is lost.
 
-    The job was accepted by the first. The tool says "not done", the operator sends
-    it under a new id, and it runs twice.
+    The first instance accepted the job; the second refuses it, or finds that it could
+    never run. After "not done" the operator would submit the job under a new id, and
+    it would run twice.
     """
     accepted: dict = {}
     context, _ = make_context(build_accepting_handlers(accepted), [LOST, *[second] * 9])
@@ -121,7 +127,7 @@
 
 
 @pytest.mark.parametrize(
-    "words",
+    "arguments",
     [
         "",
         "jobs",
@@ -146,14 +152,16 @@
         "status --output=xml",
     ],
 )
-def test_wrong_usage_is_told_and_sends_nothing(words):
+def test_wrong_usage_is_reported_and_sends_nothing(arguments):
+    """Guards against calls that are sent with invalid flags or arguments."""
     context, sent = make_context({})
-    assert run_command(words.split(), context) == ExitCode.USAGE
+    assert run_command(arguments.split(), context) == ExitCode.USAGE
     assert not sent
-    assert read_output(context.err) or not words
+    assert read_output(context.err) or not arguments
 
 
 def test_access_comes_from_flags_environment_or_profile(tmp_path):
+    """Guards against calling another deployment than the one configured."""
     profile = tmp_path / "profile.toml"
     profile.write_text('addresses = ["127.0.0.1:7"]\ntoken_file = "token"\n')
     (tmp_path / "token").write_text("0123456789abcdef\n")
@@ -164,18 +172,19 @@
         ({}, [f"--profile={profile}"], "http://127.0.0.1:7"),
         ({"PLANTAINYARD_PROFILE": str(profile)}, [], "http://127.0.0.1:7"),
     ]
-    for environ, words, address in cases:
+    for environ, arguments, address in cases:
         context, sent = make_context(handlers, environ=environ)
-        assert run_command(["dump", *words], context) == ExitCode.OK
+        assert run_command(["dump", *arguments], context) == ExitCode.OK
         assert sent[0][0] == address
     profile.write_text("address = 1\n")
-    for words in ([], [f"--profile={profile}"]):
+    for arguments in ([], [f"--profile={profile}"]):
         context, sent = make_context(handlers, environ={})
-        assert run_command(["dump", *words], context) == ExitCode.USAGE
+        assert run_command(["dump", *arguments], context) == ExitCode.USAGE
         assert "addresses" in read_output(context.err)
 
 
-def test_help_teaches_each_subcommand():
+def test_help_describes_each_subcommand():
+    """Guards against a subcommand whose help lacks examples, flags or exit codes."""
     for command in COMMANDS:
         context, _ = make_context({}, environ={})
         assert run_command([*command.path, "--help"], context) == ExitCode.OK
@@ -191,6 +200,7 @@
 
 
 def test_wait_shows_progress_until_the_end():
+    """Guards against a wait that ends because an instance can't be reached."""
     states = iter([schema.JOB_STATE_WAITING, *[schema.JOB_STATE_DONE] * 2])
 
     def describe(request):
@@ -204,25 +214,26 @@
 
 
 @pytest.mark.parametrize(
-    ("state", "words", "code"),
+    ("state", "arguments", "code"),
     [
         (schema.JOB_STATE_CANCELLED, [], ExitCode.ENDED_OTHERWISE),
         (schema.JOB_STATE_INFEASIBLE, [], ExitCode.ENDED_OTHERWISE),
         (schema.JOB_STATE_RUNNING, ["--wait_s=5"], ExitCode.STILL_RUNNING),
     ],
 )
-def test_wait_tells_how_it_ended(state, words, code):
+def test_wait_reports_how_it_ended(state, arguments, code):
+    """Guards against a success code for a job that hasn't completed."""
     job = schema.JobSummary(job_id="j0", state=state)
     answer = Ok(schema.DescribeJobResponse(job=job))
     context, _ = make_context({"DescribeJob": lambda request: answer})
-    assert run_command(["jobs", "wait", "j0", *words], context) == code
+    assert run_command(["jobs", "wait", "j0", *arguments], context) == code
 
 
-def test_interrupts_tell_what_goes_on():
-    """An operator presses Ctrl-C, once while waiting and once while creating.
+def test_interrupts_report_what_continues():
+    """Guards against Ctrl-C without a message on what continues.
 
-    Not told what goes on, the operator believes that the job was stopped, or creates
-    it again.
+    The operator presses it while waiting for a job and while creating one. Without the
+    message, the operator would believe that the job was stopped, or create it again.
     """
 
     def interrupt(*arguments):
@@ -239,19 +250,22 @@
 
 
 def test_list_follows_pages_up_to_the_limit():
+    """Guards against lists that end after one page or exceed the limit."""
+
     def page(request):
         token = str(int(request.page_token or 0) + 1)
         jobs = [SUMMARY] * min(2, request.page_size)
         return Ok(schema.ListJobsResponse(jobs=jobs, next_page_token=token))
 
     context, sent = make_context({"ListJobs": page})
-    words = ["jobs", "list", "--limit=5", "--state=running", "--output=json"]
-    assert run_command(words, context) == ExitCode.OK
+    arguments = ["jobs", "list", "--limit=5", "--state=running", "--output=json"]
+    assert run_command(arguments, context) == ExitCode.OK
     assert len(json.loads(read_output(context.out))["jobs"]) == 5
     assert len(sent) == 3
 
 
 def test_change_builds_on_the_version_read(tmp_path):
+    """Guards against overwriting a change made since the configuration was read."""
     changes = tmp_path / "changes.toml"
     changes.write_text("[teams.a]\ncores = 2\nmemory_gb = 4\n")
     seen: list = []
@@ -268,8 +282,8 @@
         "ApplyConfiguration": apply,
     }
     context, _ = make_context(handlers)
-    words = ["config", "apply", str(changes), "--unset=weights.tail", "--dry_run"]
-    assert run_command(words, context) == ExitCode.OK
+    arguments = ["config", "apply", str(changes), "--unset=weights.tail", "--dry_run"]
+    assert run_command(arguments, context) == ExitCode.OK
     assert (seen[0].base_version, seen[0].dry_run) == (7, True)
     assert seen[0].changes["weights.tail"].HasField("null_value")
     assert seen[0].changes["teams.a.cores"].number_value == 2
@@ -305,28 +319,29 @@
     return message
 
 
-@pytest.mark.parametrize("words", METHOD_BY_COMMAND)
+@pytest.mark.parametrize("arguments", METHOD_BY_COMMAND)
 @pytest.mark.parametrize("output", ["table", "json"])
-def test_every_answer_can_be_shown(words, output):
-    method = METHOD_BY_COMMAND[words]
+def test_every_response_can_be_printed(arguments, output):
+    """Guards against output that fails for empty or filled responses."""
+    method = METHOD_BY_COMMAND[arguments]
     for answer in (METHODS[method].response(), fill(METHODS[method].response())):
         context, _ = make_context({method: lambda request, a=answer: Ok(a)})
-        code = run_command([*words.split(), f"--output={output}"], context)
+        code = run_command([*arguments.split(), f"--output={output}"], context)
         assert code == ExitCode.OK
-        if output == "json" or words == "dump":
+        if output == "json" or arguments == "dump":
             json.loads(read_output(context.out))
 
 
 def test_whole_path_over_a_socket():
-    """Tool and curl-like JSON reach the same daemon, with one job for one id."""
+    """Guards against two jobs for one request id sent as protobuf and as JSON."""
     accepted: dict = {}
     loaded = parse_settings(MINIMAL, "x").unwrap()
     probes = Probes(list, list, dict)
     app = create_app(
         loaded, build_accepting_handlers(accepted), probes, create_meter(Metrics())
     )
-    # Its loop closes its own sockets: closed from here, they would be gone while the
-    # loop waits for them, and its thread would end in an error.
+    # The server's loop closes its own sockets. If the test closed them, the loop would
+    # wait on closed sockets and its thread would end with an error.
     with serve_app(app, "127.0.0.1:0", 4, 10, 100_000, 1.0) as address:
         environ = {**ENVIRON, "PLANTAINYARD_ADDRESSES": address}
         context = create_context()._replace(
--- a/plantainyard/commands/waiting.py
+++ b/plantainyard/commands/waiting.py
@@ -1,4 +1,4 @@
-"""Wait for a job's end, with progress."""
+"""Waiting until a job has ended, with progress on standard error."""
 
 import itertools
 from collections.abc import Callable
@@ -33,32 +33,34 @@
 
 
 def wait_for_job(invocation: Invocation) -> ExitCode:
-    """Ask for the job's state until it has ended, the time is over or Ctrl-C.
+    """Poll a job until it has ended, the wait has timed out or Ctrl-C is pressed.
 
     Notes
     -----
-    An instance that can't be reached is no reason to stop waiting: the job goes on.
+    Waiting continues while no instance can be reached, because the job keeps running.
     """
     (job_id,) = invocation.arguments
     context, values = invocation.context, invocation.flags
-    note = _create_progress_printer(invocation)
+    print_progress = _create_progress_printer(invocation)
     deadline = context.clock() + values.wait_s if values.wait_s else None
     request = schema.DescribeJobRequest(job_id=job_id, tasks_limit=1)
     try:
         for pause_s in _iter_pauses():
-            answer = call_method(invocation, "DescribeJob", request)
-            if isinstance(answer, Err):
-                if answer.err_value.exit_code not in TRANSIENT_EXIT_CODES:
-                    return report_failure(invocation, answer.err_value)
-                note(_describe_missing_response(answer.err_value))
+            response = call_method(invocation, "DescribeJob", request)
+            if isinstance(response, Err):
+                if response.err_value.exit_code not in TRANSIENT_EXIT_CODES:
+                    return report_failure(invocation, response.err_value)
+                print_progress(_describe_missing_response(response.err_value))
             else:
-                described: schema.DescribeJobResponse = answer.ok_value
-                note(_describe_progress(described.job))
+                described: schema.DescribeJobResponse = response.ok_value
+                print_progress(_describe_progress(described.job))
                 if described.job.state in EXIT_CODE_BY_FINAL_STATE:
                     print_message(invocation, described, format_job)
                     return EXIT_CODE_BY_FINAL_STATE[described.job.state]
             if deadline is not None and context.clock() >= deadline:
-                note(f"{job_id} is still running; the wait ended, the job goes on")
+                print_progress(
+                    f"{job_id} is still running; the wait ended, the job goes on"
+                )
                 return ExitCode.STILL_RUNNING
             context.sleep(pause_s)
     except KeyboardInterrupt:
@@ -80,20 +82,20 @@
 
 
 def _create_progress_printer(invocation: Invocation) -> Callable[[str], None]:
-    """Return a function that prints a line of progress when it has changed."""
-    printed: list[str] = []
+    """Return a function that prints a line of progress unless it repeats the last."""
+    last_printed: list[str] = []
 
-    def note(text: str) -> None:
-        if printed[-1:] != [text]:
-            printed[:] = [text]
+    def print_progress(text: str) -> None:
+        if last_printed[-1:] != [text]:
+            last_printed[:] = [text]
             print(text, file=invocation.context.err, flush=True)
 
-    return note
+    return print_progress
 
 
 def _describe_progress(job: schema.JobSummary) -> str:
-    because = f" ({job.reason})" if job.reason else ""
-    return f"{format_state(job.state)}: {format_counts(job.counts)}{because}"
+    reason = f" ({job.reason})" if job.reason else ""
+    return f"{format_state(job.state)}: {format_counts(job.counts)}{reason}"
 
 
 def _describe_missing_response(failure: Failure) -> str:
--- a/plantainyard/commands/work_flags.py
+++ b/plantainyard/commands/work_flags.py
@@ -1,4 +1,4 @@
-"""Flags that declare work, and the messages made of them."""
+"""Flags that declare work, and the request messages built from them."""
 
 from typing import Any
 
@@ -25,7 +25,7 @@
 
 
 def define_work_flags(values: flags.FlagValues) -> None:
-    """Define the flags that batch jobs and services share."""
+    """Define the flags that the creation of batch jobs and services shares."""
     define_request_id_flag(values)
     text, number = flags.DEFINE_string, flags.DEFINE_float
     text("file", "", "JSON file with the whole request.", flag_values=values)
@@ -60,7 +60,7 @@
 
 
 def read_work_flags(invocation: Invocation) -> dict[str, Any]:
-    """Return the fields that batch jobs and services share, from the flags."""
+    """Return the request fields that batch jobs and services share, from the flags."""
     values = invocation.flags
     payload = read_text(values.payload_file) if values.payload_file else values.payload
     return {
@@ -84,7 +84,7 @@
 
 
 def read_request_file(invocation: Invocation, message_class: type[Message]) -> Any:
-    """Return the request in the file of ``--file``, with its request id filled in."""
+    """Return the request in the file of ``--file``, with a request id filled in."""
     values = invocation.flags
     body = read_text(values.file).encode()
     decoded = decode_message(message_class, JSON, body)
@@ -105,7 +105,7 @@
     Raises
     ------
     UsageError
-        If it can't be read.
+        If the file can't be read.
     """
     try:
         with open(path, encoding="utf-8") as file:
@@ -115,12 +115,12 @@
 
 
 def parse_pairs(flag: str, parts: list[str]) -> dict[str, int]:
-    """Return ``name=number`` parts as a mapping.
+    """Return the mapping given by parts of the form ``name=number``.
 
     Raises
     ------
     UsageError
-        If a part has another form or a name stands twice.
+        If a part has another form or a name occurs twice.
     """
     pairs = {}
     for part in parts:
