--- a/plantainyard/clients/instances.py
+++ b/plantainyard/clients/instances.py
@@ -37,7 +37,7 @@
 
     LIVE = "live"
     LEAVING = "leaving"
-    GONE = "gone"
+    TERMINATED = "gone"
 
 
 class Instance(NamedTuple):
--- a/plantainyard/clients/log.py
+++ b/plantainyard/clients/log.py
@@ -1,7 +1,7 @@
 """Client of the platform's append-only log.
 
-`append` may fail with ``LOST``: the record can stand in the log all the same, which
-only reading on can tell.
+`append_record` may fail with ``LOST``. The record may still be in the log then; only
+reading the stream shows whether it is.
 """
 
 from typing import Any, NamedTuple
@@ -13,7 +13,14 @@
 from plantainyard.errors import CallError, ErrorKind
 from plantainyard.transport import DEFAULT_TIMEOUT_S, HttpPeer, build_peer, call_json
 
-__all__ = ["LogClient", "LogPage", "LogRecord", "append", "build_log_client", "read"]
+__all__ = [
+    "LogClient",
+    "LogPage",
+    "LogRecord",
+    "append_record",
+    "build_log_client",
+    "read_records",
+]
 
 
 class LogClient(NamedTuple):
@@ -67,7 +74,7 @@
     return LogClient(build_peer(address, pool, timeout_s))
 
 
-def append(
+def append_record(
     client: LogClient, stream: str, record: dict[str, Any]
 ) -> Result[int, CallError]:
     """Append `record` to `stream` and return its offset."""
@@ -82,7 +89,7 @@
     return Ok(offset)
 
 
-def read(
+def read_records(
     client: LogClient, stream: str, start: int, limit: int = 500, wait_s: float = 0.0
 ) -> Result[LogPage, CallError]:
     """Return up to `limit` records of `stream` from offset `start` on.
--- a/plantainyard/clients/runner.py
+++ b/plantainyard/clients/runner.py
@@ -17,7 +17,7 @@
 )
 
 __all__ = [
-    "RunnerAnswer",
+    "RunnerResult",
     "RunnerClient",
     "RunnerOutcome",
     "build_runner_client",
@@ -54,7 +54,7 @@
     peer: HttpPeer
 
 
-class RunnerAnswer(NamedTuple):
+class RunnerResult(NamedTuple):
     """The outcome of one sending.
 
     Attributes
@@ -70,7 +70,7 @@
     """
 
     outcome: str
-    answer: HttpResponse | None = None
+    response: HttpResponse | None = None
     error: CallError | None = None
     retry_after_s: float = 0.0
 
@@ -90,8 +90,8 @@
     request_id: str,
     timeout_s: float,
     headers: Mapping[str, str] | None = None,
-    told_s: float | None = None,
-) -> RunnerAnswer:
+    remaining_s: float | None = None,
+) -> RunnerResult:
     """Send one request to the runner and return its outcome.
 
     Parameters
@@ -106,19 +106,21 @@
         Longest wait for the whole answer.
     headers : mapping, optional
         The caller's headers to pass on.
-    told_s : float, optional
+    remaining_s : float, optional
         Time left until the caller's deadline, which the runner is told; `timeout_s`
         by default.
 
     Returns
     -------
-    RunnerAnswer
+    RunnerResult
         Never an error of its own: each failure is an outcome.
     """
     sent = {
         **(headers or {}),
         REQUEST_ID_HEADER: request_id,
-        DEADLINE_HEADER: str(int((timeout_s if told_s is None else told_s) * 1000)),
+        DEADLINE_HEADER: str(
+            int((timeout_s if remaining_s is None else remaining_s) * 1000)
+        ),
     }
     # Answers can be swapped or late: a runner's answer with another request's id must
     # not reach this caller, and whether this one ran is then not known.
@@ -136,14 +138,14 @@
         error = result.err_value
         sure = error.kind == ErrorKind.UNREACHABLE
         outcome = RunnerOutcome.NOT_RUN if sure else RunnerOutcome.LOST
-        return RunnerAnswer(outcome, error=error)
-    return _judge_answer(result.ok_value)
+        return RunnerResult(outcome, error=error)
+    return _classify_response(result.ok_value)
 
 
-def _judge_answer(answer: HttpResponse) -> RunnerAnswer:
+def _classify_response(answer: HttpResponse) -> RunnerResult:
     flag = answer.headers.get(NOT_RUN_HEADER, "").lower()
     if answer.status == UNAVAILABLE and flag == "true":
-        return RunnerAnswer(
+        return RunnerResult(
             RunnerOutcome.NOT_RUN, answer, retry_after_s=read_retry_after(answer)
         )
-    return RunnerAnswer(RunnerOutcome.ANSWERED, answer)
+    return RunnerResult(RunnerOutcome.ANSWERED, answer)
--- a/plantainyard/clients/tests/peers.py
+++ b/plantainyard/clients/tests/peers.py
@@ -50,7 +50,7 @@
             connection.close()
 
 
-def format_answer(body: bytes, status: str = "200 OK", *headers: str) -> bytes:
+def format_response(body: bytes, status: str = "200 OK", *headers: str) -> bytes:
     """Return the bytes of a whole HTTP answer."""
     lines = [f"HTTP/1.1 {status}", f"Content-Length: {len(body)}", *headers]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
--- a/plantainyard/clients/worker.py
+++ b/plantainyard/clients/worker.py
@@ -33,7 +33,7 @@
     "TaskAttempt",
     "Throttle",
     "Usage",
-    "WorkerAnswer",
+    "WorkerResponse",
     "WorkerClient",
     "WorkerState",
     "build_worker_client",
@@ -197,7 +197,7 @@
     leaving: bool = False
 
 
-class WorkerAnswer(NamedTuple):
+class WorkerResponse(NamedTuple):
     """A worker's answer to commands.
 
     Attributes
@@ -237,12 +237,12 @@
 
 def send_commands(
     client: WorkerClient, commands: Commands
-) -> Result[WorkerAnswer, CallError]:
+) -> Result[WorkerResponse, CallError]:
     """Send `commands` once and return the worker's answer.
 
     Returns
     -------
-    Result[WorkerAnswer, CallError]
+    Result[WorkerResponse, CallError]
         A stale epoch and a late call are answers, not errors. After ``LOST`` the
         commands may have been carried out: ask `read_state`.
     """
@@ -259,7 +259,7 @@
         return answer
     status = answer.ok_value.status
     return _parse_checked(client, step, answer.ok_value).map(
-        lambda state: WorkerAnswer(
+        lambda state: WorkerResponse(
             status not in (CONFLICT, GONE), status == GONE, state
         )
     )
--- a/plantainyard/execution/events.py
+++ b/plantainyard/execution/events.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from plantainyard.clients import Commands, WorkerAnswer
+from plantainyard.clients import Commands, WorkerResponse
 from plantainyard.errors import CallError
 from plantainyard.state import (
     ResultItem,
@@ -42,7 +42,7 @@
     """A worker answered; `sent_at` is the owner's clock before the sending."""
 
     worker: str
-    answer: WorkerAnswer
+    answer: WorkerResponse
     sent_at: float
     fencing: bool
 
--- a/plantainyard/execution/rack.py
+++ b/plantainyard/execution/rack.py
@@ -8,7 +8,7 @@
 import itertools
 from collections.abc import Callable, Iterable, Mapping, Set
 
-from plantainyard.clients import Commands, WorkerAnswer
+from plantainyard.clients import Commands, WorkerResponse
 from plantainyard.state import (
     Assignment,
     DomainState,
@@ -161,7 +161,7 @@
 def _process_answer(
     state: RackState,
     worker: str,
-    answer: WorkerAnswer,
+    answer: WorkerResponse,
     sent_at: float,
     fencing: bool,
     now: float,
--- a/plantainyard/gateway/attempts.py
+++ b/plantainyard/gateway/attempts.py
@@ -13,8 +13,8 @@
 
 from plantainyard.clients import (
     HttpPeer,
-    RunnerAnswer,
     RunnerOutcome,
+    RunnerResult,
     build_peer,
     build_runner_client,
     run_request,
@@ -170,10 +170,10 @@
     client = build_runner_client(action.runner.address, sender.runners)
     peer = client.peer._replace(connect_s=_RUNNER_CONNECT_TIMEOUT_S)
     now = read_time()
-    told_s = min(action.timeout_s, action.request.deadline - now)
+    remaining_s = min(action.timeout_s, action.request.deadline - now)
     # The thread may have slept since the decision: past the credit's end the slot may
     # be another gateway's, and the runner would be given more than it can hold.
-    if not check_credit(action.not_after, now) or told_s <= 0:
+    if not check_credit(action.not_after, now) or remaining_s <= 0:
         return AttemptEnded(action.key, SendResult.NOT_SENT)
     headers = {"Content-Type": content_type}
     answer = run_request(
@@ -182,7 +182,7 @@
         action.request.id,
         sender.request_max_s,
         headers,
-        told_s,
+        remaining_s,
     )
     return _classify_answer(action.key, answer, read_time() - now)
 
@@ -249,8 +249,8 @@
     )
 
 
-def _classify_answer(key: str, sent: RunnerAnswer, latency_s: float) -> AttemptEnded:
-    answer = sent.answer
+def _classify_answer(key: str, sent: RunnerResult, latency_s: float) -> AttemptEnded:
+    answer = sent.response
     if answer is None:
         lost = sent.outcome != RunnerOutcome.NOT_RUN
         result = SendResult.LOST if lost else SendResult.NOT_RUN
--- a/plantainyard/node/peers.py
+++ b/plantainyard/node/peers.py
@@ -21,15 +21,15 @@
     InstancesAsk,
 )
 from plantainyard.relay import (
-    PeerAddress,
+    HeartbeatBatch,
+    PeerLocation,
     RelayState,
-    Sending,
     choose_targets,
-    confirm_sending,
-    forget_confirmations,
+    confirm_batch,
     is_relay,
-    list_news,
-    note_word,
+    list_unconfirmed,
+    record_heartbeat,
+    reset_confirmations,
 )
 from plantainyard.settings import Settings
 
@@ -221,7 +221,7 @@
             near = peer.domain == own.domain
             sending = self._list_news(name, near)
             ages = self._list_ages(now) if near and self.is_relay else {}
-            beat = own._replace(members=sending.words, domain_ages=ages)
+            beat = own._replace(members=sending.heartbeats, domain_ages=ages)
             self.executor.submit(
                 send_heartbeat,
                 self.settings,
@@ -235,22 +235,22 @@
     def _choose_targets(self) -> list[str]:
         instance = self.settings.instance
         return choose_targets(
-            PeerAddress(instance.id, instance.domain),
+            PeerLocation(instance.id, instance.domain),
             (
-                PeerAddress(peer.id, peer.domain)
+                PeerLocation(peer.id, peer.domain)
                 for peer in self.listed.values()
-                if peer.state != InstanceState.GONE and peer.control_address
+                if peer.state != InstanceState.TERMINATED and peer.control_address
             ),
             self.failed_heartbeats,
             self.is_relay,
         )
 
-    def _list_news(self, peer: str, near: bool) -> Sending:
+    def _list_news(self, peer: str, near: bool) -> HeartbeatBatch:
         if not self.is_relay:
-            return Sending((), 0)
+            return HeartbeatBatch((), 0)
         own = self.settings.instance.domain
-        others = {word.domain for word in self.relay.words.values()} - {own}
-        return list_news(self.relay, peer, others if near else {own})
+        others = {word.domain for word in self.relay.heartbeats.values()} - {own}
+        return list_unconfirmed(self.relay, peer, others if near else {own})
 
     def _list_ages(self, now: float) -> dict[str, float]:
         return {
@@ -263,7 +263,7 @@
         oldest = now - self.settings.intervals.silence_s
         for beat, heard_at in self.heartbeats.values():
             if beat.domain == self.settings.instance.domain:
-                note_word(self.relay, beat._replace(live=heard_at >= oldest))
+                record_heartbeat(self.relay, beat._replace(live=heard_at >= oldest))
 
     def _process_heartbeat_end(self, message: "HeartbeatSent") -> None:
         if not message.delivered:
@@ -272,7 +272,7 @@
             )
             return
         self.failed_heartbeats.pop(message.peer, None)
-        confirm_sending(self.relay, message.peer, message.version)
+        confirm_batch(self.relay, message.peer, message.version)
 
     def _process_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
         earlier = self.heartbeats.get(heartbeat.instance)
@@ -280,20 +280,20 @@
             return
         if earlier is None or earlier[0].incarnation != heartbeat.incarnation:
             # A peer that was started anew knows nothing of what it had confirmed.
-            forget_confirmations(self.relay, heartbeat.instance)
+            reset_confirmations(self.relay, heartbeat.instance)
         own = self.settings.instance.domain
         if heartbeat.domain != own:
             self.domain_heard_at[heartbeat.domain] = now
         for word in heartbeat.members:
             if word.domain != own:
                 self.heartbeats[word.instance] = (word, now)
-                note_word(self.relay, word)
+                record_heartbeat(self.relay, word)
         for domain, age_s in heartbeat.domain_ages.items():
             heartbeats = self.domain_heard_at.get(domain, float("-inf"))
             self.domain_heard_at[domain] = max(heartbeats, now - age_s)
         kept = heartbeat._replace(members=(), domain_ages={})
         self.heartbeats[heartbeat.instance] = (kept, now)
-        note_word(self.relay, kept)
+        record_heartbeat(self.relay, kept)
         self._check_relay_list(heartbeat, now)
 
     def _check_relay_list(self, heartbeat: Heartbeat, now: float) -> None:
--- a/plantainyard/node/racks.py
+++ b/plantainyard/node/racks.py
@@ -112,7 +112,7 @@
             continue
         if instance.domain != node.settings.instance.domain:
             continue
-        if instance.state == InstanceState.GONE:
+        if instance.state == InstanceState.TERMINATED:
             terminated.add(instance.id)
             continue
         rack = workers.setdefault(instance.worker.rack, {})
--- a/plantainyard/node/streams.py
+++ b/plantainyard/node/streams.py
@@ -14,7 +14,7 @@
 from result import Err
 
 from plantainyard import state as log_state
-from plantainyard.clients import LogClient, append, read
+from plantainyard.clients import LogClient, append_record, read_records
 from plantainyard.clock import read_clock
 from plantainyard.errors import ErrorKind, describe_error
 from plantainyard.protocol import RecordsAnswer, RelayedRecord
@@ -319,7 +319,7 @@
 
 def _fetch(name: str, io: StreamIO, action: log_state.Fetch, wait_s: float) -> None:
     requested_at = read_clock()
-    answer = read(io.log, name, action.offset, action.limit, wait_s)
+    answer = read_records(io.log, name, action.offset, action.limit, wait_s)
     event: log_state.ReadEvent
     if isinstance(answer, Err):
         error = answer.err_value
@@ -334,7 +334,7 @@
 
 def _append(name: str, io: StreamIO, record: dict[str, Any]) -> None:
     requested_at = read_clock()
-    answer = append(io.log, name, record)
+    answer = append_record(io.log, name, record)
     event: log_state.AppendEvent
     if not isinstance(answer, Err):
         event = log_state.AppendSucceeded(answer.ok_value)
--- a/plantainyard/node/tests/world.py
+++ b/plantainyard/node/tests/world.py
@@ -15,7 +15,7 @@
     Instance,
     InstanceKind,
     InstanceState,
-    WorkerAnswer,
+    WorkerResponse,
 )
 from plantainyard.clients.worker import encode_commands, parse_state
 from plantainyard.errors import CallError, ErrorKind
@@ -229,7 +229,7 @@
         else:
             reach()
 
-    def ask(self, call: Any) -> WorkerAnswer:
+    def ask(self, call: Any) -> WorkerResponse:
         machine = self.machines[call.worker]
         status, refused = 200, list[Any]()
         if call.commands is None:
@@ -238,7 +238,7 @@
             wire = json.loads(json.dumps(encode_commands(call.commands)))
             status, refused = apply_commands(machine, wire, self.now)
         body = json.loads(json.dumps(describe_machine(machine, refused, self.now)))
-        return WorkerAnswer(status == 200, status == 410, parse_state(body))
+        return WorkerResponse(status == 200, status == 410, parse_state(body))
 
     def deliver_held(self) -> None:
         held, self.held = self.held, []
--- a/plantainyard/node/workers.py
+++ b/plantainyard/node/workers.py
@@ -12,7 +12,7 @@
 from result import Err, Result
 
 from plantainyard.clients import (
-    WorkerAnswer,
+    WorkerResponse,
     build_worker_client,
     read_state,
     send_commands,
@@ -65,8 +65,8 @@
     deliver(WorkerAnswered(call.worker, answer.ok_value, sent_at, fencing))
 
 
-def _ask_worker(caller: WorkerCaller, call: Call) -> Result[WorkerAnswer, CallError]:
+def _ask_worker(caller: WorkerCaller, call: Call) -> Result[WorkerResponse, CallError]:
     client = build_worker_client(call.address, caller.pool, caller.timeout_s)
     if call.commands is None:
-        return read_state(client).map(lambda state: WorkerAnswer(True, False, state))
+        return read_state(client).map(lambda state: WorkerResponse(True, False, state))
     return send_commands(client, call.commands)
--- a/plantainyard/operators/creation.py
+++ b/plantainyard/operators/creation.py
@@ -52,7 +52,7 @@
     return [
         i.worker
         for i in list_instances(node)
-        if i.worker is not None and i.state != InstanceState.GONE
+        if i.worker is not None and i.state != InstanceState.TERMINATED
     ]
 
 
--- a/plantainyard/process.py
+++ b/plantainyard/process.py
@@ -77,7 +77,7 @@
     AuthorityChanged,
 )
 from plantainyard.serving import serve_app
-from plantainyard.settings import Settings, find_stop_grace
+from plantainyard.settings import Settings, compute_stop_grace
 
 __all__ = ["Process", "drain_process", "run_process"]
 
@@ -168,7 +168,7 @@
     stop_s = node.settings.intervals.stop_s
     deadline = read_clock() + stop_s
     node.domain.tell(Stop())
-    drain_gateway(node.gateway, find_stop_grace(node.settings.intervals))
+    drain_gateway(node.gateway, compute_stop_grace(node.settings.intervals))
     drained = node.gateway.drained.wait(stop_s)
     while read_clock() < deadline and _owns_racks(node):
         time.sleep(_POLL_INTERVAL_S)
--- a/plantainyard/relay/__init__.py
+++ b/plantainyard/relay/__init__.py
@@ -1,25 +1,25 @@
 """Relaying between instances: of their words, the instance list and log records."""
 
-from plantainyard.relay.words import (
-    PeerAddress,
+from plantainyard.relay.heartbeats import (
+    HeartbeatBatch,
+    PeerLocation,
     RelayState,
-    Sending,
     choose_targets,
-    confirm_sending,
-    forget_confirmations,
+    confirm_batch,
     is_relay,
-    list_news,
-    note_word,
+    list_unconfirmed,
+    record_heartbeat,
+    reset_confirmations,
 )
 
 __all__ = [
-    "PeerAddress",
+    "PeerLocation",
     "RelayState",
-    "Sending",
+    "HeartbeatBatch",
     "choose_targets",
-    "confirm_sending",
-    "forget_confirmations",
+    "confirm_batch",
+    "reset_confirmations",
     "is_relay",
-    "list_news",
-    "note_word",
+    "list_unconfirmed",
+    "record_heartbeat",
 ]
--- a/plantainyard/relay/words.py
+++ b/plantainyard/relay/heartbeats.py
@@ -12,31 +12,31 @@
 from plantainyard.routing.arbiter import rank_names
 
 __all__ = [
-    "PeerAddress",
+    "PeerLocation",
     "RelayState",
-    "Sending",
+    "HeartbeatBatch",
     "choose_targets",
-    "confirm_sending",
-    "forget_confirmations",
+    "confirm_batch",
+    "reset_confirmations",
     "is_relay",
-    "list_news",
-    "note_word",
+    "list_unconfirmed",
+    "record_heartbeat",
 ]
 
 _SPOKEN = ("sequence", "members", "domain_ages", "list_digest", "config_age_s")
 
 
-class PeerAddress(NamedTuple):
+class PeerLocation(NamedTuple):
     """An instance that can be spoken to."""
 
     instance: str
     domain: str
 
 
-class Sending(NamedTuple):
+class HeartbeatBatch(NamedTuple):
     """Words to pass on, and the version to confirm once they arrived."""
 
-    words: tuple[Heartbeat, ...]
+    heartbeats: tuple[Heartbeat, ...]
     version: int
 
 
@@ -56,7 +56,7 @@
     """
 
     def __init__(self) -> None:
-        self.words: dict[str, Heartbeat] = {}
+        self.heartbeats: dict[str, Heartbeat] = {}
         self.versions: dict[str, int] = {}
         self.version = 0
         self.confirmed: dict[str, int] = {}
@@ -73,18 +73,18 @@
 
 
 def choose_targets(
-    own: PeerAddress,
-    listed: Iterable[PeerAddress],
+    own: PeerLocation,
+    listed: Iterable[PeerLocation],
     silent: Mapping[str, int],
-    relays: bool,
+    acts_as_relay: bool,
 ) -> list[str]:
     """Return the instances to speak to in this round.
 
     Parameters
     ----------
-    own : PeerAddress
+    own : PeerLocation
         This instance.
-    listed : iterable of PeerAddress
+    listed : iterable of PeerLocation
         All others that the list does not call gone.
     silent : mapping of str to int
         Calls in a row that brought no answer, by instance.
@@ -102,7 +102,7 @@
     for peer in listed:
         domains.setdefault(peer.domain, []).append(peer.instance)
     near = domains.pop(own.domain, [])
-    if not relays:
+    if not acts_as_relay:
         return near
     far = [
         min(rank_relays(domain, names), key=lambda name: silent.get(name, 0))
@@ -111,37 +111,39 @@
     return near + far
 
 
-def note_word(state: RelayState, word: Heartbeat) -> bool:
+def record_heartbeat(state: RelayState, word: Heartbeat) -> bool:
     """Keep `word` as its instance's newest; return whether it says anything new."""
     kept = _strip(word)
-    if state.words.get(word.instance) == kept:
+    if state.heartbeats.get(word.instance) == kept:
         return False
     state.version += 1
-    state.words[word.instance] = kept
+    state.heartbeats[word.instance] = kept
     state.versions[word.instance] = state.version
     return True
 
 
-def list_news(state: RelayState, peer: str, domains: Iterable[str]) -> Sending:
+def list_unconfirmed(
+    state: RelayState, peer: str, domains: Iterable[str]
+) -> HeartbeatBatch:
     """Return the words about `domains` that `peer` has not confirmed."""
     wanted = set(domains)
     known = state.confirmed.get(peer, 0)
     words = tuple(
         word
-        for instance, word in state.words.items()
+        for instance, word in state.heartbeats.items()
         if word.domain in wanted
         and instance != peer
         and state.versions[instance] > known
     )
-    return Sending(words, state.version)
+    return HeartbeatBatch(words, state.version)
 
 
-def confirm_sending(state: RelayState, peer: str, version: int) -> None:
+def confirm_batch(state: RelayState, peer: str, version: int) -> None:
     """Note that `peer` has everything up to `version`."""
     state.confirmed[peer] = max(version, state.confirmed.get(peer, 0))
 
 
-def forget_confirmations(state: RelayState, peer: str) -> None:
+def reset_confirmations(state: RelayState, peer: str) -> None:
     """Note that `peer` was started anew and knows nothing."""
     state.confirmed.pop(peer, None)
 
--- a/plantainyard/relay/tests/test_words.py
+++ b/plantainyard/relay/tests/test_heartbeats.py
@@ -3,12 +3,12 @@
 
 from plantainyard.protocol import Heartbeat
 from plantainyard.relay import (
-    PeerAddress,
+    PeerLocation,
     RelayState,
     choose_targets,
-    confirm_sending,
-    list_news,
-    note_word,
+    confirm_batch,
+    list_unconfirmed,
+    record_heartbeat,
 )
 
 
@@ -29,26 +29,26 @@
     state = RelayState()
     known: dict[str, Heartbeat] = {}
     for sequence, (member, version, arrives) in enumerate(rounds):
-        note_word(state, _say(f"i{member}", "d", version, sequence))
-        news = list_news(state, "peer", ["d"])
+        record_heartbeat(state, _say(f"i{member}", "d", version, sequence))
+        batch = list_unconfirmed(state, "peer", ["d"])
         if arrives:
-            known.update({word.instance: word for word in news.words})
-            confirm_sending(state, "peer", news.version)
-            assert known == state.words
-            assert not list_news(state, "peer", ["d"]).words
+            known.update({word.instance: word for word in batch.heartbeats})
+            confirm_batch(state, "peer", batch.version)
+            assert known == state.heartbeats
+            assert not list_unconfirmed(state, "peer", ["d"]).heartbeats
 
 
 def test_domain_with_dead_relay_is_reached_through_another():
     # A domain's relay dies and the list still shows it: callers elsewhere would see
     # the whole domain as cut off, while its other instances serve.
-    own = PeerAddress("a1", "a")
-    listed = [PeerAddress(name, "b") for name in ("b1", "b2", "b3")]
-    (first,) = choose_targets(own, listed, {}, relays=True)
-    (second,) = choose_targets(own, listed, {first: 1}, relays=True)
+    own = PeerLocation("a1", "a")
+    listed = [PeerLocation(name, "b") for name in ("b1", "b2", "b3")]
+    (first,) = choose_targets(own, listed, {}, acts_as_relay=True)
+    (second,) = choose_targets(own, listed, {first: 1}, acts_as_relay=True)
     assert second != first
 
 
 def test_only_relay_speaks_to_other_domains():
-    own = PeerAddress("a1", "a")
-    listed = [PeerAddress("a2", "a"), PeerAddress("b1", "b")]
-    assert choose_targets(own, listed, {}, relays=False) == ["a2"]
+    own = PeerLocation("a1", "a")
+    listed = [PeerLocation("a2", "a"), PeerLocation("b1", "b")]
+    assert choose_targets(own, listed, {}, acts_as_relay=False) == ["a2"]
--- a/plantainyard/settings/__init__.py
+++ b/plantainyard/settings/__init__.py
@@ -18,7 +18,7 @@
     Security,
     Settings,
 )
-from plantainyard.settings.rules import RULES, Rule, find_stop_grace
+from plantainyard.settings.rules import RULES, Rule, compute_stop_grace
 from plantainyard.settings.secret import Secret
 
 __all__ = [
@@ -37,7 +37,7 @@
     "SettingError",
     "Settings",
     "describe_setting_error",
-    "find_stop_grace",
+    "compute_stop_grace",
     "load_settings",
     "parse_settings",
 ]
--- a/plantainyard/settings/rules.py
+++ b/plantainyard/settings/rules.py
@@ -11,16 +11,16 @@
 __all__ = [
     "MIN_TOKEN_LENGTH",
     "RULES",
-    "Problem",
+    "Conflict",
     "Rule",
     "find_conflicts",
-    "find_stop_grace",
+    "compute_stop_grace",
 ]
 
 MIN_TOKEN_LENGTH = 16
 BYTES_IN_MB = 1_000_000
 MS_IN_S = 1_000.0
-GRACE_BEATS = 4.0
+GRACE_HEARTBEATS = 4.0
 HEARTBEATS_IN_SILENCE = 2.0
 RENEWALS_IN_LEASE = 2.0
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_-]*")
@@ -42,7 +42,7 @@
     expected: str
 
 
-class Problem(NamedTuple):
+class Conflict(NamedTuple):
     """Two keys that don't go together."""
 
     section: str
@@ -173,7 +173,7 @@
 }
 
 
-def find_stop_grace(intervals: Intervals) -> float:
+def compute_stop_grace(intervals: Intervals) -> float:
     """Return for how long a stopping instance still takes requests.
 
     Notes
@@ -184,23 +184,23 @@
     whether the request ran. The grace covers the lag of the list, and the heartbeats
     by which the word of a rack's new owner reaches the gateways of other domains.
     """
-    return intervals.instances_s + GRACE_BEATS * intervals.heartbeat_s
+    return intervals.instances_s + GRACE_HEARTBEATS * intervals.heartbeat_s
 
 
-def find_conflicts(settings: Settings) -> Iterator[Problem]:
+def find_conflicts(settings: Settings) -> Iterator[Conflict]:
     """Yield the values that are possible alone but not together."""
     instance, platform = settings.instance, settings.platform
     limits, requests = settings.limits, settings.requests
     intervals = settings.intervals
     if instance.address == instance.control_address and not _has_free_port(instance):
-        yield Problem(
+        yield Conflict(
             "instance",
             "control_address",
             "another address than instance.address, so that overload by callers "
             "can't stop control",
         )
     if intervals.silence_s < HEARTBEATS_IN_SILENCE * intervals.heartbeat_s:
-        yield Problem(
+        yield Conflict(
             "intervals",
             "silence_s",
             f"at least {HEARTBEATS_IN_SILENCE:g} times intervals.heartbeat_s "
@@ -208,49 +208,49 @@
         )
     usable_s = platform.worker_lease_s * (1 - platform.clock_drift)
     if usable_s < RENEWALS_IN_LEASE * intervals.worker_s:
-        yield Problem(
+        yield Conflict(
             "platform",
             "worker_lease_s",
             f"at least {RENEWALS_IN_LEASE:g} times intervals.worker_s "
             f"({intervals.worker_s:g}) after clock_drift",
         )
     if requests.default_deadline_ms > requests.request_max_s * MS_IN_S:
-        yield Problem(
+        yield Conflict(
             "requests",
             "default_deadline_ms",
             f"at most requests.request_max_s ({requests.request_max_s:g} s)",
         )
     if requests.id_memory_s < requests.request_max_s:
-        yield Problem(
+        yield Conflict(
             "requests",
             "id_memory_s",
             f"at least requests.request_max_s ({requests.request_max_s:g}), so that "
             "a repeat of a running request is known",
         )
     if requests.credit_s < HEARTBEATS_IN_SILENCE * intervals.heartbeat_s:
-        yield Problem(
+        yield Conflict(
             "requests",
             "credit_s",
             f"at least {HEARTBEATS_IN_SILENCE:g} times intervals.heartbeat_s "
             f"({intervals.heartbeat_s:g})",
         )
-    stop_s = find_stop_grace(intervals) + requests.request_max_s
+    stop_s = compute_stop_grace(intervals) + requests.request_max_s
     if intervals.stop_s < stop_s:
-        yield Problem(
+        yield Conflict(
             "intervals",
             "stop_s",
-            f"at least {stop_s:g}: instances_s, {GRACE_BEATS:g} times heartbeat_s and "
-            "then request_max_s, so that a planned stop cuts off no request",
+            f"at least {stop_s:g}: instances_s, {GRACE_HEARTBEATS:g} times heartbeat_s "
+            "and then request_max_s, so that a planned stop cuts off no request",
         )
     if limits.caller_threads > limits.connections:
-        yield Problem(
+        yield Conflict(
             "limits",
             "caller_threads",
             f"at most limits.connections ({limits.connections})",
         )
     held = limits.body_bytes * (limits.caller_threads + limits.control_threads)
     if held > limits.memory_mb * BYTES_IN_MB:
-        yield Problem(
+        yield Conflict(
             "limits",
             "memory_mb",
             f"at least {math.ceil(held / BYTES_IN_MB)}: body_bytes for each of the "
--- a/plantainyard/tests/test_transport.py
+++ b/plantainyard/tests/test_transport.py
@@ -5,26 +5,26 @@
 import pytest
 
 from plantainyard.clients.runner import RunnerOutcome, build_runner_client, run_request
-from plantainyard.clients.tests.peers import format_answer, serve_raw
+from plantainyard.clients.tests.peers import format_response, serve_raw
 from plantainyard.errors import ErrorKind
 from plantainyard.transport import build_peer, call_json
 
 TRUNCATED = b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{}"
-VALID_JSON = format_answer(b"{}")
-OWN_RESPONSE = format_answer(b"mine", "200 OK", "Request-Id: r2")
+VALID_JSON = format_response(b"{}")
+OWN_RESPONSE = format_response(b"mine", "200 OK", "Request-Id: r2")
 
 
 @pytest.mark.parametrize(
     ("raw", "kind", "retry_after_s"),
     [
-        (format_answer(b"{}", "409 Conflict"), ErrorKind.CONFLICT, 0),
-        (format_answer(b"{}", "410 Gone"), ErrorKind.CONFLICT, 0),
-        (format_answer(b"{}", "404 Not Found"), ErrorKind.REFUSED, 0),
-        (format_answer(b"", "429 Slow", "Retry-After: 2"), ErrorKind.REFUSED, 2),
-        (format_answer(b"", "503 Out", "Retry-After: 0.5"), ErrorKind.REFUSED, 0.5),
-        (format_answer(b"", "500 Oops"), ErrorKind.LOST, 0),
-        (format_answer(b"{not json"), ErrorKind.MALFORMED, 0),
-        (format_answer(b"[1]"), ErrorKind.MALFORMED, 0),
+        (format_response(b"{}", "409 Conflict"), ErrorKind.CONFLICT, 0),
+        (format_response(b"{}", "410 Gone"), ErrorKind.CONFLICT, 0),
+        (format_response(b"{}", "404 Not Found"), ErrorKind.REFUSED, 0),
+        (format_response(b"", "429 Slow", "Retry-After: 2"), ErrorKind.REFUSED, 2),
+        (format_response(b"", "503 Out", "Retry-After: 0.5"), ErrorKind.REFUSED, 0.5),
+        (format_response(b"", "500 Oops"), ErrorKind.LOST, 0),
+        (format_response(b"{not json"), ErrorKind.MALFORMED, 0),
+        (format_response(b"[1]"), ErrorKind.MALFORMED, 0),
         (TRUNCATED, ErrorKind.LOST, 0),
         (b"", ErrorKind.LOST, 0),
     ],
@@ -47,7 +47,7 @@
 
 def test_response_over_the_body_limit_is_rejected():
     body = b'{"x": "' + b"x" * 100_000 + b'"}'
-    with serve_raw([format_answer(body)]) as (address, _):
+    with serve_raw([format_response(body)]) as (address, _):
         peer = build_peer(address)._replace(body_limit=1000)
         error = call_json(peer, "step", "GET", "/").err()
     assert error is not None
@@ -58,8 +58,8 @@
     "first",
     [
         TRUNCATED,
-        format_answer(b"yours", "200 OK", "Request-Id: r1"),
-        format_answer(b"", "200 OK"),
+        format_response(b"yours", "200 OK", "Request-Id: r1"),
+        format_response(b"", "200 OK"),
     ],
 )
 def test_desynchronized_connection_is_not_reused(first):
@@ -74,7 +74,7 @@
         answered = [run_request(client, b"", "r2", 5.0) for _ in range(2)]
     assert lost.outcome == RunnerOutcome.LOST
     assert [a.outcome for a in answered] == [RunnerOutcome.ANSWERED] * 2
-    assert [a.answer.body for a in answered if a.answer] == [b"mine"] * 2
+    assert [a.response.body for a in answered if a.response] == [b"mine"] * 2
     assert seen == [0, 1, 1]
 
 
@@ -99,7 +99,7 @@
     ],
 )
 def test_not_run_only_if_the_runner_declares_it(status, header, outcome):
-    raw = format_answer(b"", status, "Request-Id: r", header)
+    raw = format_response(b"", status, "Request-Id: r", header)
     with serve_raw([raw]) as (address, _):
         answer = run_request(build_runner_client(address), b"", "r", 2.0)
     assert answer.outcome == outcome
--- a/standins/tests/test_platform.py
+++ b/standins/tests/test_platform.py
@@ -11,13 +11,13 @@
     RunnerOutcome,
     Start,
     TaskAttempt,
-    append,
+    append_record,
     build_instances_client,
     build_log_client,
     build_runner_client,
     build_worker_client,
-    read,
     read_instances,
+    read_records,
     read_state,
     run_request,
     send_commands,
@@ -43,19 +43,25 @@
     with run_log() as ready:
         address = ready["address"]
         client = build_log_client(address, timeout_s=5)
-        assert append(client, "config", {"n": 0}).unwrap() == 0
+        assert append_record(client, "config", {"n": 0}).unwrap() == 0
         post(address, "/faults", {"lose_next_answers": 1})
-        assert append(client, "config", {"n": 1}).unwrap_err().kind == ErrorKind.LOST
-        page = read(client, "config", 1).unwrap()
+        assert (
+            append_record(client, "config", {"n": 1}).unwrap_err().kind
+            == ErrorKind.LOST
+        )
+        page = read_records(client, "config", 1).unwrap()
         assert [(r.offset, r.data) for r in page.records] == [(1, {"n": 1})]
 
         post(address, "/faults", {"drop_before": {"config": 1}, "outage": True})
-        error = append(client, "config", {"n": 2}).unwrap_err()
+        error = append_record(client, "config", {"n": 2}).unwrap_err()
         assert (error.kind, error.retry_after_s) == (ErrorKind.REFUSED, 0.2)
         post(address, "/faults", {"outage": False, "rate": 1})
-        assert append(client, "config", {"n": 2}).unwrap() == 2
-        assert append(client, "config", {"n": 3}).unwrap_err().kind == ErrorKind.REFUSED
-        page = read(client, "config", 0).unwrap()
+        assert append_record(client, "config", {"n": 2}).unwrap() == 2
+        assert (
+            append_record(client, "config", {"n": 3}).unwrap_err().kind
+            == ErrorKind.REFUSED
+        )
+        page = read_records(client, "config", 0).unwrap()
         assert (page.first, page.next, len(page.records)) == (1, 3, 2)
 
 
@@ -64,10 +70,12 @@
         client = build_log_client(ready["address"])
         pages = []
         reader = threading.Thread(
-            target=lambda: pages.append(read(client, "config", 0, wait_s=20).unwrap())
+            target=lambda: pages.append(
+                read_records(client, "config", 0, wait_s=20).unwrap()
+            )
         )
         reader.start()
-        append(client, "config", {"n": 0})
+        append_record(client, "config", {"n": 0})
         reader.join(20)
         assert [r.data for r in pages[0].records] == [{"n": 0}]
 
@@ -99,8 +107,8 @@
 
         runner = build_runner_client(running.address)
         done = run_request(runner, b"two loaves", "r1", 5)
-        assert done.answer
-        assert (done.outcome, done.answer.body) == (
+        assert done.response
+        assert (done.outcome, done.response.body) == (
             RunnerOutcome.ANSWERED,
             b"two loaves",
         )
@@ -167,12 +175,15 @@
         links = post(control["address"], "/links", {"links": [item]})
         client = build_log_client(links["addresses"][0], timeout_s=0.5)
         direct = build_log_client(log["address"])
-        assert append(client, "config", {"n": 0}).unwrap() == 0
+        assert append_record(client, "config", {"n": 0}).unwrap() == 0
         post(control["address"], "/faults", {"cut": [["accra-central"]]})
-        assert append(client, "config", {"n": 1}).unwrap_err().kind == ErrorKind.LOST
-        assert read(direct, "config", 0).unwrap().next == 1
+        assert (
+            append_record(client, "config", {"n": 1}).unwrap_err().kind
+            == ErrorKind.LOST
+        )
+        assert read_records(direct, "config", 0).unwrap().next == 1
         post(control["address"], "/faults", {"heal": [["platform", "accra-central"]]})
-        assert read(direct, "config", 1, wait_s=10).unwrap().next == 2
+        assert read_records(direct, "config", 1, wait_s=10).unwrap().next == 2
         counts = urllib3.request("GET", control["address"] + "/counts").json()
         assert counts["bytes"]["accra-central|platform out"] > 0
 
