--- a/plantainyard/gateway/attempts.py
+++ b/plantainyard/gateway/attempts.py
@@ -16,8 +16,8 @@
 
 from plantainyard.clients import (
     HttpPeer,
-    RunnerAnswer,
     RunnerOutcome,
+    RunnerResult,
     build_peer,
     build_runner_client,
     run_request,
@@ -91,6 +91,17 @@
     ----------
     action : Send
         The request, its runner and its time limits.
+
+    Attributes
+    ----------
+    lock : threading.Lock
+        Guards the other attributes.
+    started_at : float
+        Time at which the thread began to send, or NaN before.
+    is_ended : bool
+        Whether the thread has finished sending.
+    is_abandoned : bool
+        Whether the caller's thread no longer waits for the end.
     """
 
     def __init__(self, action: Send) -> None:
@@ -269,8 +280,8 @@
     )
 
 
-def _classify_answer(key: str, answer: RunnerAnswer, latency_s: float) -> AttemptEnded:
-    response = answer.answer
+def _classify_answer(key: str, answer: RunnerResult, latency_s: float) -> AttemptEnded:
+    response = answer.response
     if response is None:
         may_have_run = answer.outcome != RunnerOutcome.NOT_RUN
         result = SendResult.LOST if may_have_run else SendResult.NOT_RUN
