--- a/plantainyard/commands/calls.py
+++ b/plantainyard/commands/calls.py
@@ -92,7 +92,7 @@
 def _call_in_rounds(
     context: Context, access: Access, method: str, request: Message, timeout_s: float
 ) -> Result[Any, Failure]:
-    changes = METHODS[method].is_mutating
+    is_mutating = METHODS[method].is_mutating
     request_id = getattr(request, "request_id", "")
     lost_failure: Failure | None = None
     failures: list[Failure] = []
@@ -109,7 +109,7 @@
             failures.append(failure)
             if lost_failure is None and _has_enough_refusals(failures):
                 return Err(failure)
-            if changes and failure.exit_code == ExitCode.UNKNOWN:
+            if is_mutating and failure.exit_code == ExitCode.UNKNOWN:
                 lost_failure = failure
                 hint = "no answer; repeating with the same request id"
                 print(f"{address}: {hint}", file=context.err)
--- a/plantainyard/commands/configurations.py
+++ b/plantainyard/commands/configurations.py
@@ -118,28 +118,30 @@
     # request, because the newest version may now be that change itself.
     if invocation.flags.request_id:
         raise UsageError("--request_id: expected --base_version of the first try too")
-    answer = call_method(
+    response = call_method(
         invocation, "GetConfiguration", schema.GetConfigurationRequest()
     )
-    if isinstance(answer, Err):
-        return answer
-    version: int = answer.ok_value.version
+    if isinstance(response, Err):
+        return response
+    version: int = response.ok_value.version
     print(
         f"building on version {version} (--base_version)", file=invocation.context.err
     )
     return Ok(version)
 
 
-def _format_applied(answer: schema.ApplyConfigurationResponse) -> str:
+def _format_applied(response: schema.ApplyConfigurationResponse) -> str:
     rows = (
         (c.key, format_value(c, "before"), format_value(c, "after"))
-        for c in answer.changes
+        for c in response.changes
     )
     table = format_table(("key", "before", "after"), rows)
-    if not answer.instances:
-        return f"{table}\nnothing is changed; version {answer.version} is in force"
-    force = f"in force on {answer.in_force_on} of {answer.instances} instances by now"
-    return f"{table}\nversion {answer.version}, {force}"
+    if not response.instances:
+        return f"{table}\nnothing is changed; version {response.version} is in force"
+    force = (
+        f"in force on {response.in_force_on} of {response.instances} instances by now"
+    )
+    return f"{table}\nversion {response.version}, {force}"
 
 
 def _define_show(values: flags.FlagValues) -> None:
@@ -151,11 +153,11 @@
     return run_call(invocation, "GetConfiguration", request, _format_configuration)
 
 
-def _format_configuration(answer: schema.GetConfigurationResponse) -> str:
-    rows = ((key, format_json(answer.values[key])) for key in sorted(answer.values))
+def _format_configuration(response: schema.GetConfigurationResponse) -> str:
+    rows = ((key, format_json(response.values[key])) for key in sorted(response.values))
     table = format_table(("key", "value"), rows)
-    age = format_age(answer.age_s)
-    return f"{table}\nversion {answer.version}, known current {age}"
+    age = format_age(response.age_s)
+    return f"{table}\nversion {response.version}, known current {age}"
 
 
 def _define_history(values: flags.FlagValues) -> None:
@@ -173,7 +175,7 @@
     return run_call(invocation, "GetConfigurationHistory", request, _format_history)
 
 
-def _format_history(answer: schema.GetConfigurationHistoryResponse) -> str:
+def _format_history(response: schema.GetConfigurationHistoryResponse) -> str:
     rows = (
         (
             change.version,
@@ -181,11 +183,11 @@
             key,
             format_json(change.changes[key]),
         )
-        for change in answer.changes
+        for change in response.changes
         for key in sorted(change.changes)
     )
     table = format_table(("version", "built on", "key", "new value"), rows)
-    return f"{table}\nolder ones: --before_version" if answer.more else table
+    return f"{table}\nolder ones: --before_version" if response.more else table
 
 
 def _show_status(invocation: Invocation) -> ExitCode:
@@ -193,8 +195,8 @@
     return run_call(invocation, "GetConfigurationStatus", request, _format_status)
 
 
-def _format_status(answer: schema.GetConfigurationStatusResponse) -> str:
-    newest = answer.newest_version
+def _format_status(response: schema.GetConfigurationStatusResponse) -> str:
+    newest = response.newest_version
     rows = [
         (
             i.instance,
@@ -204,7 +206,7 @@
             format_age(i.age_s),
             format_age(i.report_age_s),
         )
-        for i in answer.instances
+        for i in response.instances
     ]
     headers = (
         "instance",
@@ -214,7 +216,7 @@
         "known current",
         "heard from",
     )
-    count = sum(i.version >= newest for i in answer.instances)
+    count = sum(i.version >= newest for i in response.instances)
     summary = f"version {newest} in force on {count} of {len(rows)} instances"
     return f"{format_table(headers, rows)}\n{summary}"
 
--- a/plantainyard/commands/instances.py
+++ b/plantainyard/commands/instances.py
@@ -46,15 +46,15 @@
         invocation,
         "Drain",
         request,
-        lambda answer: f"accepted as configuration version {answer.version}",
+        lambda response: f"accepted as configuration version {response.version}",
     )
 
 
 def _dump(invocation: Invocation) -> ExitCode:
-    answer = call_method(invocation, "Dump", schema.DumpRequest())
-    if isinstance(answer, Err):
-        return report_failure(invocation, answer.err_value)
-    print_json(invocation, json_format.MessageToDict(answer.ok_value.state))
+    response = call_method(invocation, "Dump", schema.DumpRequest())
+    if isinstance(response, Err):
+        return report_failure(invocation, response.err_value)
+    print_json(invocation, json_format.MessageToDict(response.ok_value.state))
     return ExitCode.OK
 
 
@@ -62,21 +62,21 @@
     return run_call(invocation, "Status", schema.StatusRequest(), _format_status)
 
 
-def _format_status(answer: schema.StatusResponse) -> str:
-    reasons = "; ".join(answer.not_ready_reasons)
+def _format_status(response: schema.StatusResponse) -> str:
+    reasons = "; ".join(response.not_ready_reasons)
     summary = (
-        ("instance", f"{answer.instance} ({answer.domain}, {answer.region})"),
-        ("software", f"{answer.software_version}, up {answer.uptime_s:.0f} s"),
-        ("ready", "yes" if answer.ready else f"no: {reasons}"),
+        ("instance", f"{response.instance} ({response.domain}, {response.region})"),
+        ("software", f"{response.software_version}, up {response.uptime_s:.0f} s"),
+        ("ready", "yes" if response.ready else f"no: {reasons}"),
         (
             "configuration",
-            f"version {answer.configuration_version}, "
-            f"known current {format_age(answer.configuration_age_s)}",
+            f"version {response.configuration_version}, "
+            f"known current {format_age(response.configuration_age_s)}",
         ),
         (
             "requests",
-            f"{answer.requests_in_progress} in progress, "
-            f"{answer.requests_queued} queued",
+            f"{response.requests_in_progress} in progress, "
+            f"{response.requests_queued} queued",
         ),
     )
     racks = (
@@ -88,11 +88,11 @@
             r.tasks_assigned,
             r.tasks_waiting,
         )
-        for r in answer.racks
+        for r in response.racks
     )
     peers = (
         (p.instance, p.domain, p.state, format_age(p.heard_s), p.address)
-        for p in answer.peers
+        for p in response.peers
     )
     rack_names = (
         "rack",
@@ -106,7 +106,7 @@
     return "\n".join(
         [
             *(f"{name + ':':<15} {value}" for name, value in summary),
-            *format_ages(answer.streams),
+            *format_ages(response.streams),
             "",
             format_table(rack_names, racks),
             "",
--- a/plantainyard/commands/jobs.py
+++ b/plantainyard/commands/jobs.py
@@ -76,10 +76,10 @@
     return run_call(invocation, "CreateJob", request, _format_created)
 
 
-def _format_created(answer: schema.CreateJobResponse) -> str:
-    if not answer.job.job_id:
-        return f"would be accepted, with home domain {answer.job.domain}"
-    return f"{answer.job.job_id} accepted, with home domain {answer.job.domain}"
+def _format_created(response: schema.CreateJobResponse) -> str:
+    if not response.job.job_id:
+        return f"would be accepted, with home domain {response.job.domain}"
+    return f"{response.job.job_id} accepted, with home domain {response.job.domain}"
 
 
 def define_filter_flags(values: flags.FlagValues) -> None:
@@ -107,10 +107,10 @@
     merged = schema.ListJobsResponse()
     while True:
         request.page_size = min(MAX_PAGE_SIZE, values.limit - len(merged.jobs))
-        answer = call_method(invocation, "ListJobs", request)
-        if isinstance(answer, Err):
-            return report_failure(invocation, answer.err_value)
-        page: schema.ListJobsResponse = answer.ok_value
+        response = call_method(invocation, "ListJobs", request)
+        if isinstance(response, Err):
+            return report_failure(invocation, response.err_value)
+        page: schema.ListJobsResponse = response.ok_value
         del merged.ages[:]
         merged.MergeFrom(page)
         merged.next_page_token = request.page_token = page.next_page_token
@@ -163,11 +163,11 @@
     return run_call(invocation, "CancelJobs", request, format_cancelled)
 
 
-def format_cancelled(answer: schema.CancelJobsResponse) -> str:
+def format_cancelled(response: schema.CancelJobsResponse) -> str:
     """Return a table with the outcome for each job."""
     rows = (
         (j.job_id, j.domain, "was over before" if j.was_over else "cancelled")
-        for j in answer.jobs
+        for j in response.jobs
     )
     return format_table(("job", "domain", "outcome"), rows)
 
--- a/plantainyard/commands/rendering.py
+++ b/plantainyard/commands/rendering.py
@@ -70,7 +70,7 @@
     return json.dumps(read_value(value))
 
 
-def format_jobs(answer: schema.ListJobsResponse) -> str:
+def format_jobs(response: schema.ListJobsResponse) -> str:
     """Return a table of jobs, with a warning for each stale failure domain."""
     rows = (
         (
@@ -82,10 +82,10 @@
             format_counts(job.counts),
             job.reason,
         )
-        for job in answer.jobs
+        for job in response.jobs
     )
     headers = ("job", "name", "team", "state", "domain", "tasks", "reason")
-    return "\n".join([format_table(headers, rows), *format_ages(answer.ages)])
+    return "\n".join([format_table(headers, rows), *format_ages(response.ages)])
 
 
 def format_age(age_s: float) -> str:
@@ -108,9 +108,9 @@
     ]
 
 
-def format_job(answer: schema.DescribeJobResponse) -> str:
+def format_job(response: schema.DescribeJobResponse) -> str:
     """Return the description of a job, with its racks and places."""
-    job, limits = answer.job, answer.constraints
+    job, limits = response.job, response.constraints
     allowed = {
         "regions": ", ".join(limits.regions),
         "domains": ", ".join(limits.domains),
@@ -124,28 +124,30 @@
         ("home domain", job.domain),
         ("tasks", format_counts(job.counts)),
     ]
-    if answer.HasField("size"):
-        rows.append(("size of one", format_size(answer.size)))
-    if answer.run_s:
-        rows.append(("declared run time", f"{answer.run_s:g} s"))
-    if answer.slots:
-        rows.append(("slots, connections", f"{answer.slots}, {answer.connections}"))
+    if response.HasField("size"):
+        rows.append(("size of one", format_size(response.size)))
+    if response.run_s:
+        rows.append(("declared run time", f"{response.run_s:g} s"))
+    if response.slots:
+        rows.append(("slots, connections", f"{response.slots}, {response.connections}"))
     rows += [(f"only in {name}", names) for name, names in allowed.items() if names]
     lines = [f"{name + ':':<20} {value}" for name, value in rows]
-    lines += [f"{'because:':<20} {_format_reason(reason)}" for reason in answer.reasons]
-    lines += format_ages([schema.DomainAge(domain=job.domain, age_s=answer.age_s)])
-    return "\n".join([*lines, *_iter_tables(answer)])
+    lines += [
+        f"{'because:':<20} {_format_reason(reason)}" for reason in response.reasons
+    ]
+    lines += format_ages([schema.DomainAge(domain=job.domain, age_s=response.age_s)])
+    return "\n".join([*lines, *_iter_tables(response)])
 
 
-def format_explanation(answer: schema.ExplainTaskResponse) -> str:
+def format_explanation(response: schema.ExplainTaskResponse) -> str:
     """Return the explanation of a task's placement, with a line for each worker."""
-    where = f" on {answer.worker}" if answer.worker else ""
-    place = f", place {answer.place} in the order" if answer.place else ""
-    headline = f"{answer.status}{where}: {answer.reason}{place}"
-    decider = f"decided for {answer.rack} by {answer.decided_by or 'nobody yet'}"
+    where = f" on {response.worker}" if response.worker else ""
+    place = f", place {response.place} in the order" if response.place else ""
+    headline = f"{response.status}{where}: {response.reason}{place}"
+    decider = f"decided for {response.rack} by {response.decided_by or 'nobody yet'}"
     rows = (
         (w.worker, w.failing or "possible", f"{w.cost:.3g}", _format_parts(w.parts))
-        for w in answer.workers
+        for w in response.workers
     )
     headers = ("worker", "now", "cost", "parts of the cost")
     return "\n".join([headline, decider, "", format_table(headers, rows)])
@@ -155,12 +157,14 @@
     return ", ".join(f"{name} {parts[name]:.3g}" for name in sorted(parts))
 
 
-def _iter_tables(answer: schema.DescribeJobResponse) -> Iterator[str]:
+def _iter_tables(response: schema.DescribeJobResponse) -> Iterator[str]:
     racks = [
         (r.rack, r.tasks, r.waiting, r.place or "-", r.owner or "nobody yet")
-        for r in answer.racks
+        for r in response.racks
+    ]
+    places = [
+        (p.number, p.attempt, p.worker, p.rack, p.domain) for p in response.places
     ]
-    places = [(p.number, p.attempt, p.worker, p.rack, p.domain) for p in answer.places]
     if racks:
         headers = ("rack", "tasks", "waiting", "place", "decided by")
         yield "\n" + format_table(headers, racks)
--- a/plantainyard/commands/services.py
+++ b/plantainyard/commands/services.py
@@ -67,12 +67,12 @@
     return run_call(invocation, "CreateService", request, _format_created)
 
 
-def _format_created(answer: schema.CreateServiceResponse) -> str:
+def _format_created(response: schema.CreateServiceResponse) -> str:
     return "\n".join(
         f"{job.job_id} accepted in {job.domain}"
         if job.job_id
         else f"would be accepted in {job.domain}"
-        for job in answer.jobs
+        for job in response.jobs
     )
 
 
@@ -87,10 +87,10 @@
     )
     parts: list[schema.JobSummary] = []
     while True:
-        answer = call_method(invocation, "ListJobs", request)
-        if isinstance(answer, Err):
-            return report_failure(invocation, answer.err_value)
-        page: schema.ListJobsResponse = answer.ok_value
+        response = call_method(invocation, "ListJobs", request)
+        if isinstance(response, Err):
+            return report_failure(invocation, response.err_value)
+        page: schema.ListJobsResponse = response.ok_value
         parts += [
             job for job in page.jobs if job.name == name and job.state in LIVE_STATES
         ]
@@ -109,11 +109,13 @@
         return parts
     for part in parts:
         request = schema.DescribeJobRequest(job_id=part.job_id)
-        answer = call_method(invocation, "DescribeJob", request)
-        if isinstance(answer, Err):
-            return report_failure(invocation, answer.err_value)
+        response = call_method(invocation, "DescribeJob", request)
+        if isinstance(response, Err):
+            return report_failure(invocation, response.err_value)
         print_message(
-            invocation, answer.ok_value, lambda described: format_job(described) + "\n"
+            invocation,
+            response.ok_value,
+            lambda described: format_job(described) + "\n",
         )
     return ExitCode.OK
 
--- a/plantainyard/commands/teams.py
+++ b/plantainyard/commands/teams.py
@@ -34,7 +34,7 @@
     return ", ".join(f"{name} {value:g}" for name, value in limited)
 
 
-def _format_teams(answer: schema.ListTeamsResponse) -> str:
+def _format_teams(response: schema.ListTeamsResponse) -> str:
     rows = (
         (
             team.name,
@@ -43,11 +43,11 @@
             team.tasks_assigned,
             team.tasks_waiting,
         )
-        for team in answer.teams
+        for team in response.teams
     )
     headers = ("team", "quota", "used", "tasks assigned", "tasks waiting")
-    lines = [format_table(headers, rows), f"version {answer.version}"]
-    return "\n".join([*lines, *format_ages(answer.ages)])
+    lines = [format_table(headers, rows), f"version {response.version}"]
+    return "\n".join([*lines, *format_ages(response.ages)])
 
 
 def _define_set_team(values: flags.FlagValues) -> None:
--- a/plantainyard/commands/tests/fake_context.py
+++ b/plantainyard/commands/tests/fake_context.py
@@ -46,7 +46,7 @@
     "--memory_gb=1",
     "--run_s=1",
 ]
-ANSWERED, LOST, DOWN, GARBLED = "answered", "lost", "down", "strange"
+ANSWERED, LOST, DOWN, GARBLED = "answered", "lost", "down", "garbled"
 BUSY, REJECTED = ErrorCode.REFUSED, ErrorCode.INFEASIBLE
 SUMMARY = schema.JobSummary(job_id="j0", name="n", state=schema.JOB_STATE_RUNNING)
 
