--- a/bench/control.py
+++ b/bench/control.py
@@ -25,11 +25,11 @@
     wait_runners,
 )
 from standins.site import (
-    Pace,
     Site,
+    SiteTimings,
     add_entry,
     kill_entry,
-    list_controls,
+    list_control_addresses,
     read_json,
     start_site,
     wait_ready,
@@ -49,7 +49,7 @@
 _LONG_S = 600.0
 _POLL_S = 0.02
 # Production's times, not the short ones of the tests.
-_PACE = Pace(
+_PACE = SiteTimings(
     lease_s=10.0,
     credit_s=5.0,
     request_max_s=30.0,
@@ -232,7 +232,7 @@
 def _time_change(site: Site, number: int) -> Iterator[float]:
     began = read_clock()
     version = apply_configuration(site, {"weights.tail": 1.0 + number}).unwrap()
-    waiting = set(list_controls(site))
+    waiting = set(list_control_addresses(site))
     while waiting:
         for control in sorted(waiting):
             status = _read_status(site, control)
--- a/plantainyard/dispatch/tests/test_dispatcher.py
+++ b/plantainyard/dispatch/tests/test_dispatcher.py
@@ -67,7 +67,7 @@
 def test_a_task_that_fails_too_often_fails_its_job():
     world = World()
     for runner in world.runners.values():
-        runner.faults.fails_all = True
+        runner.faults.fails_all_runs = True
     world.submit("a", make_step(), max_attempts=3)
     world.run(20.0)
     assert len(world.list_starts("a")) == 3
@@ -78,7 +78,7 @@
     # Guards against a runner that fails every task and is therefore always free: tasks
     # must succeed elsewhere before their attempts are used up.
     world = World()
-    world.runners["r0"].faults.fails_all = True
+    world.runners["r0"].faults.fails_all_runs = True
     for number in range(6):
         world.submit(f"a{number}", make_step(2), max_attempts=2)
     world.run(15.0)
@@ -201,12 +201,12 @@
     # Guards against tasks that stall forever on a runner that reports no fault.
     world = World(runners=2)
     for runner in world.runners.values():
-        runner.faults.stands_still = True
+        runner.faults.makes_no_progress = True
     world.submit("a", make_step())
     world.run(0.3)
     (home,) = [n for n, r in world.runners.items() if r.running]
     for name, runner in world.runners.items():
-        runner.faults.stands_still = name == home
+        runner.faults.makes_no_progress = name == home
     world.run(6.0)
     assert world.final_state("a") == "completed"
 
--- a/plantainyard/dispatch/tests/test_pending.py
+++ b/plantainyard/dispatch/tests/test_pending.py
@@ -52,12 +52,12 @@
     # Guards against a job that waits for as long as the fleet is full, and is reported
     # as running because it was assigned once.
     world = World(runners=1)
-    world.runners["r0"].faults.refuses = True
+    world.runners["r0"].faults.refuses_starts = True
     world.submit("a", make_step())
     world.run(2.0)
     assert world.list_starts("a") == []
     assert count_waiting(world) == 1
-    world.runners["r0"].faults.refuses = False
+    world.runners["r0"].faults.refuses_starts = False
     world.run(2.0)
     assert count_waiting(world) == 0
 
--- a/plantainyard/dispatch/tests/test_takeovers.py
+++ b/plantainyard/dispatch/tests/test_takeovers.py
@@ -162,7 +162,7 @@
     # Guards against a task that gets its full number of attempts from every new owner.
     world = World()
     for runner in world.runners.values():
-        runner.faults.fails_all = True
+        runner.faults.fails_all_runs = True
     world.submit("a", make_step(), max_attempts=2)
     world.run(0.4)
     assert len(world.list_starts("a")) >= 1
@@ -268,15 +268,15 @@
     world = World(runners=2)
     for runner in world.runners.values():
         runner.durations = {"a": 8.0}
-        runner.faults.refuses = True
+        runner.faults.refuses_starts = True
     world.orders_to_delay = 1
     world.submit("a", make_step())
     world.run(0.8)
     ((order, _),) = world.delayed_orders
     other = next(n for n in world.runners if n != order.entry.runner)
-    world.runners[other].faults.refuses = False
+    world.runners[other].faults.refuses_starts = False
     world.run(1.0)
-    world.runners[order.entry.runner].faults.refuses = False
+    world.runners[order.entry.runner].faults.refuses_starts = False
     world.deliver_delayed()
     assert len(world.list_running("a")) == 1
     world.run(9.0)
--- a/plantainyard/dispatch/tests/test_timing.py
+++ b/plantainyard/dispatch/tests/test_timing.py
@@ -42,7 +42,7 @@
     # Every run fails on the only runner. The caller sees a failed job; the engineer
     # also needs the number of runs.
     world = World(runners=1)
-    world.runners["r0"].faults.fails_all = True
+    world.runners["r0"].faults.fails_all_runs = True
     world.submit("bad", make_step(1), max_attempts=3)
     world.run(8.0)
     found = get_summary(world, "bad")
--- a/plantainyard/dispatch/tests/world.py
+++ b/plantainyard/dispatch/tests/world.py
@@ -47,7 +47,7 @@
 from plantainyard.platform.runners import OrderOutcome, OrderResult
 from plantainyard.platform.store import Record
 from standins.platform import RunnerState
-from standins.platform.samples import SERVICE, hold_runner, order_runner
+from standins.platform.samples import SERVICE, order_runner, request_report
 
 TICK_S = 0.1
 
@@ -110,7 +110,9 @@
 
     def publish_entries(self) -> None:
         for name, runner in self.runners.items():
-            entry = decode_entry(name, json.dumps(runner.entry(self.now)).encode())
+            entry = decode_entry(
+                name, json.dumps(runner.build_entry(self.now)).encode()
+            )
             self.send_event(EntryChanged(name, entry))
 
     def submit(self, job_id: str, *steps: Step, queue: str = "q", **more: Any) -> None:
@@ -257,7 +259,7 @@
         incarnation, name = action.entry.incarnation, action.entry.runner
         if name in self.unreachable:
             return ReportFailed(incarnation, sent_at, "no answer")
-        found = hold_runner(self.runners[name], action, self.fence, self.now)
+        found = request_report(self.runners[name], action, self.fence, self.now)
         if isinstance(found, Err):
             return ReportFailed(incarnation, sent_at, found.err_value.detail)
         return ReportReceived(incarnation, found.ok_value, sent_at)
--- a/plantainyard/entry/tests/test_units.py
+++ b/plantainyard/entry/tests/test_units.py
@@ -90,7 +90,7 @@
     store = StoreState()
     with serve_platform(store, [RunnerState(f"r{n}") for n in range(41)]) as servers:
         for runner in range(41):
-            entry = RunnerState(f"r{runner}").entry(0.0)
+            entry = RunnerState(f"r{runner}").build_entry(0.0)
             store.put(RUNNERS, f"r{runner}", json.dumps(entry).encode())
         weak, strong = (make_instance(servers.store) for _ in range(2))
         thread = threading.Thread(target=determine_unit_count, args=(weak, False))
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -6,7 +6,7 @@
 from absl import app, flags
 
 from soak.run import run_soak
-from soak.site import Shape
+from soak.site import SiteSpec
 
 FLAGS = flags.FLAGS
 flags.DEFINE_integer("seed", 1, "First seed.")
@@ -22,7 +22,7 @@
 def main(_: list[str]) -> int:
     """Run the seeds that were asked for; return 1 if a promise was broken."""
     failed = 0
-    shape = Shape(FLAGS.instances, FLAGS.runners, FLAGS.reserves, FLAGS.units)
+    shape = SiteSpec(FLAGS.instances, FLAGS.runners, FLAGS.reserves, FLAGS.units)
     for seed in range(FLAGS.seed, FLAGS.seed + FLAGS.runs):
         folder = Path(FLAGS.logs) / str(seed) if FLAGS.logs else None
         if folder is not None:
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -13,7 +13,7 @@
 from soak.site import Site
 from standins.platform.samples import HOST, PREFIX, make_body, make_step_body
 
-__all__ = ["Callers", "Count", "Ticket", "TicketState"]
+__all__ = ["Callers", "PendingCount", "TrackedJob", "SubmissionState"]
 
 TIMEOUT_S = 3.0
 """Time that a caller waits for an answer."""
@@ -28,7 +28,7 @@
 """Taken for the number where an answer has none; it is always too small."""
 
 
-class TicketState:
+class SubmissionState:
     """What a caller knows of its submission."""
 
     ACCEPTED = "accepted"
@@ -36,7 +36,7 @@
     UNKNOWN = "unknown"
 
 
-class Ticket:
+class TrackedJob:
     """One job as its caller sees it.
 
     Attributes
@@ -46,7 +46,7 @@
     body : dict
         What was submitted.
     state : str
-        One of `TicketState`.
+        One of `SubmissionState`.
     cancelled : bool
         The request to cancel it was answered with success.
     wants_cancel : bool
@@ -65,12 +65,12 @@
         self.body = make_body(*steps, spec=self.job_id)
         self.lasting = lasting
         self.wants_cancel = lasting or source.random() < CANCELLED_PART
-        self.state = TicketState.UNKNOWN
+        self.state = SubmissionState.UNKNOWN
         self.cancelled = False
         self.accepted_at = math.inf
 
 
-class Count(NamedTuple):
+class PendingCount(NamedTuple):
     """An answer to the question for the number of waiting jobs.
 
     Attributes
@@ -91,31 +91,31 @@
 
     Attributes
     ----------
-    tickets : list of Ticket
+    jobs : list of TrackedJob
         What they know of their jobs.
-    counts : list of Count
+    counts : list of PendingCount
         What they were told of the number of waiting jobs.
     """
 
     def __init__(self, site: Site, seed: int) -> None:
         self.site = site
         self.seed = seed
-        self.tickets: list[Ticket] = []
-        self.counts: list[Count] = []
+        self.jobs: list[TrackedJob] = []
+        self.counts: list[PendingCount] = []
         self.pool = urllib3.PoolManager(retries=False, maxsize=8)
 
     def run(self, number: int, stopping: threading.Event) -> None:
         """Submit one job after the other until `stopping` is set."""
         source = random.Random(f"{self.seed}/{number}")
         while not stopping.wait(source.uniform(0.05, 0.3)):
-            ticket = Ticket(source)
-            self.tickets.append(ticket)
+            ticket = TrackedJob(source)
+            self.jobs.append(ticket)
             self._submit(ticket, source)
-            if ticket.wants_cancel and ticket.state == TicketState.ACCEPTED:
+            if ticket.wants_cancel and ticket.state == SubmissionState.ACCEPTED:
                 stopping.wait(source.uniform(0.0, 2.0))
                 self.cancel(ticket, source)
 
-    def ask_counts(self, stopping: threading.Event) -> None:
+    def poll_counts(self, stopping: threading.Event) -> None:
         """Ask for the number of waiting jobs until `stopping` is set.
 
         Notes
@@ -128,22 +128,22 @@
             status, body = self.call("GET", "", source)
             if status == 200:
                 pending = body.get("pending", UNTOLD)
-                self.counts.append(Count(asked_at, read_clock(), pending))
+                self.counts.append(PendingCount(asked_at, read_clock(), pending))
 
-    def _submit(self, ticket: Ticket, source: random.Random) -> None:
+    def _submit(self, ticket: TrackedJob, source: random.Random) -> None:
         refused = 0
         for tries in range(1, TRIES + 1):
             status, _ = self.call("POST", ticket.job_id, source, ticket.body)
             if status == 200:
                 ticket.accepted_at = read_clock()
-                ticket.state = TicketState.ACCEPTED
+                ticket.state = SubmissionState.ACCEPTED
                 return
             refused += status in REFUSED
             if refused == tries and tries >= 2:
-                ticket.state = TicketState.REJECTED
+                ticket.state = SubmissionState.REJECTED
                 return
 
-    def cancel(self, ticket: Ticket, source: random.Random) -> None:
+    def cancel(self, ticket: TrackedJob, source: random.Random) -> None:
         """Try to cancel a job."""
         for _ in range(TRIES):
             status, _ = self.call("DELETE", ticket.job_id, source)
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -7,10 +7,10 @@
 from collections.abc import Iterable, Mapping
 
 from plantainyard.clock import read_clock
-from soak.callers import Callers, Count, Ticket, TicketState
+from soak.callers import Callers, PendingCount, SubmissionState, TrackedJob
 from soak.site import Site
 
-__all__ = ["Watch", "check_counts", "check_jobs", "list_waiting"]
+__all__ = ["InvariantMonitor", "check_counts", "check_jobs", "list_waiting"]
 
 LOOK_EVERY_S = 0.05
 """Time between looks at what runs."""
@@ -24,7 +24,7 @@
 seconds old, and a caller waits three for an answer."""
 
 
-class Watch:
+class InvariantMonitor:
     """Looks at all runners all the time; `broken` says what it found.
 
     Parameters
@@ -52,7 +52,7 @@
         for task, count in counts.items():
             if count > 1:
                 self._note(f"{task} is at work {count} times")
-        sizes = {t.job_id: t.body["steps"] for t in list(self.callers.tickets)}
+        sizes = {t.job_id: t.body["steps"] for t in list(self.callers.jobs)}
         for name, tasks in running.items():
             cpu = sum(_find_cpu(sizes, task) for task in tasks)
             capacity = self.site.runners[0].capacity["cpu"]
@@ -90,18 +90,18 @@
     """Return what is wrong with the jobs once all faults are over."""
     source = random.Random(callers.seed)
     until = read_clock() + PATIENCE_S
-    left = [t for t in callers.tickets if t.state == TicketState.ACCEPTED]
+    left = [t for t in callers.jobs if t.state == SubmissionState.ACCEPTED]
     wrong: dict[str, str] = {}
     while left and read_clock() < until:
         wrong = {t.job_id: found for t in left if (found := _ask(callers, t, source))}
         left = [ticket for ticket in left if ticket.job_id in wrong]
     started = {s[1].partition(".")[0] for r in site.runners for s in r.started}
-    rejected = [t for t in callers.tickets if t.state == TicketState.REJECTED]
+    rejected = [t for t in callers.jobs if t.state == SubmissionState.REJECTED]
     ran = [f"{t.job_id} was refused and ran" for t in rejected if t.job_id in started]
     return [f"{job}: {found}" for job, found in wrong.items()] + ran
 
 
-def _ask(callers: Callers, ticket: Ticket, source: random.Random) -> str:
+def _ask(callers: Callers, ticket: TrackedJob, source: random.Random) -> str:
     """Return what is wrong with a job now; empty where nothing is.
 
     Notes
@@ -129,7 +129,7 @@
     that waits is to refuse the question.
     """
     begun = _find_begins(site)
-    told = [(c, list_waiting(callers.tickets, begun, c)) for c in callers.counts]
+    told = [(c, list_waiting(callers.jobs, begun, c)) for c in callers.counts]
     wrong = [
         f"{count.pending} jobs are said to wait at {count.asked_at:.3f}; "
         f"{len(waiting)} have for {SEEN_S} s: {waiting[:5]}"
@@ -150,22 +150,22 @@
 
 
 def list_waiting(
-    tickets: Iterable[Ticket], begun: Mapping[str, float], count: Count
+    jobs: Iterable[TrackedJob], begun: Mapping[str, float], count: PendingCount
 ) -> list[str]:
     """Return the jobs that a count must not leave out.
 
     Parameters
     ----------
-    tickets : iterable of Ticket
+    jobs : iterable of TrackedJob
         What callers know; jobs that they try to cancel don't count.
     begun : mapping
         When the first task of a job started, by job.
-    count : Count
+    count : PendingCount
         The answer.
     """
     return [
         ticket.job_id
-        for ticket in tickets
+        for ticket in jobs
         if ticket.accepted_at < count.asked_at - SEEN_S
         and not ticket.wants_cancel
         and begun.get(ticket.job_id, math.inf) > count.answered_at
--- a/soak/run.py
+++ b/soak/run.py
@@ -11,16 +11,16 @@
 from urllib3.exceptions import HTTPError
 
 from plantainyard.clock import read_clock
-from soak.callers import Callers, TicketState
-from soak.checks import Watch, check_counts, check_jobs
+from soak.callers import Callers, SubmissionState
+from soak.checks import InvariantMonitor, check_counts, check_jobs
 from soak.faults import heal_all, inject_faults
 from soak.plan import make_plan
-from soak.site import Shape, Site, open_site
+from soak.site import Site, SiteSpec, open_site
 
 __all__ = ["Outcome", "run_soak"]
 
 CALLERS = 4
-THREE = Shape()
+THREE = SiteSpec()
 """Three strong instances, four runners, one unit."""
 READY_S = 60.0
 """Longest time until all instances say that they are ready."""
@@ -48,7 +48,7 @@
 
 
 def run_soak(
-    seed: int, seconds: float, folder: Path | None = None, shape: Shape = THREE
+    seed: int, seconds: float, folder: Path | None = None, shape: SiteSpec = THREE
 ) -> Outcome:
     """Run once and return the outcome.
 
@@ -60,7 +60,7 @@
         For how long callers submit and faults come.
     folder : Path, optional
         Where logs of instances stay; by default they go with the run.
-    shape : Shape
+    shape : SiteSpec
         What the site is made of.
     """
     with (
@@ -73,7 +73,7 @@
 
 def _run(site: Site, seed: int, seconds: float) -> Outcome:
     callers = Callers(site, seed)
-    watch = Watch(site, callers)
+    watch = InvariantMonitor(site, callers)
     closing, done = threading.Event(), threading.Event()
     plan = make_plan(seed, seconds, len(site.members), len(site.runners))
     began = read_clock()
@@ -84,7 +84,7 @@
     threads = [threading.Thread(target=run, args=rest) for run, rest in work]
     lookers = [
         threading.Thread(target=look, args=(done,))
-        for look in (watch.run, callers.ask_counts)
+        for look in (watch.run, callers.poll_counts)
     ]
     for thread in (*threads, *lookers):
         thread.start()
@@ -98,12 +98,12 @@
     for thread in lookers:
         thread.join()
     counted, miscounts = check_counts(site, callers)
-    counts = [ticket.state for ticket in callers.tickets]
+    counts = [ticket.state for ticket in callers.jobs]
     return Outcome(
         watch.broken + broken + miscounts,
-        counts.count(TicketState.ACCEPTED),
-        counts.count(TicketState.REJECTED),
-        counts.count(TicketState.UNKNOWN),
+        counts.count(SubmissionState.ACCEPTED),
+        counts.count(SubmissionState.REJECTED),
+        counts.count(SubmissionState.UNKNOWN),
         counted,
     )
 
--- a/soak/site.py
+++ b/soak/site.py
@@ -20,7 +20,7 @@
 from standins.platform import RunnerState, StoreState, serve_platform
 from standins.platform.samples import make_configuration
 
-__all__ = ["Member", "Shape", "Site", "open_site"]
+__all__ = ["Member", "SiteSpec", "Site", "open_site"]
 
 STOP_S = 15.0
 """Longest time for a process to end after it was asked to."""
@@ -140,7 +140,7 @@
 
     def announce(self, runner: RunnerState) -> None:
         """Write a runner's entry, as it does with each new life."""
-        entry = json.dumps(runner.entry(read_clock())).encode()
+        entry = json.dumps(runner.build_entry(read_clock())).encode()
         self.store.put("keyed.servers", runner.runner, entry)
 
 
@@ -149,7 +149,7 @@
     return f"store-{number}"
 
 
-class Shape(NamedTuple):
+class SiteSpec(NamedTuple):
     """What a site is made of.
 
     Attributes
@@ -169,7 +169,7 @@
 
 
 @contextlib.contextmanager
-def open_site(folder: Path, shape: Shape) -> Iterator[Site]:
+def open_site(folder: Path, shape: SiteSpec) -> Iterator[Site]:
     """Start everything; end it, and nothing else, on exit."""
     store = StoreState(parts=PARTITIONS)
     states = [RunnerState(f"r{number}") for number in range(shape.runners)]
--- a/soak/tests/test_checks.py
+++ b/soak/tests/test_checks.py
@@ -7,29 +7,29 @@
 
 import pytest
 
-from soak.callers import Callers, Count, Ticket, TicketState
+from soak.callers import Callers, PendingCount, SubmissionState, TrackedJob
 from soak.checks import check_counts
 
 ASKED_AT = 100.0
 ANSWERED_AT = 100.5
 
 
-def make_ticket(accepted_at: float, wants_cancel: bool = False) -> Ticket:
-    ticket = Ticket(random.Random(accepted_at))
-    ticket.state = TicketState.ACCEPTED
+def make_ticket(accepted_at: float, wants_cancel: bool = False) -> TrackedJob:
+    ticket = TrackedJob(random.Random(accepted_at))
+    ticket.state = SubmissionState.ACCEPTED
     ticket.accepted_at = accepted_at
     ticket.wants_cancel = wants_cancel
     return ticket
 
 
 def check(
-    pending: int, tickets: list[Ticket], started: dict[str, float] | None = None
+    pending: int, jobs: list[TrackedJob], started: dict[str, float] | None = None
 ) -> tuple[int, list[str]]:
     starts = [(at, f"{job}.0.0.1", 1) for job, at in (started or {}).items()]
     site: Any = SimpleNamespace(runners=[SimpleNamespace(started=starts)], members=[])
     callers = Callers(site, 1)
-    callers.tickets = tickets
-    callers.counts = [Count(ASKED_AT, ANSWERED_AT, pending)]
+    callers.jobs = jobs
+    callers.counts = [PendingCount(ASKED_AT, ANSWERED_AT, pending)]
     return check_counts(site, callers)
 
 
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,9 +1,15 @@
 """Small stand-ins for the platform, for tests and the demo."""
 
 from standins.deployments import ACCRA, AWASH, DEPLOYMENTS, SMALL, Deployment
-from standins.evidence import Verdict, judge_evidence
 from standins.processes import start_daemon, start_standin
-from standins.site import Pace, Site, judge_site, start_site, wait_ready
+from standins.site import (
+    Site,
+    SiteTimings,
+    find_site_violations,
+    start_site,
+    wait_ready,
+)
+from standins.violations import Violations, find_violations
 
 __all__ = [
     "ACCRA",
@@ -11,11 +17,11 @@
     "DEPLOYMENTS",
     "SMALL",
     "Deployment",
-    "Pace",
+    "SiteTimings",
     "Site",
-    "Verdict",
-    "judge_evidence",
-    "judge_site",
+    "Violations",
+    "find_violations",
+    "find_site_violations",
     "start_daemon",
     "start_site",
     "start_standin",
--- a/standins/callers.py
+++ b/standins/callers.py
@@ -32,7 +32,7 @@
 )
 
 __all__ = [
-    "CallerAnswer",
+    "CallerResult",
     "Load",
     "build_request_id",
     "call_operator",
@@ -49,7 +49,7 @@
 UUID_VARIANT = 2 << 62
 
 
-class CallerAnswer(NamedTuple):
+class CallerResult(NamedTuple):
     """What a caller got; `error` is the transport's where no answer came."""
 
     request_id: str
@@ -78,7 +78,7 @@
     deadline_ms: int = 2000,
     idempotent: bool = False,
     team: str = "",
-) -> CallerAnswer:
+) -> CallerResult:
     """Send one request to an entry instance, as a caller would."""
     headers = {
         REQUEST_ID_HEADER: request_id,
@@ -101,9 +101,9 @@
         error = result.err_value
         sure = error.kind == ErrorKind.UNREACHABLE
         outcome = "refused" if sure else "unknown"
-        return CallerAnswer(request_id, outcome, latency_ms=latency_ms, error=error)
+        return CallerResult(request_id, outcome, latency_ms=latency_ms, error=error)
     answer = result.ok_value
-    return CallerAnswer(
+    return CallerResult(
         request_id,
         answer.headers.get(OUTCOME_HEADER, ""),
         answer.headers.get(REASON_HEADER, ""),
@@ -155,12 +155,12 @@
 class Load:
     """The answers that callers got so far."""
 
-    answers: list[CallerAnswer] = field(default_factory=list)
+    results: list[CallerResult] = field(default_factory=list)
 
 
 def count_outcomes(load: Load) -> Counter[str]:
     """Return the number of answers by outcome."""
-    return Counter(answer.outcome for answer in list(load.answers))
+    return Counter(answer.outcome for answer in list(load.results))
 
 
 def wait_done(load: Load, more: int, limit_s: float = 30.0) -> None:
@@ -226,7 +226,7 @@
             answer = send_caller_request(peer, service, sent, request_id)
             if answer.outcome == "done" and answer.body != sent:
                 answer = answer._replace(outcome="wrong")
-            load.answers.append(answer)
+            load.results.append(answer)
 
     threads = [threading.Thread(target=call, args=(n,)) for n in range(callers)]
     for thread in threads:
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -16,18 +16,18 @@
 from plantainyard.clock import read_clock
 from standins.callers import Load, count_outcomes, run_load, wait_done, wait_until
 from standins.deployments import ACCRA, AWASH, Deployment
-from standins.evidence import Verdict
 from standins.operators import wait_runners
 from standins.site import (
     Site,
     describe_site,
-    judge_site,
+    find_site_violations,
     kill_entry,
     list_addresses,
     start_site,
     wait_ready,
 )
 from standins.tool import read_tool, run_tool
+from standins.violations import Violations
 
 __all__ = ["run_demo"]
 
@@ -52,7 +52,7 @@
     return 0 if is_whole and not any(verdict) else 1
 
 
-def _tour(site: Site) -> tuple[Verdict, bool]:
+def _tour(site: Site) -> tuple[Violations, bool]:
     _create_service(site)
     _refuse_infeasible(site)
     jobs = [_create_job(site, number) for number in range(JOBS)]
@@ -63,7 +63,7 @@
         wait_done(load, REQUESTS_AFTER, LIMIT_S)
         is_whole = _wait_jobs(site, jobs)
     _report_measures(site, load)
-    verdict = judge_site(site)
+    verdict = find_site_violations(site)
     _report_verdict(verdict)
     return verdict, is_whole
 
@@ -154,7 +154,7 @@
     batch = [run for run in runs if run["outcome"] == "done"]
     evicted = [run for run in runs if run["outcome"] == "evicted"]
     lapsed = [run for run in runs if run["outcome"] == "lapsed"]
-    latencies = [a.latency_ms for a in load.answers if a.outcome == "done"]
+    latencies = [a.latency_ms for a in load.results if a.outcome == "done"]
     cuts = statistics.quantiles(latencies, n=100)
     outcomes = ", ".join(f"{n} {name}" for name, n in count_outcomes(load).items())
     _say(f"Requests: {outcomes}.")
@@ -170,7 +170,7 @@
     return float(len(batch) / span_s)
 
 
-def _report_verdict(verdict: Verdict) -> None:
+def _report_verdict(verdict: Violations) -> None:
     if not any(verdict):
         _say("The workers and runners saw nothing go wrong: no task in two places, no")
         _say("overcommitted worker, no runner above its slots, no request run twice.")
--- a/standins/operators.py
+++ b/standins/operators.py
@@ -8,8 +8,8 @@
 from result import Err, Ok, Result
 
 from plantainyard.errors import CallError
-from standins.callers import CallerAnswer, call_operator, wait_until
-from standins.site import Site, describe_site, list_controls
+from standins.callers import CallerResult, call_operator, wait_until
+from standins.site import Site, describe_site, list_control_addresses
 
 __all__ = [
     "apply_configuration",
@@ -17,7 +17,7 @@
     "count_done",
     "create_job",
     "create_service",
-    "find_lies",
+    "find_contradictions",
     "list_runs",
     "wait_job",
     "wait_runners",
@@ -30,7 +30,7 @@
     site: Site, method: str, body: Mapping[str, Any], domain: str = ""
 ) -> Result[dict[str, Any], CallError]:
     """Call an operators' method at the instances of the site, or of one domain."""
-    return call_operator(list_controls(site, domain), site.token, method, body)
+    return call_operator(list_control_addresses(site, domain), site.token, method, body)
 
 
 def create_service(
@@ -153,7 +153,7 @@
     ]
 
 
-def find_lies(site: Site, answers: Iterable[CallerAnswer]) -> list[str]:
+def find_contradictions(site: Site, answers: Iterable[CallerResult]) -> list[str]:
     """Return the answers to callers that the runners' counts speak against.
 
     Notes
--- a/standins/platform/runner.py
+++ b/standins/platform/runner.py
@@ -16,17 +16,17 @@
 
     Attributes
     ----------
-    fails_all : bool
+    fails_all_runs : bool
         Whatever starts ends as failed.
-    stands_still : bool
+    makes_no_progress : bool
         Tasks make no progress.
-    refuses : bool
+    refuses_starts : bool
         Starts are refused; nothing is done.
     """
 
-    fails_all: bool = False
-    stands_still: bool = False
-    refuses: bool = False
+    fails_all_runs: bool = False
+    makes_no_progress: bool = False
+    refuses_starts: bool = False
 
 
 @dataclass(slots=True)
@@ -53,7 +53,7 @@
     durations : dict
         Run time in seconds by the beginning of a task's name; zero for a task that
         lasts.
-    longest_lease_s, stop_s : float
+    max_lease_s, stop_s : float
         Bounds of the platform.
     capacity : dict
         As in its entry.
@@ -65,7 +65,7 @@
 
     runner: str
     durations: dict[str, float] = field(default_factory=dict)
-    longest_lease_s: float = 10.0
+    max_lease_s: float = 10.0
     stop_s: float = 0.3
     capacity: dict[str, int] = field(
         default_factory=lambda: {"cpu": 64_000, "memMb": 256_000, "gpu": 0}
@@ -75,21 +75,21 @@
     address: str = "127.0.0.1:1"
     draining: bool = False
     faults: RunnerFaults = field(default_factory=RunnerFaults)
-    born_at: float = 0.0
+    incarnation_started_at: float = 0.0
     fence: int = 0
     lease_until_ms: int = 0
     running: dict[str, Run] = field(default_factory=dict)
     refused_runs: dict[str, int] = field(default_factory=dict)
     ends: list[list[Any]] = field(default_factory=list)
-    ended: int = 0
+    end_count: int = 0
     started: list[tuple[float, str, int]] = field(default_factory=list)
     lock: threading.RLock = field(default_factory=threading.RLock)
 
     def clock_ms(self, now: float) -> int:
         """Return the runner's own clock; it starts anew with each life."""
-        return 1000 + round((now - self.born_at) * 1000)
+        return 1000 + round((now - self.incarnation_started_at) * 1000)
 
-    def entry(self, now: float) -> dict[str, Any]:
+    def build_entry(self, now: float) -> dict[str, Any]:
         """Return what the runner writes about itself."""
         return {
             "service": self.service,
@@ -103,18 +103,18 @@
             "labels": list(self.labels),
             "clockMs": self.clock_ms(now),
             "sequence": 1,
-            "born": round(self.born_at * 1000),
+            "born": round(self.incarnation_started_at * 1000),
         }
 
     def restart(self, now: float) -> None:
         """Begin a new life, which knows nothing of the one before."""
-        self.born_at = now
+        self.incarnation_started_at = now
         self.fence = 0
         self.lease_until_ms = 0
         self.running = {}
         self.refused_runs = {}
         self.ends = []
-        self.ended = 0
+        self.end_count = 0
 
     def advance(self, now: float) -> None:
         """Let time pass: runs end, and everything stops when the lease is over."""
@@ -123,14 +123,14 @@
             if run.stops_at is not None and now >= run.stops_at:
                 self._end(run, "stopped")
             elif now >= run.ends_at and run.stops_at is None:
-                self._end(run, "failed" if self.faults.fails_all else "done")
+                self._end(run, "failed" if self.faults.fails_all_runs else "done")
             elif lapsed:
                 self._end(run, "lapsed")
 
     def _end(self, run: Run, how: str) -> None:
         del self.running[run.task]
-        self.ended += 1
-        self.ends.append([self.ended, run.task, run.run, how, run.checkpoint])
+        self.end_count += 1
+        self.ends.append([self.end_count, run.task, run.run, how, run.checkpoint])
         self._refuse_up_to(run.task, run.run)
 
     def _refuse_up_to(self, task: str, run: int) -> None:
@@ -141,14 +141,14 @@
         self.advance(now)
         answer: dict[str, Any] = {
             "clockMs": self.clock_ms(now),
-            "born": round(self.born_at * 1000),
+            "born": round(self.incarnation_started_at * 1000),
         }
         if body.get("fence", 0) < self.fence:
             return 409, {**answer, "reason": "fence"}
         self.fence = body.get("fence", 0)
         if name == "hold":
             return self._hold(body, answer)
-        if name == "run-start" and self.faults.refuses:
+        if name == "run-start" and self.faults.refuses_starts:
             return 503, answer
         if name == "run-start":
             return self._start(body, answer, now)
@@ -157,9 +157,7 @@
         return self._pace(body, answer)
 
     def _extend(self, body: dict[str, Any], clock_ms: int) -> None:
-        until = min(
-            body.get("untilMs", 0), clock_ms + round(self.longest_lease_s * 1000)
-        )
+        until = min(body.get("untilMs", 0), clock_ms + round(self.max_lease_s * 1000))
         self.lease_until_ms = max(self.lease_until_ms, until)
 
     def _hold(self, body: dict, answer: dict) -> tuple[int, dict]:
@@ -184,12 +182,12 @@
             return 409, {**answer, "reason": "late"}
         self._extend(body, answer["clockMs"])
         length = next((v for k, v in self.durations.items() if task.startswith(k)), 1.0)
-        if self.faults.fails_all:
+        if self.faults.fails_all_runs:
             length = START_S
-        endless = self.faults.stands_still or not length
+        endless = self.faults.makes_no_progress or not length
         ends_at = float("inf") if endless else now + length
         self.running[task] = Run(task, number, ends_at, now, body.get("checkpoint", ""))
-        if self.faults.stands_still:
+        if self.faults.makes_no_progress:
             self.running[task].percent = 1
         self.started.append((now, task, number))
         return 200, answer
--- a/standins/platform/samples.py
+++ b/standins/platform/samples.py
@@ -30,7 +30,7 @@
     "HOST",
     "PREFIX",
     "SERVICE",
-    "hold_runner",
+    "request_report",
     "make_body",
     "make_configuration",
     "make_settings",
@@ -140,7 +140,7 @@
     return decode_result(_call(runner, _ORDERS[order.kind], body, now))
 
 
-def hold_runner(
+def request_report(
     runner: RunnerState, hold: RequestReport, fence: int, now: float
 ) -> Result[RunnerReport, CallError]:
     """Ask a stand-in runner for its report and return it decoded."""
--- a/standins/platform/server.py
+++ b/standins/platform/server.py
@@ -49,7 +49,7 @@
             handler = _handle_runner(runner)
             runner.address = stack.enter_context(_serve(handler))
             addresses[runner.runner] = runner.address
-            entry = json.dumps(runner.entry(read_clock())).encode()
+            entry = json.dumps(runner.build_entry(read_clock())).encode()
             store.put("keyed.servers", runner.runner, entry)
         yield PlatformServers(address, addresses)
 
--- a/standins/site.py
+++ b/standins/site.py
@@ -20,20 +20,20 @@
 from plantainyard.work import WorkerInfo
 from standins.callers import wait_until
 from standins.deployments import Deployment, DomainPlan, find_delay, list_workers
-from standins.evidence import Verdict, judge_evidence
 from standins.processes import ChildProcess, start_daemon, start_standin
+from standins.violations import Violations, find_violations
 
 __all__ = [
     "Entry",
-    "Pace",
+    "SiteTimings",
     "Site",
     "add_entry",
     "cut_links",
     "describe_site",
-    "judge_site",
+    "find_site_violations",
     "kill_entry",
     "list_addresses",
-    "list_controls",
+    "list_control_addresses",
     "post_json",
     "read_json",
     "retire_entry",
@@ -47,7 +47,7 @@
 READY_LIMIT_S = 60.0
 
 
-class Pace(NamedTuple):
+class SiteTimings(NamedTuple):
     """Times of a site, shorter than in production so that failures show soon."""
 
     lease_s: float = 4.0
@@ -77,7 +77,7 @@
     """All processes of a site."""
 
     deployment: Deployment
-    pace: Pace
+    timings: SiteTimings
     directory: Path
     stack: ExitStack
     has_links: bool = True
@@ -115,7 +115,7 @@
 @contextmanager
 def start_site(
     deployment: Deployment,
-    pace: Pace = Pace(),  # noqa: B008
+    timings: SiteTimings = SiteTimings(),  # noqa: B008
     has_links: bool = True,
 ) -> Iterator[Site]:
     """Start a whole site and end all of its processes on exit.
@@ -124,7 +124,7 @@
     ----------
     deployment : Deployment
         What to start.
-    pace : Pace
+    timings : SiteTimings
         The times in the instances' settings.
     has_links : bool
         Whether instances of different failure domains reach each other over links.
@@ -137,7 +137,7 @@
     """
     with ExitStack() as stack:
         directory = Path(stack.enter_context(tempfile.TemporaryDirectory()))
-        site = Site(deployment, pace, directory, stack, has_links)
+        site = Site(deployment, timings, directory, stack, has_links)
         _start_platform(site)
         _register_workers(site)
         domains = [d for d in deployment.domains for _ in range(d.entries)]
@@ -181,7 +181,7 @@
     entry = site.entries.pop(name)
     post_json(site.instances, "/faults", {"states": {name: "leaving"}})
     entry.child.process.terminate()
-    status = entry.child.process.wait(site.pace.stop_s * 2)
+    status = entry.child.process.wait(site.timings.stop_s * 2)
     entry.stack.close()
     post_json(site.instances, "/faults", {"states": {name: "gone"}})
     return status
@@ -198,7 +198,7 @@
     return [e.address for e in entries if not domain or e.domain == domain]
 
 
-def list_controls(site: Site, domain: str = "") -> list[str]:
+def list_control_addresses(site: Site, domain: str = "") -> list[str]:
     """Return the control addresses of the entry instances, of one domain or all."""
     entries = list(site.entries.values())
     return [e.control_address for e in entries if not domain or e.domain == domain]
@@ -220,9 +220,9 @@
             raise TimeoutError(f"{error}; {reasons}") from None
 
 
-def judge_site(site: Site) -> Verdict:
+def find_site_violations(site: Site) -> Violations:
     """Return what the workers and runners of the site saw go wrong."""
-    return judge_evidence(describe_site(site))
+    return find_violations(describe_site(site))
 
 
 def describe_site(site: Site) -> list[dict[str, Any]]:
@@ -329,7 +329,7 @@
 
 def _format_settings(site: Site, name: str, plan: DomainPlan) -> str:
     log, instances = site.platform[plan.name]
-    pace = site.pace
+    timings = site.timings
     return f"""
 [instance]
 id = "{name}"
@@ -341,21 +341,21 @@
 [platform]
 log = "{log}"
 instances = "{instances}"
-worker_lease_s = {pace.lease_s}
+worker_lease_s = {timings.lease_s}
 trust_gone = true
 
 [requests]
 default_deadline_ms = 2000
-request_max_s = {pace.request_max_s}
-credit_s = {pace.credit_s}
+request_max_s = {timings.request_max_s}
+credit_s = {timings.credit_s}
 
 [intervals]
-tick_s = {pace.tick_s}
-heartbeat_s = {pace.heartbeat_s}
-silence_s = {pace.silence_s}
-instances_s = {pace.instances_s}
-worker_s = {pace.worker_s}
-stop_s = {pace.stop_s}
+tick_s = {timings.tick_s}
+heartbeat_s = {timings.heartbeat_s}
+silence_s = {timings.silence_s}
+instances_s = {timings.instances_s}
+worker_s = {timings.worker_s}
+stop_s = {timings.stop_s}
 
 [security]
 token = "{site.token}"
--- a/standins/tests/test_failures.py
+++ b/standins/tests/test_failures.py
@@ -27,17 +27,17 @@
     count_done,
     create_job,
     create_service,
-    find_lies,
+    find_contradictions,
     list_runs,
     wait_job,
     wait_runners,
 )
 from standins.site import (
-    Pace,
+    SiteTimings,
     add_entry,
     cut_links,
     describe_site,
-    judge_site,
+    find_site_violations,
     kill_entry,
     list_addresses,
     post_json,
@@ -46,7 +46,7 @@
     wait_ready,
 )
 
-PACE = Pace(lease_s=3.0, credit_s=1.5, request_max_s=2.5)
+PACE = SiteTimings(lease_s=3.0, credit_s=1.5, request_max_s=2.5)
 NEAR, FAR = (plan.name for plan in SMALL.domains)
 SERVICE = SMALL.service
 SLOW_REQUESTS = 4
@@ -113,12 +113,12 @@
 
 def assert_promises_hold(site, load, stops_are_planned=True):
     """No place, slot, request id or answer is wrong, whatever failed."""
-    verdict = judge_site(site)
+    verdict = find_site_violations(site)
     if not stops_are_planned:
         # Runners whose lease lapsed with their owner are stopped by the worker.
         verdict = verdict._replace(cut_off=())
     assert not any(verdict), verdict
-    assert not find_lies(site, load.answers)
+    assert not find_contradictions(site, load.results)
 
 
 def test_killed_instance(site):
@@ -351,6 +351,6 @@
             wait_done(load, 20)
         wait_job(site, job, 24)
         wait_done(load, 20)
-    assert not [answer for answer in load.answers if is_cut_off(answer)]
+    assert not [answer for answer in load.results if is_cut_off(answer)]
     assert list_endings(site, job) == [(1, "done")] * 24
     assert_promises_hold(site, load)
--- a/standins/tests/test_machine.py
+++ b/standins/tests/test_machine.py
@@ -1,7 +1,6 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from standins.evidence import judge_evidence
 from standins.machine import (
     Machine,
     advance_machine,
@@ -9,6 +8,7 @@
     describe_machine,
     restart_machine,
 )
+from standins.violations import find_violations
 
 SIZE = {"cores": 2.0, "memory_gb": 4.0, "accelerators": 0}
 
@@ -138,7 +138,7 @@
         "runs": {"id": 2},
         "cut_off": 1,
     }
-    verdict = judge_evidence(
+    verdict = find_violations(
         {
             "runs": [vars(run) for run in machine.runs],
             "runners": [runner],
--- a/standins/tool.py
+++ b/standins/tool.py
@@ -5,7 +5,7 @@
 import sys
 from typing import Any, NamedTuple
 
-from standins.site import Site, list_controls
+from standins.site import Site, list_control_addresses
 
 __all__ = ["ToolResult", "read_tool", "run_tool"]
 
@@ -30,7 +30,7 @@
     token.chmod(0o600)
     addresses = [
         f"--address={address.removeprefix('http://')}"
-        for address in list_controls(site, domain)
+        for address in list_control_addresses(site, domain)
     ]
     result = subprocess.run(
         [
--- a/standins/evidence.py
+++ b/standins/violations.py
@@ -5,13 +5,13 @@
 from itertools import chain, combinations
 from typing import Any, NamedTuple
 
-__all__ = ["Verdict", "judge_evidence"]
+__all__ = ["Violations", "find_violations"]
 
 # The ends of a lease and of a task are computed, the begin of the next is measured.
 CLOCK_STEP_S = 1e-6
 
 
-class Verdict(NamedTuple):
+class Violations(NamedTuple):
     """Violations found; all empty where everything held.
 
     Attributes
@@ -44,7 +44,7 @@
     cut_off: tuple[str, ...]
 
 
-def judge_evidence(counts: Iterable[Mapping[str, Any]]) -> Verdict:
+def find_violations(counts: Iterable[Mapping[str, Any]]) -> Violations:
     """Return the violations in the counts of several stand-ins for workers.
 
     Notes
@@ -61,7 +61,7 @@
     requests: Counter[str] = Counter()
     for runner in runners:
         requests.update(runner["runs"])
-    return Verdict(
+    return Violations(
         two_places=tuple(_find_overlaps(runs)),
         started_twice=tuple(f"{t}#{a}" for (t, a), n in starts.items() if n > 1),
         resumed_twice=tuple(name for name, n in resumes.items() if n > 1),
