--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Run the soak from the command line."""
+"""Command line of the soak."""
 
 import sys
 from pathlib import Path
@@ -20,14 +20,14 @@
 
 
 def main(_: list[str]) -> int:
-    """Run the seeds that were asked for; return 1 if a promise was broken."""
+    """Run the requested seeds and return 1 if any of them violated an invariant."""
     failed = 0
-    shape = SiteSpec(FLAGS.instances, FLAGS.runners, FLAGS.reserves, FLAGS.units)
+    spec = SiteSpec(FLAGS.instances, FLAGS.runners, FLAGS.reserves, FLAGS.units)
     for seed in range(FLAGS.seed, FLAGS.seed + FLAGS.runs):
         folder = Path(FLAGS.logs) / str(seed) if FLAGS.logs else None
         if folder is not None:
             folder.mkdir(parents=True, exist_ok=True)
-        outcome = run_soak(seed, FLAGS.seconds, folder, shape)
+        outcome = run_soak(seed, FLAGS.seconds, folder, spec)
         print(f"seed {seed}: {outcome}", flush=True)
         failed += bool(outcome.broken)
     return 1 if failed else 0
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers: they submit, repeat where no answer came, cancel, and ask."""
+"""Callers that submit jobs, retry unanswered calls, cancel jobs and poll the queue."""
 
 import json
 import math
@@ -13,23 +13,23 @@
 from soak.site import Site
 from standins.platform.samples import HOST, PREFIX, make_body, make_step_body
 
-__all__ = ["Callers", "PendingCount", "TrackedJob", "SubmissionState"]
+__all__ = ["Callers", "PendingCount", "SubmissionState", "TrackedJob"]
 
 TIMEOUT_S = 3.0
-"""Time that a caller waits for an answer."""
+"""Time that a caller waits for a response."""
 
-TRIES = 6
-CANCELLED_PART = 0.15
-LASTING_PART = 0.1
-REFUSED = (429, 503)
-COUNT_EVERY_S = (0.1, 0.5)
-"""Shortest and longest time between two questions for the number of waiting jobs."""
-UNTOLD = -1
-"""Taken for the number where an answer has none; it is always too small."""
+MAX_ATTEMPTS = 6
+CANCELLED_SHARE = 0.15
+LONG_RUNNING_SHARE = 0.1
+REFUSED_STATUSES = (429, 503)
+POLL_INTERVAL_RANGE_S = (0.1, 0.5)
+"""Shortest and longest time between two polls of the number of waiting jobs."""
+MISSING_COUNT = -1
+"""Used as the count if a response contains none; it is always too small."""
 
 
 class SubmissionState:
-    """What a caller knows of its submission."""
+    """Result of a submission as far as its caller knows it."""
 
     ACCEPTED = "accepted"
     REJECTED = "rejected"
@@ -42,9 +42,11 @@
     Attributes
     ----------
     job_id : str
-        Chosen by the caller.
+        Id chosen by the caller.
     body : dict
-        What was submitted.
+        Submitted JSON object.
+    long_running : bool
+        The job has no end of its own.
     state : str
         One of `SubmissionState`.
     cancelled : bool
@@ -52,33 +54,33 @@
     wants_cancel : bool
         Its caller tries to cancel it.
     accepted_at : float
-        When its caller was told that it is accepted.
+        Time of the response that accepted it.
     """
 
     def __init__(self, source: random.Random) -> None:
         self.job_id = f"{source.getrandbits(64):016x}"
-        lasting = source.random() < LASTING_PART
+        long_running = source.random() < LONG_RUNNING_SHARE
         size = source.randint(1, 4)
-        steps = [make_step_body(size, cpu=2000, long_running=lasting)]
-        if not lasting and source.random() < 0.5:
+        steps = [make_step_body(size, cpu=2000, long_running=long_running)]
+        if not long_running and source.random() < 0.5:
             steps.append(make_step_body(2, cpu=3000, after=(0,)))
         self.body = make_body(*steps, spec=self.job_id)
-        self.lasting = lasting
-        self.wants_cancel = lasting or source.random() < CANCELLED_PART
+        self.long_running = long_running
+        self.wants_cancel = long_running or source.random() < CANCELLED_SHARE
         self.state = SubmissionState.UNKNOWN
         self.cancelled = False
         self.accepted_at = math.inf
 
 
 class PendingCount(NamedTuple):
-    """An answer to the question for the number of waiting jobs.
+    """Response to a query for the number of waiting jobs.
 
     Attributes
     ----------
     asked_at, answered_at : float
-        When the question was sent, and when its answer was there.
+        Times at which the query was sent and its response received.
     pending : int
-        The number.
+        Number of waiting jobs.
     """
 
     asked_at: float
@@ -92,9 +94,9 @@
     Attributes
     ----------
     jobs : list of TrackedJob
-        What they know of their jobs.
+        Submitted jobs as the callers see them.
     counts : list of PendingCount
-        What they were told of the number of waiting jobs.
+        Responses to queries for the number of waiting jobs.
     """
 
     def __init__(self, site: Site, seed: int) -> None:
@@ -108,62 +110,66 @@
         """Submit one job after the other until `stopping` is set."""
         source = random.Random(f"{self.seed}/{number}")
         while not stopping.wait(source.uniform(0.05, 0.3)):
-            ticket = TrackedJob(source)
-            self.jobs.append(ticket)
-            self._submit(ticket, source)
-            if ticket.wants_cancel and ticket.state == SubmissionState.ACCEPTED:
+            job = TrackedJob(source)
+            self.jobs.append(job)
+            self._submit(job, source)
+            if job.wants_cancel and job.state == SubmissionState.ACCEPTED:
                 stopping.wait(source.uniform(0.0, 2.0))
-                self.cancel(ticket, source)
+                self.cancel(job, source)
 
     def poll_counts(self, stopping: threading.Event) -> None:
-        """Ask for the number of waiting jobs until `stopping` is set.
+        """Query the number of waiting jobs until `stopping` is set.
 
         Notes
         -----
-        It draws from a source of its own: the jobs of a seed don't depend on it.
+        Uses a random generator of its own, so that the jobs of a seed don't depend on
+        the number of queries.
         """
         source = random.Random(f"{self.seed}/counts")
-        while not stopping.wait(source.uniform(*COUNT_EVERY_S)):
+        while not stopping.wait(source.uniform(*POLL_INTERVAL_RANGE_S)):
             asked_at = read_clock()
             status, body = self.call("GET", "", source)
             if status == 200:
-                pending = body.get("pending", UNTOLD)
+                pending = body.get("pending", MISSING_COUNT)
                 self.counts.append(PendingCount(asked_at, read_clock(), pending))
 
-    def _submit(self, ticket: TrackedJob, source: random.Random) -> None:
+    def _submit(self, job: TrackedJob, source: random.Random) -> None:
         refused = 0
-        for tries in range(1, TRIES + 1):
-            status, _ = self.call("POST", ticket.job_id, source, ticket.body)
+        for attempt in range(1, MAX_ATTEMPTS + 1):
+            status, _ = self.call("POST", job.job_id, source, job.body)
             if status == 200:
-                ticket.accepted_at = read_clock()
-                ticket.state = SubmissionState.ACCEPTED
+                job.accepted_at = read_clock()
+                job.state = SubmissionState.ACCEPTED
                 return
-            refused += status in REFUSED
-            if refused == tries and tries >= 2:
-                ticket.state = SubmissionState.REJECTED
+            refused += status in REFUSED_STATUSES
+            if refused == attempt and attempt >= 2:
+                job.state = SubmissionState.REJECTED
                 return
 
-    def cancel(self, ticket: TrackedJob, source: random.Random) -> None:
-        """Try to cancel a job."""
-        for _ in range(TRIES):
-            status, _ = self.call("DELETE", ticket.job_id, source)
+    def cancel(self, job: TrackedJob, source: random.Random) -> None:
+        """Try to cancel a job, with a limited number of attempts."""
+        for _ in range(MAX_ATTEMPTS):
+            status, _ = self.call("DELETE", job.job_id, source)
             if status == 200:
-                ticket.cancelled = True
+                job.cancelled = True
                 return
 
     def call(
         self, method: str, job_id: str, source: random.Random, body: Any = None
     ) -> tuple[int, dict[str, Any]]:
-        """Call one instance; status zero where no answer came."""
-        member = source.choice(self.site.members)
+        """Call a random instance and return status and body of its response.
+
+        The status is zero if no valid response was received.
+        """
+        instance = source.choice(self.site.instances)
         try:
-            answer = self.pool.request(
+            response = self.pool.request(
                 method,
-                f"http://{member.address}{PREFIX}{job_id}",
+                f"http://{instance.address}{PREFIX}{job_id}",
                 body=None if body is None else json.dumps(body).encode(),
                 headers={"Host": HOST, "Content-Type": "application/json"},
                 timeout=TIMEOUT_S,
             )
-            return answer.status, json.loads(answer.data)
+            return response.status, json.loads(response.data)
         except (HTTPError, OSError, ValueError):
             return 0, {}
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -1,4 +1,4 @@
-"""The promises that a soak checks, from what callers and runners see."""
+"""Invariants that a soak checks, based on what callers and runners observe."""
 
 import math
 import random
@@ -12,27 +12,27 @@
 
 __all__ = ["InvariantMonitor", "check_counts", "check_jobs", "list_waiting"]
 
-LOOK_EVERY_S = 0.05
-"""Time between looks at what runs."""
+CHECK_INTERVAL_S = 0.05
+"""Time between two checks of the running tasks."""
 
-PATIENCE_S = 60.0
-"""Longest wait for everything to be done once all faults are healed: the longest lease
-is ten seconds, and all that is left may wait for it twice."""
+COMPLETION_TIMEOUT_S = 60.0
+"""Longest time until all jobs have ended once all faults are healed. The longest lease
+is 10 s, and the remaining work may have to wait for it twice."""
 
-SEEN_S = 5.0
-"""Age from which an accepted job that waits must be in the count: a count may be two
-seconds old, and a caller waits three for an answer."""
+MIN_COUNTED_WAIT_S = 5.0
+"""Waiting time after which an accepted job must be included in the count: a count may
+be 2 s old, and a caller waits 3 s for a response."""
 
 
 class InvariantMonitor:
-    """Looks at all runners all the time; `broken` says what it found.
+    """Checks all runners periodically and collects the violations in `broken`.
 
     Parameters
     ----------
     site : Site
-        What to look at.
+        Site whose runners are checked.
     callers : Callers
-        For the sizes of tasks.
+        Source of the sizes of tasks.
     """
 
     def __init__(self, site: Site, callers: Callers) -> None:
@@ -41,31 +41,33 @@
         self.broken: list[str] = []
 
     def run(self, stopping: threading.Event) -> None:
-        """Look until `stopping` is set."""
-        while not stopping.wait(LOOK_EVERY_S):
-            self.look()
+        """Check periodically until `stopping` is set."""
+        while not stopping.wait(CHECK_INTERVAL_S):
+            self.check()
 
-    def look(self) -> None:
-        """Check that no task runs twice and no runner holds too much."""
+    def check(self) -> None:
+        """Check that no task runs twice and no runner exceeds its capacity."""
         running = _list_running(self.site)
         counts = Counter(task for tasks in running.values() for task in tasks)
         for task, count in counts.items():
             if count > 1:
-                self._note(f"{task} is at work {count} times")
+                self._record(f"{task} runs {count} times at once")
         sizes = {t.job_id: t.body["steps"] for t in list(self.callers.jobs)}
         for name, tasks in running.items():
             cpu = sum(_find_cpu(sizes, task) for task in tasks)
             capacity = self.site.runners[0].capacity["cpu"]
             if cpu > capacity:
-                self._note(f"{name} holds {cpu} of {capacity}")
+                self._record(
+                    f"{name} runs tasks of {cpu} cpu; its capacity is {capacity}"
+                )
 
-    def _note(self, text: str) -> None:
-        if text not in self.broken:
-            self.broken.append(text)
+    def _record(self, violation: str) -> None:
+        if violation not in self.broken:
+            self.broken.append(violation)
 
 
 def _list_running(site: Site) -> dict[str, list[str]]:
-    """Return the tasks at work by runner, at one moment."""
+    """Return the running tasks by runner, all at the same point in time."""
     now = read_clock()
     found: dict[str, list[str]] = {}
     for runner in site.runners:
@@ -87,33 +89,38 @@
 
 
 def check_jobs(site: Site, callers: Callers) -> list[str]:
-    """Return what is wrong with the jobs once all faults are over."""
+    """Return the jobs that end in a wrong state once all faults are healed."""
     source = random.Random(callers.seed)
-    until = read_clock() + PATIENCE_S
-    left = [t for t in callers.jobs if t.state == SubmissionState.ACCEPTED]
+    deadline = read_clock() + COMPLETION_TIMEOUT_S
+    unfinished = [t for t in callers.jobs if t.state == SubmissionState.ACCEPTED]
     wrong: dict[str, str] = {}
-    while left and read_clock() < until:
-        wrong = {t.job_id: found for t in left if (found := _ask(callers, t, source))}
-        left = [ticket for ticket in left if ticket.job_id in wrong]
+    while unfinished and read_clock() < deadline:
+        wrong = {
+            t.job_id: found
+            for t in unfinished
+            if (found := _check_job(callers, t, source))
+        }
+        unfinished = [job for job in unfinished if job.job_id in wrong]
     started = {s[1].partition(".")[0] for r in site.runners for s in r.started}
     rejected = [t for t in callers.jobs if t.state == SubmissionState.REJECTED]
     ran = [f"{t.job_id} was refused and ran" for t in rejected if t.job_id in started]
     return [f"{job}: {found}" for job, found in wrong.items()] + ran
 
 
-def _ask(callers: Callers, ticket: TrackedJob, source: random.Random) -> str:
-    """Return what is wrong with a job now; empty where nothing is.
+def _check_job(callers: Callers, job: TrackedJob, source: random.Random) -> str:
+    """Return what is wrong with a job now, or an empty text if nothing is.
 
     Notes
     -----
-    A request to cancel that wasn't answered with success is repeated, as callers do:
-    just after the faults all instances may be starting, and six tries are over at once.
+    A request to cancel that wasn't answered with success is repeated, as real callers
+    do: just after the faults all instances may be starting, and six attempts pass
+    almost at once.
     """
-    if ticket.wants_cancel and not ticket.cancelled:
-        callers.cancel(ticket, source)
-    status, body = callers.call("GET", ticket.job_id, source)
-    expected = {"cancelled", "completed"} if ticket.wants_cancel else {"completed"}
-    if ticket.lasting and ticket.cancelled:
+    if job.wants_cancel and not job.cancelled:
+        callers.cancel(job, source)
+    status, body = callers.call("GET", job.job_id, source)
+    expected = {"cancelled", "completed"} if job.wants_cancel else {"completed"}
+    if job.long_running and job.cancelled:
         expected = {"cancelled"}
     if status == 200 and body.get("state") in expected:
         return ""
@@ -121,26 +128,26 @@
 
 
 def check_counts(site: Site, callers: Callers) -> tuple[int, list[str]]:
-    """Return how many counts could be too small, and which were.
+    """Return the number of counts that had to include a job, and the wrong counts.
 
     Notes
     -----
-    As with the other checks, faults excuse nothing: an instance that may not know all
-    that waits is to refuse the question.
+    As with the other checks, faults are no excuse: an instance that may not know all
+    waiting jobs must refuse the query.
     """
     begun = _find_begins(site)
-    told = [(c, list_waiting(callers.jobs, begun, c)) for c in callers.counts]
+    checked = [(c, list_waiting(callers.jobs, begun, c)) for c in callers.counts]
     wrong = [
-        f"{count.pending} jobs are said to wait at {count.asked_at:.3f}; "
-        f"{len(waiting)} have for {SEEN_S} s: {waiting[:5]}"
-        for count, waiting in told
+        f"a response reports {count.pending} waiting jobs at {count.asked_at:.3f}; "
+        f"{len(waiting)} have waited for {MIN_COUNTED_WAIT_S} s: {waiting[:5]}"
+        for count, waiting in checked
         if 2 * count.pending < len(waiting)
     ]
-    return sum(bool(waiting) for _, waiting in told), wrong
+    return sum(bool(waiting) for _, waiting in checked), wrong
 
 
 def _find_begins(site: Site) -> dict[str, float]:
-    """Return when the first task of each job that has begun started."""
+    """Return the start time of the first task of each job that has begun."""
     begun: dict[str, float] = {}
     for runner in site.runners:
         for at, task, _ in runner.started:
@@ -152,21 +159,21 @@
 def list_waiting(
     jobs: Iterable[TrackedJob], begun: Mapping[str, float], count: PendingCount
 ) -> list[str]:
-    """Return the jobs that a count must not leave out.
+    """Return the ids of the jobs that a count must include.
 
     Parameters
     ----------
     jobs : iterable of TrackedJob
-        What callers know; jobs that they try to cancel don't count.
+        Jobs as their callers see them; jobs that they try to cancel are ignored.
     begun : mapping
-        When the first task of a job started, by job.
+        Start time of the first task of a job, by job.
     count : PendingCount
-        The answer.
+        Response that is checked.
     """
     return [
-        ticket.job_id
-        for ticket in jobs
-        if ticket.accepted_at < count.asked_at - SEEN_S
-        and not ticket.wants_cancel
-        and begun.get(ticket.job_id, math.inf) > count.answered_at
+        job.job_id
+        for job in jobs
+        if job.accepted_at < count.asked_at - MIN_COUNTED_WAIT_S
+        and not job.wants_cancel
+        and begun.get(job.job_id, math.inf) > count.answered_at
     ]
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,4 +1,4 @@
-"""Injecting the faults of a plan from outside the processes."""
+"""Injection of a plan's faults from outside the processes."""
 
 import signal
 import threading
@@ -6,27 +6,39 @@
 
 from plantainyard.clock import read_clock
 from soak.plan import Fault, FaultKind
-from soak.site import Site, name_store_link
+from soak.site import Site, format_store_link
 
 __all__ = ["heal_all", "inject_faults"]
 
 RESTART_S = 0.5
-"""Time until an instance that has ended is started again, as the platform does."""
+"""Time until an instance that has ended is restarted, as the platform does."""
 
-LOST_ANSWERS = 8
-"""Appends whose answers are lost with one fault."""
+LOST_RESPONSES = 8
+"""Number of appends whose responses are lost by one fault."""
 
 
 def inject_faults(
-    site: Site, plan: Sequence[Fault], began: float, stopping: threading.Event
+    site: Site, plan: Sequence[Fault], started_at: float, stopping: threading.Event
 ) -> None:
-    """Inject and heal what the plan says, in time."""
-    moments: list[tuple[float, Callable[[], None]]] = []
+    """Inject and heal the faults of `plan` at their times.
+
+    Parameters
+    ----------
+    site : Site
+        Site that gets the faults.
+    plan : sequence of Fault
+        Faults with times relative to `started_at`.
+    started_at : float
+        Time at which the callers started.
+    stopping : threading.Event
+        Ends the injection when set; faults that are active then aren't healed.
+    """
+    actions: list[tuple[float, Callable[[], None]]] = []
     for fault in plan:
         begin, end = _make_fault(site, fault)
-        moments += [(fault.at, begin), (fault.at + fault.for_s, end)]
-    for at, act in sorted(moments, key=lambda moment: moment[0]):
-        if stopping.wait(max(0.0, began + at - read_clock())):
+        actions += [(fault.at, begin), (fault.at + fault.for_s, end)]
+    for at, act in sorted(actions, key=lambda action: action[0]):
+        if stopping.wait(max(0.0, started_at + at - read_clock())):
             return
         act()
 
@@ -34,7 +46,7 @@
 def _make_fault(
     site: Site, fault: Fault
 ) -> tuple[Callable[[], None], Callable[[], None]]:
-    """Return what begins a fault and what ends it."""
+    """Return the callables that begin and end a fault."""
     kind, target = fault.kind, fault.target
     signals = {
         FaultKind.KILL: signal.SIGKILL,
@@ -42,14 +54,14 @@
         FaultKind.PAUSE: signal.SIGSTOP,
     }
     if kind in signals:
-        member = site.members[target]
-        return lambda: member.send(signals[kind]), member.revive
+        instance = site.instances[target]
+        return lambda: instance.send_signal(signals[kind]), instance.resume_or_restart
     if kind == FaultKind.CUT_STORE:
-        name = name_store_link(target)
-        return lambda: site.cut(name, True), lambda: site.cut(name, False)
+        name = format_store_link(target)
+        return lambda: site.set_cut(name, True), lambda: site.set_cut(name, False)
     if kind == FaultKind.CUT_RUNNER:
         name = site.runners[target].runner
-        return lambda: site.cut(name, True), lambda: site.cut(name, False)
+        return lambda: site.set_cut(name, True), lambda: site.set_cut(name, False)
     if kind == FaultKind.NEW_INCARNATION:
         return lambda: _restart_runner(site, target), _do_nothing
     return _make_store_fault(site, kind)
@@ -63,13 +75,13 @@
     def set_down(down: bool) -> None:
         faults.down = down
 
-    def lose() -> None:
-        faults.lose_answers += LOST_ANSWERS
+    def lose_responses() -> None:
+        faults.lose_answers += LOST_RESPONSES
 
     if kind == FaultKind.STORE_DOWN:
         return lambda: set_down(True), lambda: set_down(False)
     if kind == FaultKind.LOSE_ANSWERS:
-        return lose, _do_nothing
+        return lose_responses, _do_nothing
     return site.store.drop_history, _do_nothing
 
 
@@ -77,19 +89,19 @@
     runner = site.runners[target]
     with runner.lock:
         runner.restart(read_clock())
-    site.announce(runner)
+    site.write_runner_entry(runner)
 
 
 def _do_nothing() -> None:
-    """Do nothing: the fault is over by itself."""
+    """Do nothing, because the fault ends by itself."""
 
 
 def heal_all(site: Site) -> None:
-    """End every fault, and start what has ended."""
+    """End every fault and restart the instances that have ended."""
     site.store.faults.down = False
     site.store.faults.lose_answers = 0
-    for number, member in enumerate(site.members):
-        site.cut(name_store_link(number), False)
-        member.revive()
+    for number, instance in enumerate(site.instances):
+        site.set_cut(format_store_link(number), False)
+        instance.resume_or_restart()
     for runner in site.runners:
-        site.cut(runner.runner, False)
+        site.set_cut(runner.runner, False)
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -1,4 +1,4 @@
-"""Which faults come when: a function of the seed and nothing else."""
+"""Plan of the faults of a run; it depends only on the seed and the run's size."""
 
 import random
 from typing import NamedTuple
@@ -6,25 +6,25 @@
 __all__ = ["Fault", "FaultKind", "make_plan"]
 
 GAP_S = (0.2, 1.8)
-"""Shortest and longest time between two faults; shorter than most of them last, so that
-they overlap."""
+"""Shortest and longest time between two faults, which is shorter than the duration of
+most faults, so that they overlap."""
 
 
 class FaultKind:
-    """Names of the faults.
+    """Kinds of faults.
 
     Notes
     -----
     ``KILL``, ``STOP``, ``PAUSE``
         An instance gets SIGKILL, SIGTERM, or SIGSTOP and later SIGCONT.
     ``CUT_STORE``, ``CUT_RUNNER``
-        What goes between an instance and the store, or all instances and a runner, is
-        held back in both directions.
+        All traffic between one instance and the store, or between all instances and
+        one runner, is held back in both directions.
     ``STORE_DOWN``, ``LOSE_ANSWERS``, ``DROP_HISTORY``
-        The store refuses everyone; does what it is asked and doesn't say so; forgets
-        all but the newest record of each key.
+        The store refuses all calls; or it carries appends out without responding; or
+        it drops all but the newest record of each key.
     ``NEW_INCARNATION``
-        A runner starts again and knows nothing of before.
+        A runner restarts without any state of its previous incarnation.
     """
 
     KILL = "kill"
@@ -56,13 +56,13 @@
     Attributes
     ----------
     at : float
-        Seconds from the start of the callers.
+        Seconds since the start of the callers.
     kind : str
         One of `FaultKind`.
     target : int
-        Number of the instance or runner, where the kind has one.
+        Number of the affected instance or runner, if the kind has one.
     for_s : float
-        How long it lasts, where it does.
+        Duration in seconds, for kinds that don't end by themselves.
     """
 
     at: float
@@ -72,7 +72,7 @@
 
 
 def make_plan(seed: int, seconds: float, instances: int, runners: int) -> list[Fault]:
-    """Return the faults of a run, by time.
+    """Return the faults of a run, ordered by time.
 
     Examples
     --------
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""One run of the soak."""
+"""One run of the soak: start a site, inject faults and check the invariants."""
 
 import tempfile
 import threading
@@ -20,24 +20,24 @@
 __all__ = ["Outcome", "run_soak"]
 
 CALLERS = 4
-THREE = SiteSpec()
-"""Three strong instances, four runners, one unit."""
-READY_S = 60.0
-"""Longest time until all instances say that they are ready."""
+DEFAULT_SPEC = SiteSpec()
+"""Three instances that own units at all times, four runners, and one unit."""
+READY_TIMEOUT_S = 60.0
+"""Longest time until all instances report that they are ready."""
 
 
 class Outcome(NamedTuple):
-    """What a run came to.
+    """Result of a run.
 
     Attributes
     ----------
     broken : list of str
-        Promises that were broken; empty where all were kept.
+        Violations of invariants; empty if there were none.
     accepted, rejected, unknown : int
-        Jobs by what their callers were told.
+        Number of jobs by the result of their submission as their callers know it.
     counted : int
-        Questions for the number of waiting jobs that were answered while some had
-        waited for so long that the answer must not leave them out.
+        Number of responses with a count of waiting jobs that had to include at least
+        one job, because it had been waiting for long enough.
     """
 
     broken: list[str]
@@ -48,24 +48,25 @@
 
 
 def run_soak(
-    seed: int, seconds: float, folder: Path | None = None, shape: SiteSpec = THREE
+    seed: int, seconds: float, folder: Path | None = None, spec: SiteSpec = DEFAULT_SPEC
 ) -> Outcome:
     """Run once and return the outcome.
 
     Parameters
     ----------
     seed : int
-        Decides on faults, jobs and callers.
+        Seeds the faults, the jobs and the callers' choices.
     seconds : float
-        For how long callers submit and faults come.
+        Duration of the phase with submissions and faults.
     folder : Path, optional
-        Where logs of instances stay; by default they go with the run.
-    shape : SiteSpec
-        What the site is made of.
+        Folder that keeps the logs of instances; by default they are deleted after the
+        run.
+    spec : SiteSpec
+        Size of the site.
     """
     with (
-        tempfile.TemporaryDirectory() as spare,
-        open_site(folder or Path(spare), shape) as site,
+        tempfile.TemporaryDirectory() as temporary,
+        open_site(folder or Path(temporary), spec) as site,
     ):
         _wait_until_ready(site)
         return _run(site, seed, seconds)
@@ -73,58 +74,60 @@
 
 def _run(site: Site, seed: int, seconds: float) -> Outcome:
     callers = Callers(site, seed)
-    watch = InvariantMonitor(site, callers)
-    closing, done = threading.Event(), threading.Event()
-    plan = make_plan(seed, seconds, len(site.members), len(site.runners))
-    began = read_clock()
-    work: list[tuple[Callable[..., None], tuple[object, ...]]] = [
-        (callers.run, (number, closing)) for number in range(CALLERS)
+    monitor = InvariantMonitor(site, callers)
+    stopping, checked = threading.Event(), threading.Event()
+    plan = make_plan(seed, seconds, len(site.instances), len(site.runners))
+    started_at = read_clock()
+    targets: list[tuple[Callable[..., None], tuple[object, ...]]] = [
+        (callers.run, (number, stopping)) for number in range(CALLERS)
     ]
-    work.append((inject_faults, (site, plan, began, closing)))
-    threads = [threading.Thread(target=run, args=rest) for run, rest in work]
-    lookers = [
-        threading.Thread(target=look, args=(done,))
-        for look in (watch.run, callers.poll_counts)
+    targets.append((inject_faults, (site, plan, started_at, stopping)))
+    threads = [
+        threading.Thread(target=run, args=arguments) for run, arguments in targets
     ]
-    for thread in (*threads, *lookers):
+    observers = [
+        threading.Thread(target=observe, args=(checked,))
+        for observe in (monitor.run, callers.poll_counts)
+    ]
+    for thread in (*threads, *observers):
         thread.start()
-    closing.wait(seconds)
-    closing.set()
+    stopping.wait(seconds)
+    stopping.set()
     for thread in threads:
         thread.join()
     heal_all(site)
     broken = check_jobs(site, callers)
-    done.set()
-    for thread in lookers:
+    checked.set()
+    for thread in observers:
         thread.join()
     counted, miscounts = check_counts(site, callers)
-    counts = [ticket.state for ticket in callers.jobs]
+    states = [job.state for job in callers.jobs]
     return Outcome(
-        watch.broken + broken + miscounts,
-        counts.count(SubmissionState.ACCEPTED),
-        counts.count(SubmissionState.REJECTED),
-        counts.count(SubmissionState.UNKNOWN),
+        monitor.broken + broken + miscounts,
+        states.count(SubmissionState.ACCEPTED),
+        states.count(SubmissionState.REJECTED),
+        states.count(SubmissionState.UNKNOWN),
         counted,
     )
 
 
 def _wait_until_ready(site: Site) -> None:
-    """Wait for all instances, starting anew those that have ended.
+    """Wait until all instances are ready, and restart those that have ended.
 
     Notes
     -----
-    Guards against a run that fails before it begins: ports are free when they are
-    chosen, and another process may take one before its instance does. The instance
-    ends, and like the platform the soak starts it again.
+    Guards against runs that fail before they begin: ports are free when they are
+    chosen, but another process may bind one before its instance does. The instance then
+    exits, and the soak restarts it as the platform would.
     """
     pool = urllib3.PoolManager(retries=False)
-    until = read_clock() + READY_S
-    waiting = [member.ready for member in site.members]
+    deadline = read_clock() + READY_TIMEOUT_S
+    waiting = [instance.ready_address for instance in site.instances]
     while waiting:
-        if read_clock() > until:
+        if read_clock() > deadline:
             raise TimeoutError(f"not ready: {waiting}")
-        for member in site.members:
-            member.revive()
+        for instance in site.instances:
+            instance.resume_or_restart()
         waiting = [address for address in waiting if not _is_ready(pool, address)]
         time.sleep(0.05)
 
--- a/soak/site.py
+++ b/soak/site.py
@@ -1,4 +1,4 @@
-"""The site under test: stand-ins, relays, and the instances as processes."""
+"""Site under test: stand-ins for the platform, relays, and instances as processes."""
 
 import contextlib
 import json
@@ -20,14 +20,14 @@
 from standins.platform import RunnerState, StoreState, serve_platform
 from standins.platform.samples import make_configuration
 
-__all__ = ["Member", "SiteSpec", "Site", "open_site"]
+__all__ = ["Instance", "Site", "SiteSpec", "open_site"]
 
-STOP_S = 15.0
-"""Longest time for a process to end after it was asked to."""
+STOP_TIMEOUT_S = 15.0
+"""Time for a process to end after SIGTERM; it is killed afterwards."""
 
 PORTS = range(12_000, 32_000)
-"""Ports of instances: below those that the system gives to outgoing connections, which
-would keep the port of an instance for as long as they last."""
+"""Ports of instances. They lie below the range that the system gives to outgoing
+connections, since such a connection would occupy an instance's port while it lasts."""
 
 PARTITIONS = 4
 SETTINGS = """node = "edge-{number}"
@@ -46,29 +46,29 @@
 cpuShare = {cores}
 """
 
-STRONG_CORES, WEAK_CORES = 1.0, 0.5
-"""Processors that instances are told to have: of owners, and of reserves."""
+OWNER_CORES, RESERVE_CORES = 1.0, 0.5
+"""Processors in the settings of instances that own units, and of reserves."""
 
 
-class Member:
-    """One entry instance over all its processes.
+class Instance:
+    """One entry instance, run by successive processes.
 
     Parameters
     ----------
     number : int
-        Names it.
+        Number of the instance, from which its name is derived.
     folder : Path
-        For its settings and its log.
+        Folder for its settings and its log.
     store : str
-        Address at which it reaches the store.
+        Address at which the instance reaches the store.
     cores : float
-        Processors that its settings name.
+        Number of processors in its settings.
     """
 
     def __init__(self, number: int, folder: Path, store: str, cores: float) -> None:
         ports = _find_ports(4)
         self.address = f"127.0.0.1:{ports[0]}"
-        self.ready = f"127.0.0.1:{ports[1]}"
+        self.ready_address = f"127.0.0.1:{ports[1]}"
         self.settings = folder / f"edge-{number}.toml"
         self.settings.write_text(
             SETTINGS.format(
@@ -94,23 +94,23 @@
             stderr=self.log,
         )
 
-    def send(self, number: signal.Signals) -> None:
-        """Send a signal to the process that this member started, if it lives."""
+    def send_signal(self, number: signal.Signals) -> None:
+        """Send a signal to the current process unless it has ended."""
         if self.process.poll() is None:
             self.process.send_signal(number)
 
-    def revive(self) -> None:
-        """Wake the process, and start a new one if it has ended."""
-        self.send(signal.SIGCONT)
+    def resume_or_restart(self) -> None:
+        """Resume the process if it is paused; start a new one if it has ended."""
+        self.send_signal(signal.SIGCONT)
         if self.process.poll() is not None:
             self.process = self._start()
 
-    def end(self) -> None:
-        """End the process."""
-        self.send(signal.SIGCONT)
-        self.send(signal.SIGTERM)
+    def stop(self) -> None:
+        """Stop the process, and kill it if it doesn't end in time."""
+        self.send_signal(signal.SIGCONT)
+        self.send_signal(signal.SIGTERM)
         try:
-            self.process.wait(STOP_S)
+            self.process.wait(STOP_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             self.process.kill()
             self.process.wait()
@@ -118,48 +118,50 @@
 
 
 class Site:
-    """Everything that runs, with what faults and checks need of it."""
+    """Running site with the handles that faults and checks need."""
 
     def __init__(self, store: StoreState, runners: list[RunnerState], links: str):
         self.store = store
         self.runners = runners
-        self.members: list[Member] = []
+        self.instances: list[Instance] = []
         self._links = build_peer(links, build_pool(1, 2), 10.0)
 
-    def relay(self, name: str, address: str) -> str:
-        """Return an address that leads to `address` until `name` is cut."""
+    def open_relay(self, name: str, address: str) -> str:
+        """Open a relay that link `name` can cut; return its address for `address`."""
         item = {"ends": [name, "all"], "target": f"http://{address}/"}
-        answer = call_json(self._links, "links", "POST", "/links", {"links": [item]})
-        found: str = answer.unwrap().body["addresses"][0]
-        return found.removeprefix("http://").rstrip("/")
+        result = call_json(self._links, "links", "POST", "/links", {"links": [item]})
+        url: str = result.unwrap().body["addresses"][0]
+        return url.removeprefix("http://").rstrip("/")
 
-    def cut(self, name: str, cut: bool) -> None:
-        """Hold back what goes through a relay, or let it go on."""
-        word = "cut" if cut else "heal"
-        call_json(self._links, "links", "POST", "/faults", {word: [[name]]})
+    def set_cut(self, name: str, cut: bool) -> None:
+        """Cut the link `name`, so that it holds its traffic back, or heal it."""
+        action = "cut" if cut else "heal"
+        call_json(self._links, "links", "POST", "/faults", {action: [[name]]})
 
-    def announce(self, runner: RunnerState) -> None:
-        """Write a runner's entry, as it does with each new life."""
+    def write_runner_entry(self, runner: RunnerState) -> None:
+        """Write a runner's entry to the store, as each new incarnation does."""
         entry = json.dumps(runner.build_entry(read_clock())).encode()
         self.store.put("keyed.servers", runner.runner, entry)
 
 
-def name_store_link(number: int) -> str:
-    """Return the name of the relay between an instance and the store."""
+def format_store_link(number: int) -> str:
+    """Return the name of the link between an instance and the store."""
     return f"store-{number}"
 
 
 class SiteSpec(NamedTuple):
-    """What a site is made of.
+    """Size of a site.
 
     Attributes
     ----------
     instances, runners : int
-        How many there are.
+        Numbers of instances and runners.
     reserves : int
-        How many of the instances are too weak to own units while others do.
+        Number of instances that own units only while no other instance can, because
+        their settings name too few processors.
     units : int
-        Parts that the fleet is divided into; zero lets the instances choose.
+        Number of units that the fleet is divided into; zero lets the instances
+        choose.
     """
 
     instances: int = 3
@@ -169,13 +171,13 @@
 
 
 @contextlib.contextmanager
-def open_site(folder: Path, shape: SiteSpec) -> Iterator[Site]:
-    """Start everything; end it, and nothing else, on exit."""
+def open_site(folder: Path, spec: SiteSpec) -> Iterator[Site]:
+    """Start a site, and stop exactly the processes that it started on exit."""
     store = StoreState(parts=PARTITIONS)
-    states = [RunnerState(f"r{number}") for number in range(shape.runners)]
+    states = [RunnerState(f"r{number}") for number in range(spec.runners)]
     store.put("keyed.op", "config", make_configuration(1))
-    if shape.units:
-        store.put(LAYOUT, UNITS_KEY, json.dumps({"units": shape.units}).encode())
+    if spec.units:
+        store.put(LAYOUT, UNITS_KEY, json.dumps({"units": spec.units}).encode())
     with (
         run_links() as links,
         serve_platform(store, states) as servers,
@@ -183,21 +185,21 @@
     ):
         site = Site(store, states, links["address"])
         for runner in states:
-            runner.address = site.relay(runner.runner, runner.address)
-            site.announce(runner)
-        for number in range(shape.instances):
-            address = site.relay(name_store_link(number), servers.store)
-            weak = number < shape.reserves
-            member = Member(
-                number, folder, address, WEAK_CORES if weak else STRONG_CORES
+            runner.address = site.open_relay(runner.runner, runner.address)
+            site.write_runner_entry(runner)
+        for number in range(spec.instances):
+            address = site.open_relay(format_store_link(number), servers.store)
+            is_reserve = number < spec.reserves
+            instance = Instance(
+                number, folder, address, RESERVE_CORES if is_reserve else OWNER_CORES
             )
-            stack.callback(member.end)
-            site.members.append(member)
+            stack.callback(instance.stop)
+            site.instances.append(instance)
         yield site
 
 
 def _find_ports(count: int) -> list[int]:
-    """Return ports that nobody listens at now."""
+    """Return ports that no process is bound to at present."""
     source = random.SystemRandom()
     with contextlib.ExitStack() as stack:
         found: list[int] = []
