--- a/soak/tests/test_soak.py
+++ b/soak/tests/test_soak.py
@@ -51,9 +51,9 @@
 
 
 def test_a_job_handed_to_an_owner_without_the_store_is_not_left_out_of_a_count():
-    # Guards against an outdated count: for 0.4 s callers got a count of zero although one
-    # job waited, because the owner that it was handed to was cut off from the store and
-    # answered with a count that was four seconds old.
+    # Guards against outdated counts. For 0.4 s callers got a count of zero although one
+    # job waited: the owner that it was handed to was cut off from the store and used
+    # a count that was four seconds old.
     outcome = run_soak(5110, seconds=12.0, spec=SiteSpec(runners=2, units=3))
     assert outcome.broken == []
 
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for the platform, for tests and the demo."""
+"""Small stand-ins for the platform, used by tests and the demo."""
 
 from standins.deployments import ACCRA, AWASH, DEPLOYMENTS, SMALL, Deployment
 from standins.processes import start_daemon, start_standin
--- a/standins/callers.py
+++ b/standins/callers.py
@@ -1,4 +1,4 @@
-"""What callers and operators do, for tests and the demo."""
+"""Calls of callers and operators, used by tests and the demo."""
 
 import json
 import random
@@ -43,14 +43,14 @@
     "wait_until",
 ]
 
-POLL_S = 0.1
-SLACK_S = 2.0
+POLL_INTERVAL_S = 0.1
+RESPONSE_MARGIN_S = 2.0
 UUID_VERSION = 7 << 76
 UUID_VARIANT = 2 << 62
 
 
 class CallerResult(NamedTuple):
-    """What a caller got; `error` is the transport's where no answer came."""
+    """Result of a caller's request; `error` is set if no response was received."""
 
     request_id: str
     outcome: str
@@ -62,7 +62,7 @@
 
 
 def build_request_id(rng: random.Random, domain: str = "") -> str:
-    """Return a UUIDv7 of now, with its home domain in front where one is given."""
+    """Return a UUIDv7 of the current time, prefixed with `domain` if one is given."""
     value = int(time.time() * 1000) << 80 | rng.getrandbits(74)
     value = value & ~(0xF << 76) & ~(3 << 62) | UUID_VERSION | UUID_VARIANT
     text = f"{value:032x}"
@@ -79,14 +79,14 @@
     idempotent: bool = False,
     team: str = "",
 ) -> CallerResult:
-    """Send one request to an entry instance, as a caller would."""
+    """Send one request to an entry instance as a caller and return its result."""
     headers = {
         REQUEST_ID_HEADER: request_id,
         DEADLINE_HEADER: str(deadline_ms),
         IDEMPOTENT_HEADER: "true" if idempotent else "false",
         **({TEAM_HEADER: team} if team else {}),
     }
-    begun = read_clock()
+    sent_at = read_clock()
     result = send_request(
         peer,
         "caller.request",
@@ -94,21 +94,21 @@
         f"/v1/services/{service}/requests",
         body,
         headers,
-        timeout_s=deadline_ms / 1000 + SLACK_S,
+        timeout_s=deadline_ms / 1000 + RESPONSE_MARGIN_S,
     )
-    latency_ms = (read_clock() - begun) * 1000
+    latency_ms = (read_clock() - sent_at) * 1000
     if isinstance(result, Err):
         error = result.err_value
-        sure = error.kind == ErrorKind.UNREACHABLE
-        outcome = "refused" if sure else "unknown"
+        was_not_sent = error.kind == ErrorKind.UNREACHABLE
+        outcome = "refused" if was_not_sent else "unknown"
         return CallerResult(request_id, outcome, latency_ms=latency_ms, error=error)
-    answer = result.ok_value
+    response = result.ok_value
     return CallerResult(
         request_id,
-        answer.headers.get(OUTCOME_HEADER, ""),
-        answer.headers.get(REASON_HEADER, ""),
-        answer.status,
-        answer.body,
+        response.headers.get(OUTCOME_HEADER, ""),
+        response.headers.get(REASON_HEADER, ""),
+        response.status,
+        response.body,
         latency_ms,
     )
 
@@ -116,62 +116,65 @@
 def call_operator(
     addresses: Sequence[str], token: str, method: str, body: Mapping[str, Any]
 ) -> Result[dict[str, Any], CallError]:
-    """Call the operators' `method` at the first of `addresses` that answers.
+    """Call the operators' `method` at the first of `addresses` that responds.
 
-    A call that may have been carried out is repeated with the same request id at
-    the next address, as the schema allows.
+    A call whose response was lost may have been carried out; it is repeated with the
+    same request id at the next address, as the schema allows.
     """
     path = f"/plantainyard.v1.Operators/{method}"
     headers = {"Authorization": f"Bearer {token}"}
     error = CallError(ErrorKind.UNREACHABLE, method, "", "no address")
     for address in addresses:
         peer = build_peer(address, timeout_s=20.0)
-        answer = call_json(peer, method, "POST", path, body, headers)
-        if isinstance(answer, Ok):
-            return Ok(answer.ok_value.body)
-        error = answer.err_value
+        result = call_json(peer, method, "POST", path, body, headers)
+        if isinstance(result, Ok):
+            return Ok(result.ok_value.body)
+        error = result.err_value
         if error.kind not in (ErrorKind.UNREACHABLE, ErrorKind.LOST):
             break
     return Err(error)
 
 
-def wait_until(condition: Callable[[], Any], what: str, limit_s: float = 30.0) -> Any:
-    """Return the first true value of `condition`.
+def wait_until(
+    condition: Callable[[], Any], description: str, limit_s: float = 30.0
+) -> Any:
+    """Poll `condition` and return its first true value.
 
     Raises
     ------
     TimeoutError
-        If there is none within `limit_s`.
+        If `condition` doesn't become true within `limit_s`.
     """
     deadline = read_clock() + limit_s
     while not (value := condition()):
         if read_clock() > deadline:
-            raise TimeoutError(f"waited {limit_s:g} s for: {what}")
-        time.sleep(POLL_S)
+            raise TimeoutError(f"waited {limit_s:g} s for: {description}")
+        time.sleep(POLL_INTERVAL_S)
     return value
 
 
 @dataclass
 class Load:
-    """The answers that callers got so far."""
+    """Results of the callers' requests so far."""
 
     results: list[CallerResult] = field(default_factory=list)
 
 
 def count_outcomes(load: Load) -> Counter[str]:
-    """Return the number of answers by outcome."""
-    return Counter(answer.outcome for answer in list(load.results))
+    """Return the number of results by outcome."""
+    return Counter(result.outcome for result in list(load.results))
 
 
-def wait_done(load: Load, more: int, limit_s: float = 30.0) -> None:
-    """Wait until `more` further requests are done.
+def wait_done(load: Load, additional: int, limit_s: float = 30.0) -> None:
+    """Wait until `additional` further requests have the outcome done.
 
     Raises
     ------
     TimeoutError
-        If they are not within `limit_s`; the message has all outcomes.
+        If they aren't within `limit_s`; the message contains the counts of all
+        outcomes.
     """
-    wanted = count_outcomes(load)["done"] + more
+    wanted = count_outcomes(load)["done"] + additional
     try:
         wait_until(lambda: count_outcomes(load)["done"] >= wanted, "answers", limit_s)
     except TimeoutError as error:
@@ -193,19 +196,19 @@
     Parameters
     ----------
     list_addresses : callable
-        Returns the entry instances that the balancer would choose from now.
+        Returns the addresses from which the load balancer would choose at present.
     service : str
-        The service called.
+        Name of the service.
     callers : int
-        Callers, each with one request in progress at a time.
+        Number of callers, each with one request in progress at a time.
     pause_s : float
         Pause of a caller between two requests.
     work_ms : float
-        Time that a runner takes for a request.
+        Time that a runner takes for one request.
     home : str
-        Home domain of the request ids; empty for none in particular.
+        Home domain in the request ids; empty for ids without one.
     seed : int
-        Seeds request ids and choices.
+        Seeds the request ids and the choice of instances.
     """
     load = Load()
     stopping = threading.Event()
@@ -223,10 +226,10 @@
             body = {"caller": number, "turn": turn, "work_ms": work_ms}
             sent = json.dumps(body).encode()
             request_id = build_request_id(rng, home)
-            answer = send_caller_request(peer, service, sent, request_id)
-            if answer.outcome == "done" and answer.body != sent:
-                answer = answer._replace(outcome="wrong")
-            load.results.append(answer)
+            result = send_caller_request(peer, service, sent, request_id)
+            if result.outcome == "done" and result.body != sent:
+                result = result._replace(outcome="wrong")
+            load.results.append(result)
 
     threads = [threading.Thread(target=call, args=(n,)) for n in range(callers)]
     for thread in threads:
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,7 +1,8 @@
-"""A short tour for a person: a whole site, real work, one dead instance, measures.
+"""Demo: a whole site serves requests and jobs while an entry instance is killed.
 
-Run it with ``python -m standins.demo --deployment=awash``. It ends with exit code 0
-only if every job was done and the stand-ins saw nothing go wrong.
+Run it with ``python -m standins.demo --deployment=awash``. It prints each step and the
+measured latency and throughput. The exit code is 0 only if all jobs were completed and
+the stand-ins recorded no violation.
 """
 
 import statistics
@@ -37,35 +38,35 @@
 JOBS = 3
 REQUESTS_BEFORE = 100
 REQUESTS_AFTER = 200
-LIMIT_S = 45.0
+TIMEOUT_S = 45.0
 
 
 def run_demo(deployment: Deployment) -> int:
-    """Run the tour and return the exit code."""
-    begun = read_clock()
+    """Run the demo and return the exit code."""
+    started_at = read_clock()
     _say(f"Starting {deployment.name}: {_describe_size(deployment)}.")
     with start_site(deployment) as site:
         wait_ready(site)
-        _say(f"All instances are ready after {read_clock() - begun:.0f} s.")
-        verdict, is_whole = _tour(site)
+        _say(f"All instances are ready after {read_clock() - started_at:.0f} s.")
+        violations, jobs_done = _run_steps(site)
     _say("All processes are stopped.")
-    return 0 if is_whole and not any(verdict) else 1
+    return 0 if jobs_done and not any(violations) else 1
 
 
-def _tour(site: Site) -> tuple[Violations, bool]:
+def _run_steps(site: Site) -> tuple[Violations, bool]:
     _create_service(site)
     _refuse_infeasible(site)
     jobs = [_create_job(site, number) for number in range(JOBS)]
-    balance = partial(list_addresses, site)
-    with run_load(balance, site.deployment.service, CALLERS) as load:
-        wait_done(load, REQUESTS_BEFORE, LIMIT_S)
+    list_entries = partial(list_addresses, site)
+    with run_load(list_entries, site.deployment.service, CALLERS) as load:
+        wait_done(load, REQUESTS_BEFORE, TIMEOUT_S)
         _kill_one(site)
-        wait_done(load, REQUESTS_AFTER, LIMIT_S)
-        is_whole = _wait_jobs(site, jobs)
+        wait_done(load, REQUESTS_AFTER, TIMEOUT_S)
+        jobs_done = _wait_jobs(site, jobs)
     _report_measures(site, load)
-    verdict = find_site_violations(site)
-    _report_verdict(verdict)
-    return verdict, is_whole
+    violations = find_site_violations(site)
+    _report_violations(violations)
+    return violations, jobs_done
 
 
 def _create_service(site: Site) -> None:
@@ -84,7 +85,7 @@
         f"--connections={plan.connections}",
         f"--workload={plan.service}",
     )
-    wait_runners(site, LIMIT_S)
+    wait_runners(site, TIMEOUT_S)
     _say(f"{sum(d.runners for d in plan.domains)} runners serve {plan.service}.")
 
 
@@ -105,7 +106,7 @@
 
 
 def _create_job(site: Site, number: int) -> str:
-    answer = read_tool(
+    response = read_tool(
         site,
         "jobs",
         "create",
@@ -117,7 +118,7 @@
         f"--run_s={JOB_RUN_S}",
         "--workload=reconciliation",
     )
-    job = answer["job"]
+    job = response["job"]
     _say(f"Job {job['job_id']} of {JOB_TASKS} tasks accepted in {job['domain']}.")
     return str(job["job_id"])
 
@@ -131,7 +132,7 @@
 def _wait_jobs(site: Site, jobs: Sequence[str]) -> bool:
     for job in jobs:
         try:
-            wait_until(partial(_is_done, site, job), job, LIMIT_S)
+            wait_until(partial(_is_done, site, job), job, TIMEOUT_S)
         except TimeoutError as error:
             _say(f"{error}. This is what the tool says of the job:")
             _run(site, "jobs", "describe", job)
@@ -154,11 +155,11 @@
     batch = [run for run in runs if run["outcome"] == "done"]
     evicted = [run for run in runs if run["outcome"] == "evicted"]
     lapsed = [run for run in runs if run["outcome"] == "lapsed"]
-    latencies = [a.latency_ms for a in load.results if a.outcome == "done"]
-    cuts = statistics.quantiles(latencies, n=100)
+    latencies = [r.latency_ms for r in load.results if r.outcome == "done"]
+    percentiles = statistics.quantiles(latencies, n=100)
     outcomes = ", ".join(f"{n} {name}" for name, n in count_outcomes(load).items())
     _say(f"Requests: {outcomes}.")
-    _say(f"Tail latency: p50 {cuts[49]:.0f} ms, p99 {cuts[98]:.0f} ms.")
+    _say(f"Tail latency: p50 {percentiles[49]:.0f} ms, p99 {percentiles[98]:.0f} ms.")
     _say(f"Batch throughput: {_measure_throughput(batch):.1f} tasks a second.")
     _say(f"Evictions: {len(evicted)} (and {len(lapsed)} leases lapsed).")
 
@@ -170,11 +171,11 @@
     return float(len(batch) / span_s)
 
 
-def _report_verdict(verdict: Violations) -> None:
-    if not any(verdict):
+def _report_violations(violations: Violations) -> None:
+    if not any(violations):
         _say("The workers and runners saw nothing go wrong: no task in two places, no")
         _say("overcommitted worker, no runner above its slots, no request run twice.")
-    for name, found in verdict._asdict().items():
+    for name, found in violations._asdict().items():
         for line in found[:5]:
             _say(f"Violation, {name}: {line}")
 
@@ -189,10 +190,10 @@
     )
 
 
-def _run(site: Site, *words: str) -> None:
-    result = run_tool(site, *words)
+def _run(site: Site, *arguments: str) -> None:
+    result = run_tool(site, *arguments)
     if result.code:
-        raise RuntimeError(f"{' '.join(words)}: {result.errors.strip()}")
+        raise RuntimeError(f"{' '.join(arguments)}: {result.errors.strip()}")
     for line in result.output.strip().splitlines():
         _say(f"    {line}")
 
@@ -202,7 +203,7 @@
 
 
 def main(_: list[str]) -> None:
-    """Run the tour for the deployment of the command line."""
+    """Run the demo for the deployment named on the command line."""
     names = {AWASH.name: AWASH, ACCRA.name: ACCRA}
     sys.exit(run_demo(names[flags.FLAGS.deployment]))
 
--- a/standins/deployments.py
+++ b/standins/deployments.py
@@ -1,4 +1,4 @@
-"""The deployments of today, in their sizes, and smaller ones for tests."""
+"""Deployments of the users in their present sizes, and a smaller one for tests."""
 
 from collections.abc import Mapping
 from itertools import chain
@@ -21,7 +21,7 @@
 
 
 class DomainPlan(NamedTuple):
-    """A failure domain: its entry instances, workers and runners of the service."""
+    """Numbers of entry instances, workers and service runners in a failure domain."""
 
     name: str
     region: str
@@ -31,26 +31,27 @@
 
 
 class Deployment(NamedTuple):
-    """A whole site.
+    """Sizes and names of a whole site.
 
     Attributes
     ----------
     name, team, service : str
-        The user, the team charged and the latency-critical service.
+        Name of the deployment, team charged for the work, and latency-critical
+        service.
     domains : tuple of DomainPlan
-        The failure domains.
+        Failure domains of the site.
     store_domain : str
-        Where the log and the instance list stand.
+        Failure domain that contains the log and the instance list.
     capacity : Size
-        Of each worker.
+        Capacity of each worker.
     rack_size : int
-        Workers in a rack.
+        Number of workers in a rack.
     runner_size : Size
         Declared size of a runner.
     slots, connections : int
-        What a runner can hold.
+        Numbers of requests and connections that a runner can hold at a time.
     region_delay_ms : float
-        One-way delay between regions.
+        One-way delay between regions in milliseconds.
     """
 
     name: str
@@ -109,7 +110,7 @@
 
 
 def list_workers(deployment: Deployment) -> tuple[WorkerInfo, ...]:
-    """Return the deployment's workers, as yet without addresses."""
+    """Return the deployment's workers; their addresses are still empty."""
     return tuple(
         chain.from_iterable(_list_domain(deployment, d) for d in deployment.domains)
     )
--- a/standins/instances.py
+++ b/standins/instances.py
@@ -1,9 +1,10 @@
 """Stand-in for the platform's lagging list of live and leaving instances.
 
 Run it with ``python -m standins.instances``. ``POST /instances`` adds or replaces
-entries; ``POST /faults`` takes ``lag_s`` and ``states`` ({id: state}). Each domain
-may see other addresses for the same instance (those of its links): ``POST /views``
-takes {view: {id: {field: value}}}, and ``GET /views/<view>/instances`` reads one.
+entries; ``POST /faults`` accepts ``lag_s`` and ``states`` ({id: state}). Domains may see
+different addresses for the same instance (those of their links): ``POST /views``
+accepts {view: {id: {field: value}}}, and ``GET /views/<view>/instances`` returns the
+list of one view.
 """
 
 import contextlib
@@ -25,7 +26,7 @@
 
 @dataclass
 class ListState:
-    """Versions of the list, oldest first, each with the time it began."""
+    """Versions of the list, oldest first, each with its start time."""
 
     lag_s: float = 0.0
     versions: list[tuple[float, Entries]] = field(default_factory=list)
@@ -34,7 +35,7 @@
 
 
 def change_list(state: ListState, changes: Entries, now: float) -> None:
-    """Begin a version of the list with `changes` merged in."""
+    """Add a version of the list that starts at `now` and has `changes` merged in."""
     entries = state.versions[-1][1] if state.versions else {}
     merged = {
         name: {**entries.get(name, {}), **changes.get(name, {})}
@@ -44,28 +45,28 @@
 
 
 def read_list(state: ListState, view: str, now: float) -> list[dict[str, Any]]:
-    """Return the entries as they were `lag_s` ago, as `view` sees them."""
-    seen = [entries for begun, entries in state.versions if begun <= now - state.lag_s]
-    entries = seen[-1] if seen else {}
+    """Return the entries of `lag_s` ago with the fields that `view` replaces."""
+    visible = [e for start, e in state.versions if start <= now - state.lag_s]
+    entries = visible[-1] if visible else {}
     fields = state.views.get(view, {})
     return [{**entry, **fields.get(name, {})} for name, entry in entries.items()]
 
 
 @contextlib.contextmanager
 def run_instances(port: int = 0, lag_s: float = 0.0) -> Iterator[dict[str, Any]]:
-    """Serve a list on loopback and yield its address."""
+    """Serve an instance list on loopback and yield its address."""
     state = ListState(lag_s)
     lock = threading.Lock()
 
     def handle(request: Request) -> Reply:
         with lock:
-            return _answer(state, request)
+            return _handle(state, request)
 
     with serve(handle, port) as service:
         yield {"address": service.address}
 
 
-def _answer(state: ListState, request: Request) -> Reply:
+def _handle(state: ListState, request: Request) -> Reply:
     now = read_clock()
     if request.method == "GET":
         if request.path == "/counts":
@@ -93,7 +94,7 @@
 
 
 def main(_: list[str]) -> None:
-    """Run the list until the process is told to stop."""
+    """Serve the list until the process gets a signal to stop."""
     run_service(run_instances(flags.FLAGS.port, flags.FLAGS.lag_s))
 
 
--- a/standins/link.py
+++ b/standins/link.py
@@ -2,12 +2,12 @@
 
 Run it with ``python -m standins.link``. ``POST /links`` with a list of
 ``{"ends": [a, b], "target": "http://ip:port/...", "delay_ms"}`` opens a relay to each
-target and answers the addresses to use in place of the targets. ``POST /faults``
-takes ``cut`` and ``heal``, lists of pairs ``[a, b]`` or ``[a]`` (all links of ``a``).
-``GET /counts`` gives the bytes by pair and direction.
+target and returns the addresses to use in place of the targets. ``POST /faults``
+accepts ``cut`` and ``heal``, lists of pairs ``[a, b]`` or ``[a]`` (all links of ``a``).
+``GET /counts`` returns the number of bytes by pair and direction.
 
-A cut link holds what was sent, as a network does: it takes connections, carries
-nothing, and delivers what it holds once healed.
+A cut link behaves like a network that delays packets: it accepts connections and
+buffers their data, forwards nothing, and delivers the buffered data once it is healed.
 """
 
 import asyncio
@@ -27,14 +27,14 @@
 
 __all__ = ["Relay", "run_links"]
 
-CHUNK = 64 * 1024
-CALL_S = 10.0
-# Chunks in flight on one connection, each direction; more than any delay needs.
-IN_FLIGHT = 256
+CHUNK_BYTES = 64 * 1024
+CALL_TIMEOUT_S = 10.0
+# Maximum of chunks in flight by connection and direction; more than any delay needs.
+MAX_CHUNKS_IN_FLIGHT = 256
 
 
 class Relay(NamedTuple):
-    """One relay; `key` names the pair of ends in sorted order."""
+    """Target and delay of one relay; `key` names its ends in sorted order."""
 
     key: str
     host: str
@@ -44,7 +44,7 @@
 
 @dataclass
 class Links:
-    """All relays of the process; used by its event loop only."""
+    """All relays of the process; accessed only by the thread of its event loop."""
 
     cut: set[str] = field(default_factory=set)
     bytes_sent: Counter[str] = field(default_factory=Counter)
@@ -56,7 +56,7 @@
 
 @contextlib.contextmanager
 def run_links(port: int = 0) -> Iterator[dict[str, Any]]:
-    """Serve relays on loopback and yield the address of their control."""
+    """Serve relays on loopback and yield their control address."""
     loop = asyncio.new_event_loop()
     thread = threading.Thread(target=loop.run_forever, daemon=True)
     thread.start()
@@ -67,25 +67,27 @@
             return build_reply({"bytes": dict(links.bytes_sent)})
         body = json.loads(request.body)
         if request.path == "/links":
-            work = _open_relays(links, body["links"])
+            operation = _open_relays(links, body["links"])
         elif request.path == "/faults":
-            work = _set_cuts(links, body)
+            operation = _set_cuts(links, body)
         else:
             return build_reply({}, 404)
-        answer = asyncio.run_coroutine_threadsafe(work, loop).result(CALL_S)
-        return build_reply(answer)
+        response = asyncio.run_coroutine_threadsafe(operation, loop).result(
+            CALL_TIMEOUT_S
+        )
+        return build_reply(response)
 
     try:
         with serve(handle, port) as service:
             yield {"address": service.address}
     finally:
-        asyncio.run_coroutine_threadsafe(_close(links), loop).result(CALL_S)
+        asyncio.run_coroutine_threadsafe(_close(links), loop).result(CALL_TIMEOUT_S)
         loop.call_soon_threadsafe(loop.stop)
         thread.join()
         loop.close()
 
 
-def name_pair(ends: list[str]) -> str:
+def format_pair(ends: list[str]) -> str:
     """Return the name of the link between the two `ends`."""
     return "|".join(sorted(ends))
 
@@ -95,7 +97,7 @@
     for item in items:
         target = urlsplit(item["target"])
         relay = Relay(
-            name_pair(item["ends"]),
+            format_pair(item["ends"]),
             target.hostname or "127.0.0.1",
             target.port or 80,
             float(item.get("delay_ms", 0)) / 1000,
@@ -107,7 +109,9 @@
 
 
 async def _listen(links: Links, relay: Relay) -> str:
-    async def take(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def accept(
+        reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         task = asyncio.current_task()
         if task is not None:
             links.tasks.add(task)
@@ -116,7 +120,7 @@
             await _relay(links, relay, reader, writer)
         writer.close()
 
-    server = await asyncio.start_server(take, "127.0.0.1", 0)
+    server = await asyncio.start_server(accept, "127.0.0.1", 0)
     links.servers.append(server)
     host, port = server.sockets[0].getsockname()[:2]
     return f"{host}:{port}"
@@ -129,36 +133,36 @@
     writer: asyncio.StreamWriter,
 ) -> None:
     await _wait_healed(links, relay)
-    far_reader, far_writer = await asyncio.open_connection(relay.host, relay.port)
+    target_reader, target_writer = await asyncio.open_connection(relay.host, relay.port)
     try:
         await asyncio.gather(
-            _carry(links, relay, "out", reader, far_writer),
-            _carry(links, relay, "back", far_reader, writer),
+            _forward(links, relay, "out", reader, target_writer),
+            _forward(links, relay, "back", target_reader, writer),
         )
     finally:
-        far_writer.close()
+        target_writer.close()
 
 
-async def _carry(
+async def _forward(
     links: Links,
     relay: Relay,
     direction: str,
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
 ) -> None:
-    flight: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(IN_FLIGHT)
+    in_flight: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(MAX_CHUNKS_IN_FLIGHT)
 
     async def receive() -> None:
         while True:
-            data = await reader.read(CHUNK)
-            await flight.put((read_clock() + relay.delay_s, data))
+            data = await reader.read(CHUNK_BYTES)
+            await in_flight.put((read_clock() + relay.delay_s, data))
             if not data:
                 return
 
     async def deliver() -> None:
         while True:
-            due, data = await flight.get()
-            await asyncio.sleep(max(0.0, due - read_clock()))
+            due_at, data = await in_flight.get()
+            await asyncio.sleep(max(0.0, due_at - read_clock()))
             await _wait_healed(links, relay)
             if not data:
                 writer.close()
@@ -184,8 +188,10 @@
 
 
 def _match_keys(links: Links, pairs: list[list[str]]) -> set[str]:
-    wanted = [set(pair) for pair in pairs]
-    return {key for key in links.keys for ends in wanted if ends <= set(key.split("|"))}
+    requested = [set(pair) for pair in pairs]
+    return {
+        key for key in links.keys for ends in requested if ends <= set(key.split("|"))
+    }
 
 
 async def _close(links: Links) -> None:
@@ -198,7 +204,7 @@
 
 
 def main(_: list[str]) -> None:
-    """Run the links until the process is told to stop."""
+    """Serve the relays until the process gets a signal to stop."""
     run_service(run_links(flags.FLAGS.port))
 
 
--- a/standins/log.py
+++ b/standins/log.py
@@ -1,8 +1,8 @@
 """Stand-in for the platform's append-only log.
 
-Run it with ``python -m standins.log``. Faults are set by ``POST /faults`` with any
-of the fields of `LogFaults`; ``{"drop_before": {stream: offset}}`` ends retention
-early. ``GET /counts`` tells what was asked of the log.
+Run it with ``python -m standins.log``. ``POST /faults`` accepts any of the fields of
+`LogFaults`; ``{"drop_before": {stream: offset}}`` drops records before their retention
+ends. ``GET /counts`` returns the numbers of appends, reads and their bytes.
 """
 
 import contextlib
@@ -26,22 +26,23 @@
 
 
 class LogFaults(NamedTuple):
-    """What is wrong with the log.
+    """Injected faults and limits of the log.
 
     Attributes
     ----------
     outage : bool
-        Answer 503 to everything.
+        All calls are refused with status 503.
     lose_next_answers : int
-        Carry that many appends out and lose their answers.
+        Number of further appends that are carried out without a response.
     delay_ms : float
-        Wait before each answer.
+        Delay before each call is served.
     rate : int
-        Appends taken a second over all streams, 0 for no limit; further get 429.
+        Maximum of appends per second over all streams, 0 for no limit; further ones
+        are refused with status 429.
     retention_count : int
-        Records kept for each stream, 0 for all.
+        Number of records kept in each stream, 0 for all.
     retention_s : float
-        Age up to which records are kept, 0 for all.
+        Age up to which records are kept, 0 for no limit.
     """
 
     outage: bool = False
@@ -54,7 +55,7 @@
 
 @dataclass
 class Stream:
-    """Records of one stream; `first` is the offset of the earliest kept."""
+    """Records of one stream; `first` is the offset of the earliest kept record."""
 
     first: int = 0
     records: list[tuple[float, dict[str, Any]]] = field(default_factory=list)
@@ -62,11 +63,11 @@
 
 @dataclass
 class LogState:
-    """All streams, the faults and the evidence."""
+    """All streams, the injected faults, and counts of the calls."""
 
     faults: LogFaults = LogFaults()
     streams: dict[str, Stream] = field(default_factory=dict)
-    recent: list[float] = field(default_factory=list)
+    recent_appends: list[float] = field(default_factory=list)
     counts: dict[str, int] = field(
         default_factory=lambda: {
             "appends": 0,
@@ -91,12 +92,12 @@
 
 
 def expire_records(state: LogState, stream: Stream, now_s: float) -> None:
-    """Drop from `stream` what the retention no longer covers."""
+    """Drop the records of `stream` that the retention no longer covers."""
     count, age_s = state.faults.retention_count, state.faults.retention_s
     excess = max(0, len(stream.records) - count) if count else 0
     if age_s:
-        old = itertools.takewhile(lambda r: r[0] < now_s - age_s, stream.records)
-        excess = max(excess, sum(1 for _ in old))
+        expired = itertools.takewhile(lambda r: r[0] < now_s - age_s, stream.records)
+        excess = max(excess, sum(1 for _ in expired))
     drop_records(stream, stream.first + excess)
 
 
@@ -110,7 +111,7 @@
 def read_records(
     state: LogState, name: str, start: int, limit: int, now_s: float
 ) -> dict[str, Any]:
-    """Return the page of the stream `name` that begins at `start`."""
+    """Return up to `limit` records of the stream `name` from offset `start`."""
     stream = state.streams.get(name, Stream())
     expire_records(state, stream, now_s)
     begin = max(0, start - stream.first)
@@ -126,13 +127,15 @@
 
 
 def admit_append(state: LogState, now_s: float) -> bool:
-    """Return whether the rate allows an append now, and count it if so."""
+    """Return whether the rate limit admits an append now, and count it if so."""
     if not state.faults.rate:
         return True
-    state.recent = [t for t in state.recent if t > now_s - RATE_WINDOW_S]
-    if len(state.recent) >= state.faults.rate:
+    state.recent_appends = [
+        t for t in state.recent_appends if t > now_s - RATE_WINDOW_S
+    ]
+    if len(state.recent_appends) >= state.faults.rate:
         return False
-    state.recent.append(now_s)
+    state.recent_appends.append(now_s)
     return True
 
 
@@ -181,9 +184,9 @@
         state.counts["appends"] += 1
         state.counts["append_bytes"] += len(body)
         changed.notify_all()
-        lost = state.faults.lose_next_answers
-        if lost:
-            state.faults = state.faults._replace(lose_next_answers=lost - 1)
+        losses = state.faults.lose_next_answers
+        if losses:
+            state.faults = state.faults._replace(lose_next_answers=losses - 1)
             state.counts["lost_answers"] += 1
             return Reply(200, b"", cut=True)
     return build_reply({"offset": offset})
@@ -198,12 +201,12 @@
     start, limit = int(query.get("from", 0)), int(query.get("limit", 500))
     wait_s = min(MAX_WAIT_S, float(query.get("wait_ms", 0)) / 1000)
 
-    def has_news() -> bool:
+    def can_respond() -> bool:
         stream = state.streams.get(name, Stream())
         return state.faults.outage or stream.first + len(stream.records) > start
 
     with changed:
-        changed.wait_for(has_news, wait_s)
+        changed.wait_for(can_respond, wait_s)
         if state.faults.outage:
             return build_reply({}, 503, 0.2)
         page = read_records(state, name, start, limit, time.time())
@@ -225,7 +228,7 @@
 
 
 def main(_: list[str]) -> None:
-    """Run the log until the process is told to stop."""
+    """Serve the log until the process gets a signal to stop."""
     run_service(run_log(flags.FLAGS.port))
 
 
--- a/standins/machine.py
+++ b/standins/machine.py
@@ -1,7 +1,7 @@
-"""What a stand-in worker does: fence, leases, simulated tasks and their evidence.
+"""State of a stand-in worker: fencing, leases, simulated tasks and recorded evidence.
 
-Everything here takes the time as an argument and does no input or output; opening
-and closing a runner's port is left to `standins.workers`.
+All functions take the time as an argument and do no input or output. The ports of
+runners are opened and closed by `standins.workers`.
 """
 
 import contextlib
@@ -24,26 +24,26 @@
 
 ACCEPTED, STALE, LATE = 200, 409, 410
 FAIL_AFTER_S = 0.05
-SAMPLES_KEPT = 2000
-CHECKPOINT_MARK = "@"
-TINY = 1e-9
+MAX_SAMPLES = 2000
+CHECKPOINT_SEPARATOR = "@"
+CAPACITY_TOLERANCE = 1e-9
 
 Key = tuple[str, int]
 
 
 class MachineFaults(NamedTuple):
-    """What is wrong with a worker.
+    """Injected faults of a worker.
 
     Attributes
     ----------
     lose_next_answers : int
-        Carry that many commands out and lose their answers.
+        Number of further commands that are carried out without a response.
     unreachable : bool
-        Answer nothing; tasks go on.
+        No call gets a response; tasks continue.
     fail_everything : bool
-        Each task that starts fails soon after.
+        Each task that starts fails after `FAIL_AFTER_S`.
     refuse : bool
-        Refuse each start.
+        Each start is refused.
     lag_s : float
         Age at which a usage report becomes visible.
     usage_s : float
@@ -60,7 +60,7 @@
 
 @dataclass
 class Run:
-    """Evidence: one attempt's stay at one worker, on the machine-wide clock."""
+    """Record of one attempt at one worker; times are on the machine-wide clock."""
 
     task: str
     attempt: int
@@ -73,7 +73,7 @@
 
 @dataclass
 class Attempt:
-    """A running attempt; `truth` is what it really is, whatever was declared."""
+    """A running attempt; `actual` holds its real demands, whatever was declared."""
 
     task: str
     attempt: int
@@ -83,12 +83,12 @@
     latency_critical: bool
     slots: int
     connections: int
-    truth: dict[str, Any]
+    actual: dict[str, Any]
     run: Run
     progress_s: float = 0.0
-    advanced: float = 0.0
+    advanced_at: float = 0.0
     throttle: float = 1.0
-    sampled: float = 0.0
+    sampled_at: float = 0.0
     address: str = ""
     leaving: bool = False
     latency_ms: float = 0.0
@@ -96,7 +96,7 @@
 
 @dataclass
 class Machine:
-    """A worker. Its own clock shows the caller's time less `clock_base`."""
+    """State of a worker, whose clock shows the machine-wide time minus `clock_base`."""
 
     id: str
     capacity: dict[str, Any]
@@ -106,12 +106,12 @@
     holder: str = ""
     leaving: bool = False
     faults: MachineFaults = MachineFaults()
-    truths: dict[str, dict[str, Any]] = field(default_factory=dict)
+    actual_by_workload: dict[str, dict[str, Any]] = field(default_factory=dict)
     running: dict[Key, Attempt] = field(default_factory=dict)
     finished: dict[Key, tuple[str, str]] = field(default_factory=dict)
-    seen: set[Key] = field(default_factory=set)
+    started: set[Key] = field(default_factory=set)
     samples: deque[dict[str, Any]] = field(
-        default_factory=lambda: deque(maxlen=SAMPLES_KEPT)
+        default_factory=lambda: deque(maxlen=MAX_SAMPLES)
     )
     runs: list[Run] = field(default_factory=list)
     ended: list[Attempt] = field(default_factory=list)
@@ -121,23 +121,23 @@
 
 
 def advance_machine(machine: Machine, now: float) -> None:
-    """Bring the tasks up to `now`: finish them, let leases lapse, sample usage."""
+    """Advance the tasks to `now`: end finished and lapsed ones and sample usage."""
     for attempt in list(machine.running.values()):
         _advance_attempt(machine, attempt, now)
-    horizon = now - machine.clock_base - machine.faults.lag_s - 10
-    while machine.samples and machine.samples[0]["time_s"] < horizon:
+    oldest_s = now - machine.clock_base - machine.faults.lag_s - 10
+    while machine.samples and machine.samples[0]["time_s"] < oldest_s:
         machine.samples.popleft()
 
 
 def apply_commands(
     machine: Machine, commands: dict[str, Any], now: float
 ) -> tuple[int, list[list[Any]]]:
-    """Carry `commands` out and return the HTTP status and the refused starts.
+    """Carry out `commands` and return the HTTP status and the refused starts.
 
     Notes
     -----
-    The order within a call is: ends first, then renewals, then starts, so that a
-    start may use the room of what the same call stops.
+    Within a call, stops come first, then renewals, then starts, so that a start can use
+    the capacity that a stop in the same call frees.
     """
     advance_machine(machine, now)
     epoch, holder = commands["epoch"], commands["holder"]
@@ -154,15 +154,15 @@
     machine.epoch, machine.holder = epoch, holder
     for task, attempt in commands.get("ack", ()):
         machine.finished.pop((task, attempt), None)
-    for found in _find(machine, commands.get("stop", ())):
+    for found in _find_attempts(machine, commands.get("stop", ())):
         _end_attempt(machine, found, "stopped", "", now)
-    for found in _find(machine, commands.get("checkpoint", ())):
+    for found in _find_attempts(machine, commands.get("checkpoint", ())):
         _end_attempt(machine, found, "evicted", _write_checkpoint(found), now)
     for task, attempt, until in commands.get("renew", ()):
-        for found in _find(machine, [(task, attempt)]):
+        for found in _find_attempts(machine, [(task, attempt)]):
             found.until = max(found.until, until)
     for task, attempt, share in commands.get("throttle", ()):
-        for found in _find(machine, [(task, attempt)]):
+        for found in _find_attempts(machine, [(task, attempt)]):
             found.throttle = min(1.0, max(0.01, share))
     refused = [
         [start["task"], start["attempt"], reason]
@@ -173,23 +173,23 @@
 
 
 def restart_machine(machine: Machine, now: float) -> None:
-    """Restart the worker: all that ran has ended, and its clock starts over.
+    """Restart the worker: all running tasks end, and its clock starts at zero.
 
-    The fence and the unacknowledged results are kept, as the platform promises.
+    The fencing token and the unacknowledged results are kept, as the platform promises.
     """
     advance_machine(machine, now)
     for attempt in list(machine.running.values()):
         _close_run(machine, attempt, "restarted", now)
     machine.incarnation += 1
     machine.clock_base = now
-    machine.seen.clear()
+    machine.started.clear()
     machine.samples.clear()
 
 
 def describe_machine(
     machine: Machine, refused: Iterable[list[Any]], now: float
 ) -> dict[str, Any]:
-    """Return the worker's state as it tells it."""
+    """Return the worker's state as it reports it."""
     clock_s = now - machine.clock_base
     return {
         "worker": machine.id,
@@ -222,22 +222,22 @@
 
 
 def measure_slowdown(machine: Machine) -> float:
-    """Return the factor by which the running tasks' noise slows a runner down."""
-    noise = sum(
-        float(a.truth.get("noise", 0.0)) * a.throttle
+    """Return the factor by which interference of the running tasks slows a runner."""
+    interference = sum(
+        float(a.actual.get("noise", 0.0)) * a.throttle
         for a in list(machine.running.values())
     )
-    return 1.0 + noise
+    return 1.0 + interference
 
 
-def _find(machine: Machine, keys: Iterable[Iterable[Any]]) -> list[Attempt]:
+def _find_attempts(machine: Machine, keys: Iterable[Iterable[Any]]) -> list[Attempt]:
     found = [machine.running.get((task, attempt)) for task, attempt in keys]
     return [attempt for attempt in found if attempt is not None]
 
 
 def _start_attempt(machine: Machine, start: dict[str, Any], now: float) -> str:
     key = (start["task"], start["attempt"])
-    if key in machine.seen:
+    if key in machine.started:
         return ""
     if machine.faults.refuse:
         return "refused by the worker"
@@ -245,7 +245,7 @@
         return "worker is leaving"
     if start["until"] <= now - machine.clock_base:
         return "lease is over"
-    machine.seen.add(key)
+    machine.started.add(key)
     checkpoint = start.get("checkpoint", "")
     run = Run(start["task"], start["attempt"], machine.id, now, checkpoint)
     machine.runs.append(run)
@@ -258,69 +258,72 @@
         bool(start.get("latency_critical")),
         int(start.get("slots", 0)),
         int(start.get("connections", 0)),
-        _read_truth(machine, start),
+        _read_actual_demands(machine, start),
         run,
         progress_s=_read_checkpoint(checkpoint),
-        advanced=now,
-        sampled=now,
+        advanced_at=now,
+        sampled_at=now,
     )
-    _note_overcommit(machine)
+    _record_overcommit(machine)
     return ""
 
 
-def _read_truth(machine: Machine, start: dict[str, Any]) -> dict[str, Any]:
-    truth = {
+def _read_actual_demands(machine: Machine, start: dict[str, Any]) -> dict[str, Any]:
+    actual = {
         "true_run_s": start.get("run_s", 0.0),
         "true_cores": start["size"]["cores"],
         "true_memory_gb": start["size"]["memory_gb"],
-        **machine.truths.get(start.get("workload", ""), {}),
+        **machine.actual_by_workload.get(start.get("workload", ""), {}),
     }
     with contextlib.suppress(ValueError):
         work = json.loads(start.get("work") or "{}")
-        truth.update(work if isinstance(work, dict) else {})
+        actual.update(work if isinstance(work, dict) else {})
     if machine.faults.fail_everything:
-        truth.update({"fail": True, "true_run_s": FAIL_AFTER_S})
-    return truth
+        actual.update({"fail": True, "true_run_s": FAIL_AFTER_S})
+    return actual
 
 
 def _advance_attempt(machine: Machine, attempt: Attempt, now: float) -> None:
-    lapse = attempt.until + machine.clock_base
-    end = float("inf")
-    if not attempt.latency_critical or attempt.truth.get("fail"):
-        left_s = float(attempt.truth["true_run_s"]) - attempt.progress_s
-        end = attempt.advanced + max(0.0, left_s) / attempt.throttle
-    # A lease that ends first ends the task, also where this is noticed later.
-    if end <= now and end <= lapse:
-        outcome = "failed" if attempt.truth.get("fail") else "done"
-        _end_attempt(machine, attempt, outcome, "", end)
-    elif lapse <= now:
-        _end_attempt(machine, attempt, "lapsed", "", lapse)
+    lapses_at = attempt.until + machine.clock_base
+    ends_at = float("inf")
+    if not attempt.latency_critical or attempt.actual.get("fail"):
+        remaining_s = float(attempt.actual["true_run_s"]) - attempt.progress_s
+        ends_at = attempt.advanced_at + max(0.0, remaining_s) / attempt.throttle
+    # If the lease ends before the task, the task has lapsed, even if both times are
+    # already in the past when this is evaluated.
+    if ends_at <= now and ends_at <= lapses_at:
+        outcome = "failed" if attempt.actual.get("fail") else "done"
+        _end_attempt(machine, attempt, outcome, "", ends_at)
+    elif lapses_at <= now:
+        _end_attempt(machine, attempt, "lapsed", "", lapses_at)
     else:
-        attempt.progress_s += (now - attempt.advanced) * attempt.throttle
-        attempt.advanced = now
+        attempt.progress_s += (now - attempt.advanced_at) * attempt.throttle
+        attempt.advanced_at = now
         _sample_usage(machine, attempt, now)
 
 
 def _sample_usage(machine: Machine, attempt: Attempt, now: float) -> None:
-    if now - attempt.sampled < machine.faults.usage_s:
+    if now - attempt.sampled_at < machine.faults.usage_s:
         return
-    attempt.sampled = now
+    attempt.sampled_at = now
     machine.samples.append(
         {
             "task": attempt.task,
             "attempt": attempt.attempt,
             "time_s": now - machine.clock_base,
-            "cores": attempt.truth["true_cores"] * attempt.throttle,
-            "memory_gb": attempt.truth["true_memory_gb"],
+            "cores": attempt.actual["true_cores"] * attempt.throttle,
+            "memory_gb": attempt.actual["true_memory_gb"],
             "latency_ms": attempt.latency_ms,
         }
     )
 
 
 def _list_usage(machine: Machine, clock_s: float) -> list[dict[str, Any]]:
-    visible = clock_s - machine.faults.lag_s
+    newest_visible_s = clock_s - machine.faults.lag_s
     newest = {
-        (s["task"], s["attempt"]): s for s in machine.samples if s["time_s"] <= visible
+        (s["task"], s["attempt"]): s
+        for s in machine.samples
+        if s["time_s"] <= newest_visible_s
     }
     return list(newest.values())
 
@@ -340,17 +343,17 @@
 
 def _write_checkpoint(attempt: Attempt) -> str:
     name = f"{attempt.task}#{attempt.attempt}"
-    return f"{name}{CHECKPOINT_MARK}{attempt.progress_s:.3f}"
+    return f"{name}{CHECKPOINT_SEPARATOR}{attempt.progress_s:.3f}"
 
 
 def _read_checkpoint(checkpoint: str) -> float:
-    _, mark, progress = checkpoint.rpartition(CHECKPOINT_MARK)
-    return float(progress) if mark else 0.0
+    _, separator, progress = checkpoint.rpartition(CHECKPOINT_SEPARATOR)
+    return float(progress) if separator else 0.0
 
 
-def _note_overcommit(machine: Machine) -> None:
+def _record_overcommit(machine: Machine) -> None:
     for name, capacity in machine.capacity.items():
         used = sum(a.size.get(name, 0) for a in machine.running.values())
-        if used > capacity + TINY:
-            worst = machine.overcommitted.get(name, 0.0)
-            machine.overcommitted[name] = max(worst, used - capacity)
+        if used > capacity + CAPACITY_TOLERANCE:
+            previous = machine.overcommitted.get(name, 0.0)
+            machine.overcommitted[name] = max(previous, used - capacity)
--- a/standins/operators.py
+++ b/standins/operators.py
@@ -1,4 +1,4 @@
-"""What operators ask of a site over HTTP, and what its workers show for it."""
+"""Operators' calls to a site over HTTP, and the workers' evidence of their effects."""
 
 import uuid
 from collections import Counter
@@ -13,7 +13,7 @@
 
 __all__ = [
     "apply_configuration",
-    "ask_site",
+    "call_site",
     "count_done",
     "create_job",
     "create_service",
@@ -23,25 +23,25 @@
     "wait_runners",
 ]
 
-WAIT_S = 60.0
+TIMEOUT_S = 60.0
 
 
-def ask_site(
+def call_site(
     site: Site, method: str, body: Mapping[str, Any], domain: str = ""
 ) -> Result[dict[str, Any], CallError]:
-    """Call an operators' method at the instances of the site, or of one domain."""
+    """Call an operators' method at an instance of the site, or of one domain."""
     return call_operator(list_control_addresses(site, domain), site.token, method, body)
 
 
 def create_service(
     site: Site, runners: Mapping[str, int] | None = None
 ) -> dict[str, Any]:
-    """Create the deployment's service and return the answer.
+    """Create the deployment's service and return the response.
 
     Raises
     ------
     result.UnwrapError
-        If it is not accepted.
+        If the service isn't accepted.
     """
     plan = site.deployment
     body = {
@@ -54,7 +54,7 @@
         "slots": plan.slots,
         "connections": plan.connections,
     }
-    return ask_site(site, "CreateService", body).unwrap()
+    return call_site(site, "CreateService", body).unwrap()
 
 
 def create_job(
@@ -70,17 +70,17 @@
     Parameters
     ----------
     site : Site
-        The site.
+        Site that gets the job.
     tasks : int
         Number of tasks of one core each.
     run_s : float
-        Run time of each.
+        Run time of each task in seconds.
     domain : str
-        The only failure domain where it may run; empty for any.
+        Failure domain in which the tasks must run; empty for any.
     request_id : str
-        Given to repeat a call; a new one by default.
+        Id of an earlier call that is repeated; a new id by default.
     via : str
-        Failure domain whose instances are asked; empty for any.
+        Failure domain whose instances are called; empty for any.
     """
     body = {
         "request_id": request_id or str(uuid.uuid4()),
@@ -92,14 +92,14 @@
         "constraints": {"domains": [domain] if domain else []},
         "workload": "statements",
     }
-    return ask_site(site, "CreateJob", body, via).map(lambda a: a["job"]["job_id"])
+    return call_site(site, "CreateJob", body, via).map(lambda r: r["job"]["job_id"])
 
 
 def apply_configuration(
     site: Site, changes: Mapping[str, Any], domain: str = ""
 ) -> Result[int, CallError]:
-    """Change the configuration on top of its present version; return the new one."""
-    current = ask_site(site, "GetConfiguration", {}, domain)
+    """Apply changes to the current configuration and return the new version."""
+    current = call_site(site, "GetConfiguration", {}, domain)
     if isinstance(current, Err):
         return current
     body = {
@@ -107,44 +107,44 @@
         "base_version": str(current.ok_value.get("version", "0")),
         "changes": dict(changes),
     }
-    answer = ask_site(site, "ApplyConfiguration", body, domain)
-    return answer.map(lambda a: int(a.get("version", 0)))
+    result = call_site(site, "ApplyConfiguration", body, domain)
+    return result.map(lambda r: int(r.get("version", 0)))
 
 
 def count_done(site: Site, job: str, domain: str = "") -> int:
-    """Return the number of the job's tasks that are done, as the instances say."""
-    answer = ask_site(site, "DescribeJob", {"job_id": job}, domain)
-    if not isinstance(answer, Ok):
+    """Return the number of the job's completed tasks as the instances report it."""
+    result = call_site(site, "DescribeJob", {"job_id": job}, domain)
+    if not isinstance(result, Ok):
         return 0
-    counts = answer.ok_value.get("job", {}).get("counts", {})
+    counts = result.ok_value.get("job", {}).get("counts", {})
     return int(counts.get("done", 0))
 
 
-def wait_job(site: Site, job: str, tasks: int, limit_s: float = WAIT_S) -> None:
+def wait_job(site: Site, job: str, tasks: int, limit_s: float = TIMEOUT_S) -> None:
     """Wait until all tasks of a job are done.
 
     Raises
     ------
     TimeoutError
-        If they are not within `limit_s`.
+        If they aren't within `limit_s`.
     """
     wait_until(lambda: count_done(site, job) == tasks, f"{job} to be done", limit_s)
 
 
-def wait_runners(site: Site, limit_s: float = WAIT_S) -> None:
+def wait_runners(site: Site, limit_s: float = TIMEOUT_S) -> None:
     """Wait until all runners of the deployment run at the workers.
 
     Raises
     ------
     TimeoutError
-        If they do not within `limit_s`.
+        If they don't within `limit_s`.
     """
-    wanted = sum(d.runners for d in site.deployment.domains)
-    wait_until(lambda: _count_runners(site) >= wanted, "all runners", limit_s)
+    expected = sum(d.runners for d in site.deployment.domains)
+    wait_until(lambda: _count_runners(site) >= expected, "all runners", limit_s)
 
 
 def list_runs(site: Site, job: str = "") -> list[dict[str, Any]]:
-    """Return all attempts that the workers ran, or those of one job."""
+    """Return the attempts that the workers ran, of all jobs or of one."""
     return [
         run
         for part in describe_site(site)
@@ -153,13 +153,13 @@
     ]
 
 
-def find_contradictions(site: Site, answers: Iterable[CallerResult]) -> list[str]:
-    """Return the answers to callers that the runners' counts speak against.
+def find_contradictions(site: Site, results: Iterable[CallerResult]) -> list[str]:
+    """Return the callers' results that contradict the counts of the runners.
 
     Notes
     -----
-    A request that was answered as done ran once, one that was refused never ran,
-    and no other ran more than once.
+    A request with the outcome done must have run once, a refused one never, and any
+    other at most once.
     """
     runs: Counter[str] = Counter()
     for part in describe_site(site):
@@ -167,9 +167,9 @@
             runs.update(runner["runs"])
     allowed = {"done": (1,), "refused": (0,), "failed": (0, 1), "unknown": (0, 1)}
     return [
-        f"{answer.request_id}: {answer.outcome}, ran {runs[answer.request_id]} times"
-        for answer in answers
-        if runs[answer.request_id] not in allowed.get(answer.outcome, ())
+        f"{result.request_id}: {result.outcome}, ran {runs[result.request_id]} times"
+        for result in results
+        if runs[result.request_id] not in allowed.get(result.outcome, ())
     ]
 
 
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -1,4 +1,4 @@
-"""Start stand-ins and daemons as processes of their own and leave none behind."""
+"""Start of stand-ins and daemons as child processes that are always stopped on exit."""
 
 import contextlib
 import json
@@ -17,14 +17,14 @@
 
 __all__ = ["ChildProcess", "start_daemon", "start_module", "start_standin"]
 
-READY_S = 30.0
-STOP_S = 15.0
-KILL_S = 5.0
+READY_TIMEOUT_S = 30.0
+STOP_TIMEOUT_S = 15.0
+KILL_TIMEOUT_S = 5.0
 TAIL_BYTES = 2000
 
 
 class ChildProcess(NamedTuple):
-    """A started process.
+    """A started child process.
 
     Attributes
     ----------
@@ -33,7 +33,7 @@
     pid : int
         Process id.
     ready : dict
-        The JSON line by which it said where it listens.
+        JSON object by which the process reported its addresses.
     """
 
     process: "subprocess.Popen[bytes]"
@@ -45,21 +45,21 @@
 def start_module(
     module: str, arguments: Sequence[str] = (), log: Path | None = None
 ) -> Iterator[ChildProcess]:
-    """Run ``python -m module``, wait for its ready line, and end it on exit.
+    """Run ``python -m module``, wait until it is ready, and stop it on exit.
 
     Parameters
     ----------
     module : str
         Name of the module.
     arguments : sequence of str
-        Its command line.
+        Its command-line arguments.
     log : Path, optional
-        File that standard error goes to; a temporary one by default.
+        File to which standard error is appended; a temporary one by default.
 
     Raises
     ------
     RuntimeError
-        If the process ends, or says nothing, before it is ready.
+        If the process ends, or doesn't report in time, before it is ready.
     """
     with contextlib.ExitStack() as stack:
         errors = stack.enter_context(_open_errors(log))
@@ -70,7 +70,7 @@
             stderr=errors,
             env={**os.environ, "PYTHONUNBUFFERED": "1"},
         )
-        stack.callback(_end_process, process)
+        stack.callback(_stop_process, process)
         ready = _read_ready(process)
         if ready is None:
             raise RuntimeError(f"{module} was not ready: {_read_tail(errors.fileno())}")
@@ -89,7 +89,7 @@
 
 @contextlib.contextmanager
 def start_daemon(settings: Path, log: Path | None = None) -> Iterator[ChildProcess]:
-    """Run the daemon with the settings in the file `settings`."""
+    """Run the daemon with the settings file `settings`."""
     arguments = [f"--settings={settings}"]
     with start_module("plantainyard.daemon", arguments, log) as child:
         yield child
@@ -100,11 +100,11 @@
 
 
 def _read_ready(process: "subprocess.Popen[bytes]") -> dict[str, Any] | None:
-    deadline = read_clock() + READY_S
+    deadline = read_clock() + READY_TIMEOUT_S
     stream: IO[bytes] | None = process.stdout
     text = b""
-    while stream is not None and (left := deadline - read_clock()) > 0:
-        readable, _, _ = select.select([stream], [], [], left)
+    while stream is not None and (remaining_s := deadline - read_clock()) > 0:
+        readable, _, _ = select.select([stream], [], [], remaining_s)
         data = os.read(stream.fileno(), 65536) if readable else b""
         if not data:
             return None
@@ -124,19 +124,19 @@
 
 
 def _drain(process: "subprocess.Popen[bytes]") -> None:
-    # A child that goes on writing would block once the pipe is full.
+    # A child that continues to write would block once the pipe is full.
     with contextlib.suppress(OSError, ValueError):
         while process.stdout is not None and process.stdout.read1(65536):  # type: ignore[attr-defined]
             pass
 
 
-def _end_process(process: "subprocess.Popen[bytes]") -> None:
-    # A process that was paused ignores the request to end until it is woken.
+def _stop_process(process: "subprocess.Popen[bytes]") -> None:
+    # A paused process doesn't handle SIGTERM until it is resumed.
     with contextlib.suppress(ProcessLookupError):
         process.send_signal(signal.SIGCONT)
         process.terminate()
     try:
-        process.wait(STOP_S)
+        process.wait(STOP_TIMEOUT_S)
     except subprocess.TimeoutExpired:
         process.kill()
-        process.wait(KILL_S)
+        process.wait(KILL_TIMEOUT_S)
--- a/standins/runners.py
+++ b/standins/runners.py
@@ -1,8 +1,8 @@
 """Stand-in for the runners of a service: each serves requests on a port of its own.
 
-A request takes the time of its header ``Work-Ms`` (or of ``work_ms`` in a JSON
-body), and its answer repeats the body and the header ``Request-Id``. A runner takes
-whatever is sent, also beyond its slots, and counts it.
+A request takes the time given in its header ``Work-Ms`` (or by ``work_ms`` in a JSON
+body). The response repeats the body and the header ``Request-Id``. A runner accepts all
+requests, even beyond its slots, and counts them.
 """
 
 import contextlib
@@ -20,27 +20,28 @@
 __all__ = ["RunnerFaults", "RunnerState", "describe_runner", "open_runner"]
 
 DEFAULT_WORK_MS = 2.0
-LATENCIES_KEPT = 200
-# Threads beyond the slots make a request above the limit show in the counts.
-SPARE_THREADS = 4
+MAX_LATENCIES = 200
+# Number of threads beyond the slots, so that requests above the limit run and are
+# counted.
+EXTRA_THREADS = 4
 
 
 class RunnerFaults(NamedTuple):
-    """What is wrong with a runner.
+    """Injected faults of a runner.
 
     Attributes
     ----------
     fail_share : float
-        Share of requests that run and are answered with 500.
+        Share of requests that run and get a response with status 500.
     refuse_share : float
-        Share that is refused with 503 and ``Not-Run: true``.
+        Share of requests that are refused with 503 and ``Not-Run: true``.
     truncate_next, wrong_id_next, delay_next : int
-        That many of the next answers are cut short, carry another request's id, or
-        come `delay_ms` late.
+        Number of further responses that are truncated, have the id of another request,
+        or are delayed by `delay_ms`.
     delay_ms : float
-        See `delay_next`.
+        Delay of the responses counted by `delay_next`.
     slow : float
-        Factor on each request's time.
+        Factor by which the time of each request is multiplied.
     """
 
     fail_share: float = 0.0
@@ -54,10 +55,10 @@
 
 @dataclass
 class RunnerState:
-    """One runner and the evidence of what it was sent.
+    """One runner and the recorded evidence of its requests.
 
-    `left` is when it began to leave; `last_after_leaving_s` is how much later its
-    last request came.
+    `leaving_since` is the time at which it began to leave, and `last_after_leaving_s`
+    the time from then to its last request.
     """
 
     name: str
@@ -68,11 +69,11 @@
     max_in_progress: int = 0
     max_connections: int = 0
     cut_off: int = 0
-    left: float | None = None
+    leaving_since: float | None = None
     last_after_leaving_s: float = 0.0
     runs: Counter[str] = field(default_factory=Counter)
     latencies_ms: deque[float] = field(
-        default_factory=lambda: deque(maxlen=LATENCIES_KEPT)
+        default_factory=lambda: deque(maxlen=MAX_LATENCIES)
     )
     stopped: threading.Event = field(default_factory=threading.Event)
     lock: threading.Lock = field(default_factory=threading.Lock)
@@ -94,7 +95,7 @@
 
 
 def measure_latency(state: RunnerState) -> float:
-    """Return the 99th percentile of the runner's last requests in milliseconds."""
+    """Return the 99th percentile of the runner's recent latencies in milliseconds."""
     with state.lock:
         values = sorted(state.latencies_ms)
     return values[min(len(values) - 1, int(len(values) * 0.99))] if values else 0.0
@@ -104,67 +105,69 @@
 def open_runner(
     state: RunnerState, read_slowdown: Callable[[], float], rng: random.Random
 ) -> Iterator[Service]:
-    """Serve the runner for the length of the context.
+    """Serve the runner for the duration of the context.
 
     Parameters
     ----------
     state : RunnerState
-        The runner; its faults may change while it serves.
+        Runner whose faults may change while it is served.
     read_slowdown : callable
-        Returns the factor by which its neighbours slow it down now.
+        Returns the factor by which interference slows the runner down at present.
     rng : random.Random
-        Decides which requests the shares in the faults hit.
+        Chooses the requests that fail or are refused.
     """
     service: list[Service] = []
 
     def handle(request: Request) -> Reply:
-        open_now = service[0].count_connections() if service else 0
+        open_connections = service[0].count_connections() if service else 0
         with state.lock:
-            state.max_connections = max(state.max_connections, open_now)
+            state.max_connections = max(state.max_connections, open_connections)
             refused = rng.random() < state.faults.refuse_share
             failed = rng.random() < state.faults.fail_share
         if state.stopped.is_set():
             return Reply(200, b"", cut=True)
-        echo = ("Request-Id", request.headers.get("request-id", ""))
+        id_header = ("Request-Id", request.headers.get("request-id", ""))
         if refused:
-            return Reply(503, b"", (echo, ("Not-Run", "true")))
-        return _run(state, request, read_slowdown(), 500 if failed else 200)
+            return Reply(503, b"", (id_header, ("Not-Run", "true")))
+        return _run_request(state, request, read_slowdown(), 500 if failed else 200)
 
     with serve(
-        handle, threads=state.slots + SPARE_THREADS, connections=state.connections
-    ) as running:
-        service.append(running)
+        handle, threads=state.slots + EXTRA_THREADS, connections=state.connections
+    ) as started:
+        service.append(started)
         try:
-            yield running
+            yield started
         finally:
             state.stopped.set()
 
 
-def _run(state: RunnerState, request: Request, slowdown: float, status: int) -> Reply:
+def _run_request(
+    state: RunnerState, request: Request, slowdown: float, status: int
+) -> Reply:
     request_id = request.headers.get("request-id", "")
-    begun = read_clock()
+    started_at = read_clock()
     with state.lock:
         state.runs[request_id] += 1
         state.in_progress += 1
-        if state.left is not None:
-            state.last_after_leaving_s = begun - state.left
+        if state.leaving_since is not None:
+            state.last_after_leaving_s = started_at - state.leaving_since
         state.max_in_progress = max(state.max_in_progress, state.in_progress)
         faults = state.faults
-        truncated, wrong, delayed = _take_next(state)
+        truncated, has_wrong_id, delayed = _consume_faults(state)
     work_ms = _read_work_ms(request) * faults.slow * slowdown
     extra_ms = faults.delay_ms if delayed else 0.0
     was_stopped = state.stopped.wait((work_ms + extra_ms) / 1000)
     with state.lock:
         state.in_progress -= 1
-        state.latencies_ms.append((read_clock() - begun) * 1000)
+        state.latencies_ms.append((read_clock() - started_at) * 1000)
         state.cut_off += was_stopped
-    shown_id = f"not-{request_id}" if wrong else request_id
+    response_id = f"not-{request_id}" if has_wrong_id else request_id
     cut = truncated or was_stopped
     body = request.body[: len(request.body) // 2] if cut else request.body
-    return Reply(status, body, (("Request-Id", shown_id),), cut)
+    return Reply(status, body, (("Request-Id", response_id),), cut)
 
 
-def _take_next(state: RunnerState) -> tuple[bool, bool, bool]:
+def _consume_faults(state: RunnerState) -> tuple[bool, bool, bool]:
     faults = state.faults
     state.faults = faults._replace(
         truncate_next=max(0, faults.truncate_next - 1),
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,4 +1,4 @@
-"""HTTP service of a stand-in: many small waitress servers in one process."""
+"""HTTP servers of stand-ins: many small waitress servers in one process."""
 
 import contextlib
 import json
@@ -22,14 +22,15 @@
     "serve",
 ]
 
-LOOP_S = 0.5
-MAX_BODY = 64 * 1024 * 1024
-# A reply that promises this many bytes more than it has reaches the caller cut short.
+LOOP_TIMEOUT_S = 0.5
+MAX_BODY_BYTES = 64 * 1024 * 1024
+# Number of bytes by which the Content-Length of a cut reply exceeds its body, so that
+# the caller sees a truncated response.
 MISSING_BYTES = 64
 
 
 class Request(NamedTuple):
-    """A request as a stand-in sees it; header names are in lower case."""
+    """Request to a stand-in; header names are in lower case."""
 
     method: str
     path: str
@@ -39,12 +40,13 @@
 
 
 class Reply(NamedTuple):
-    """What a stand-in answers.
+    """Response of a stand-in.
 
     Attributes
     ----------
     cut : bool
-        Promise more bytes than are sent, then close: an answer that was lost.
+        Announce more bytes than are sent, then close the connection, so that the
+        response is lost to the caller.
     """
 
     status: int = 200
@@ -74,7 +76,7 @@
 def build_reply(
     body: Mapping[str, Any], status: int = 200, retry_after_s: float = 0.0
 ) -> Reply:
-    """Return a JSON reply."""
+    """Return a JSON reply, with a Retry-After header if a time is given."""
     headers = [("Content-Type", "application/json")]
     if retry_after_s:
         headers.append(("Retry-After", str(retry_after_s)))
@@ -86,18 +88,18 @@
 def serve(
     handler: Handler, port: int = 0, threads: int = 8, connections: int = 1000
 ) -> Iterator[Service]:
-    """Serve `handler` on loopback for the length of the context.
+    """Serve `handler` on loopback for the duration of the context.
 
     Parameters
     ----------
     handler : callable
-        Called in one of `threads` threads.
+        Returns the reply to a request; called in one of `threads` threads.
     port : int
-        Zero lets the system choose.
+        TCP port; zero lets the system choose.
     threads : int
-        Requests handled at once.
+        Number of requests handled concurrently.
     connections : int
-        Open connections; further ones wait in the backlog.
+        Maximum of open connections; further ones wait in the backlog.
     """
     _silence_waitress()
     channels: dict[int, Any] = {}
@@ -108,7 +110,7 @@
         port=port,
         threads=threads,
         connection_limit=connections + len(channels) + 2,
-        max_request_body_size=MAX_BODY,
+        max_request_body_size=MAX_BODY_BYTES,
         ident=None,
     )
     stopping = threading.Event()
@@ -128,30 +130,30 @@
 
 
 def run_service(enter: contextlib.AbstractContextManager[Mapping[str, Any]]) -> None:
-    """Hold a stand-in's context until the process is told to stop.
+    """Keep a stand-in's context open until the process gets SIGTERM or SIGINT.
 
-    The mapping that the context yields is printed as one JSON line: the stand-in is
-    ready and this is where.
+    The mapping that the context yields is printed as one JSON line, which reports that
+    the stand-in is ready, and its addresses.
     """
-    # A handler that sets an event can interrupt the event's own wait while it holds the
-    # event's lock, and the process hangs. Signals are blocked in all threads instead
-    # (they inherit the mask) and waited for here.
-    ends = {signal.SIGTERM, signal.SIGINT}
-    signal.pthread_sigmask(signal.SIG_BLOCK, ends)
+    # A signal handler that sets an event can interrupt the event's own wait while that
+    # holds the event's lock, and the process hangs. The signals are therefore blocked
+    # in all threads, which inherit the mask, and awaited here.
+    signals = {signal.SIGTERM, signal.SIGINT}
+    signal.pthread_sigmask(signal.SIG_BLOCK, signals)
     with enter as ready:
         print(json.dumps(ready), flush=True)
-        signal.sigwait(ends)
+        signal.sigwait(signals)
 
 
 def _silence_waitress() -> None:
-    # A cut answer is on purpose here; waitress would log each as a fault.
+    # Replies are cut on purpose, but waitress would log each of them as an error.
     logging.getLogger("waitress").setLevel(logging.CRITICAL)
     logging.getLogger("waitress.queue").setLevel(logging.CRITICAL)
 
 
 def _run_loop(server: Any, channels: dict[int, Any], stopping: threading.Event) -> None:
     while not stopping.is_set():
-        wasyncore.loop(timeout=LOOP_S, use_poll=True, map=channels, count=1)
+        wasyncore.loop(timeout=LOOP_TIMEOUT_S, use_poll=True, map=channels, count=1)
     server.task_dispatcher.shutdown(timeout=1)
     wasyncore.close_all(channels, ignore_all=True)
 
--- a/standins/site.py
+++ b/standins/site.py
@@ -1,7 +1,7 @@
 """A whole site on loopback: platform, links between domains and entry instances.
 
-Every instance reaches what lies in another failure domain, and the platform's log
-and list, through a link of its own that can be cut.
+Every instance reaches the instances of other failure domains, and the platform's log
+and instance list, through links that can be cut.
 """
 
 import json
@@ -44,11 +44,11 @@
 PLATFORM = "platform"
 START_THREADS = 4
 TOKEN = "token-of-a-site-on-loopback"
-READY_LIMIT_S = 60.0
+READY_TIMEOUT_S = 60.0
 
 
 class SiteTimings(NamedTuple):
-    """Times of a site, shorter than in production so that failures show soon."""
+    """Times of a site, shorter than in production so that failures take effect soon."""
 
     lease_s: float = 4.0
     credit_s: float = 2.0
@@ -62,7 +62,7 @@
 
 
 class Entry(NamedTuple):
-    """A running entry instance and what ends it."""
+    """A running entry instance and the exit stack that ends its process."""
 
     id: str
     domain: str
@@ -74,7 +74,7 @@
 
 @dataclass
 class Site:
-    """All processes of a site."""
+    """All processes of a site and their addresses."""
 
     deployment: Deployment
     timings: SiteTimings
@@ -92,24 +92,24 @@
 
 
 def post_json(address: str, path: str, body: Mapping[str, Any]) -> dict[str, Any]:
-    """Post `body` to a stand-in and return its answer.
+    """Post `body` to a stand-in and return its response.
 
     Raises
     ------
     RuntimeError
-        If the stand-in does not answer 200.
+        If the status of the response isn't 200.
     """
-    answer = urllib3.request("POST", address + path, json=body, retries=False)
-    if answer.status != 200:
-        raise RuntimeError(f"{path}: {answer.status} {answer.data[:200]!r}")
-    return dict(answer.json())
+    response = urllib3.request("POST", address + path, json=body, retries=False)
+    if response.status != 200:
+        raise RuntimeError(f"{path}: {response.status} {response.data[:200]!r}")
+    return dict(response.json())
 
 
 def read_json(address: str, path: str, token: str = "") -> dict[str, Any]:
     """Return the JSON object at `path`, whatever the status."""
     headers = {"Authorization": f"Bearer {token}"} if token else {}
-    answer = urllib3.request("GET", address + path, headers=headers, retries=False)
-    return dict(answer.json())
+    response = urllib3.request("GET", address + path, headers=headers, retries=False)
+    return dict(response.json())
 
 
 @contextmanager
@@ -118,22 +118,22 @@
     timings: SiteTimings = SiteTimings(),  # noqa: B008
     has_links: bool = True,
 ) -> Iterator[Site]:
-    """Start a whole site and end all of its processes on exit.
+    """Start a whole site and stop all of its processes on exit.
 
     Parameters
     ----------
     deployment : Deployment
-        What to start.
+        Names and sizes of the site.
     timings : SiteTimings
-        The times in the instances' settings.
+        Times in the instances' settings.
     has_links : bool
         Whether instances of different failure domains reach each other over links.
 
     Notes
     -----
-    A link takes a connection before it knows whether its target does: over a link,
-    an instance that has gone looks like one whose answer was lost. Where that
-    difference matters, do without links.
+    A link accepts a connection before it knows whether its target does. Over a link, a
+    terminated instance therefore looks like one whose response was lost. Tests that
+    depend on the difference must not use links.
     """
     with ExitStack() as stack:
         directory = Path(stack.enter_context(tempfile.TemporaryDirectory()))
@@ -149,8 +149,8 @@
 
 
 def add_entries(site: Site, domains: Sequence[DomainPlan]) -> list[Entry]:
-    """Start an entry instance in each of `domains` and put it on the list."""
-    names = [_name_entry(site, plan.name) for plan in domains]
+    """Start an entry instance in each of `domains` and add it to the instance list."""
+    names = [_make_entry_name(site, plan.name) for plan in domains]
     with ThreadPoolExecutor(START_THREADS) as pool:
         entries = list(pool.map(partial(_start_entry, site), names, domains))
     site.entries.update({entry.id: entry for entry in entries})
@@ -159,13 +159,13 @@
 
 
 def add_entry(site: Site, domain: str) -> Entry:
-    """Start one more entry instance in `domain` and put it on the list."""
+    """Start one more entry instance in `domain` and add it to the instance list."""
     (plan,) = [d for d in site.deployment.domains if d.name == domain]
     return add_entries(site, [plan])[0]
 
 
 def kill_entry(site: Site, name: str) -> None:
-    """Kill an entry instance without warning; the list shows it as gone."""
+    """Kill an entry instance without warning; the instance list shows it as gone."""
     entry = site.entries.pop(name)
     entry.child.process.kill()
     entry.stack.close()
@@ -173,10 +173,10 @@
 
 
 def retire_entry(site: Site, name: str) -> int:
-    """Stop an entry instance as planned and return its exit status.
+    """Stop an entry instance gracefully and return its exit status.
 
-    The balancer stops choosing it first: it leaves the addresses of the site at once,
-    and the list shows it as leaving, then as gone.
+    Its address is removed first, so that the load balancer no longer chooses it. The
+    instance list shows it as leaving, and as gone once it has ended.
     """
     entry = site.entries.pop(name)
     post_json(site.instances, "/faults", {"states": {name: "leaving"}})
@@ -188,29 +188,29 @@
 
 
 def cut_links(site: Site, domain: str, healed: bool = False) -> None:
-    """Cut `domain` off from all others and from the platform, or heal it."""
+    """Cut `domain` off from all others and from the platform, or heal its links."""
     post_json(site.links, "/faults", {"heal" if healed else "cut": [[domain]]})
 
 
 def list_addresses(site: Site, domain: str = "") -> list[str]:
-    """Return the callers' addresses of the entry instances, of one domain or all."""
+    """Return the addresses for callers of all entry instances, or of one domain's."""
     entries = list(site.entries.values())
     return [e.address for e in entries if not domain or e.domain == domain]
 
 
 def list_control_addresses(site: Site, domain: str = "") -> list[str]:
-    """Return the control addresses of the entry instances, of one domain or all."""
+    """Return the control addresses of all entry instances, or of one domain's."""
     entries = list(site.entries.values())
     return [e.control_address for e in entries if not domain or e.domain == domain]
 
 
-def wait_ready(site: Site, limit_s: float = READY_LIMIT_S) -> None:
-    """Wait until each entry instance says that it is ready.
+def wait_ready(site: Site, limit_s: float = READY_TIMEOUT_S) -> None:
+    """Wait until each entry instance reports that it is ready.
 
     Raises
     ------
     TimeoutError
-        If one is not within `limit_s`; the message has its reasons.
+        If one doesn't within `limit_s`; the message contains the reported reasons.
     """
     for entry in list(site.entries.values()):
         try:
@@ -221,17 +221,17 @@
 
 
 def find_site_violations(site: Site) -> Violations:
-    """Return what the workers and runners of the site saw go wrong."""
+    """Return the violations that the site's workers and runners recorded."""
     return find_violations(describe_site(site))
 
 
 def describe_site(site: Site) -> list[dict[str, Any]]:
-    """Return the counts of the workers of each failure domain."""
+    """Return the evidence of the workers and runners of each failure domain."""
     return [read_json(address, "/counts") for address in site.domains.values()]
 
 
 def _kill_entries(site: Site) -> None:
-    # Nothing is left to be kept, and a graceful shutdown of each would take long.
+    # No state has to be kept, and a graceful shutdown of each would take long.
     for entry in site.entries.values():
         entry.child.process.kill()
 
@@ -255,15 +255,15 @@
         for d in plan.domains
     }
     names = ["log", "instances", "link"] + ["workers"] * len(by_domain)
-    lists = [json.dumps(workers) for workers in by_domain.values()]
-    arguments = [[], [], [], *([f"--workers={text}"] for text in lists)]
+    worker_lists = [json.dumps(workers) for workers in by_domain.values()]
+    arguments = [[], [], [], *([f"--workers={text}"] for text in worker_lists)]
     with ThreadPoolExecutor(START_THREADS) as pool:
         started = list(pool.map(partial(_start_child, site), names, arguments))
     site.log, site.instances, site.links, *workers = [
         child.ready["address"] for child in started
     ]
     site.domains = dict(zip(by_domain, workers, strict=True))
-    site.platform = {d.name: _link_platform(site, d.name) for d in plan.domains}
+    site.platform = {d.name: _open_platform_links(site, d.name) for d in plan.domains}
 
 
 def _start_child(site: Site, name: str, arguments: list[str]) -> ChildProcess:
@@ -271,7 +271,7 @@
     return site.stack.enter_context(start_standin(name, arguments, log))
 
 
-def _link_platform(site: Site, domain: str) -> tuple[str, str]:
+def _open_platform_links(site: Site, domain: str) -> tuple[str, str]:
     delay_ms = find_delay(site.deployment, domain, site.deployment.store_domain)
     ends = [domain, PLATFORM]
     targets = [site.log, f"{site.instances}/views/{domain}"]
@@ -303,7 +303,7 @@
     }
 
 
-def _name_entry(site: Site, domain: str) -> str:
+def _make_entry_name(site: Site, domain: str) -> str:
     numbers = site.numbers.setdefault(domain, count(1))
     return f"{domain}-{next(numbers)}"
 
@@ -365,8 +365,8 @@
 def _register_entries(site: Site, entries: Sequence[Entry]) -> None:
     regions = {d.name: d.region for d in site.deployment.domains}
     for entry in entries if site.has_links else ():
-        _link_entry(site, entry)
-    listed = [
+        _open_entry_links(site, entry)
+    items = [
         {
             "id": entry.id,
             "kind": "entry",
@@ -378,10 +378,10 @@
         }
         for entry in entries
     ]
-    post_json(site.instances, "/instances", {"instances": listed})
+    post_json(site.instances, "/instances", {"instances": items})
 
 
-def _link_entry(site: Site, entry: Entry) -> None:
+def _open_entry_links(site: Site, entry: Entry) -> None:
     others = [d.name for d in site.deployment.domains if d.name != entry.domain]
     for other in others:
         delay_ms = find_delay(site.deployment, entry.domain, other)
@@ -391,5 +391,5 @@
             delay_ms,
             [entry.address, entry.control_address],
         )
-        seen = {"address": address, "control_address": control_address}
-        post_json(site.instances, "/views", {other: {entry.id: seen}})
+        fields = {"address": address, "control_address": control_address}
+        post_json(site.instances, "/views", {other: {entry.id: fields}})
--- a/standins/tests/test_failures.py
+++ b/standins/tests/test_failures.py
@@ -23,7 +23,7 @@
 from standins.deployments import SMALL
 from standins.operators import (
     apply_configuration,
-    ask_site,
+    call_site,
     count_done,
     create_job,
     create_service,
@@ -193,7 +193,7 @@
         wait_job(site, repeated, 2)
         wait_done(load, 20)
     assert list_endings(site, job) == [(1, "done")] * 12
-    assert len(ask_site(site, "ListJobs", {"kind": 1}).unwrap()["jobs"]) == 2
+    assert len(call_site(site, "ListJobs", {"kind": 1}).unwrap()["jobs"]) == 2
     assert_promises_hold(site, load)
 
 
@@ -215,7 +215,7 @@
             wait_until(partial(has_done, site, job, done), f"{done} tasks done")
         wait_job(site, job, 16)
         wait_done(load, 50)
-    jobs = ask_site(site, "ListJobs", {"kind": 1}).unwrap()["jobs"]
+    jobs = call_site(site, "ListJobs", {"kind": 1}).unwrap()["jobs"]
     assert [found["job_id"] for found in jobs] == [job]
     assert list_endings(site, job) == [(1, "done")] * 16
     assert_promises_hold(site, load)
--- a/standins/tool.py
+++ b/standins/tool.py
@@ -1,4 +1,4 @@
-"""The command-line tool as an operator runs it against a site."""
+"""Calls of the operators' command-line tool against a site."""
 
 import json
 import subprocess
@@ -9,21 +9,22 @@
 
 __all__ = ["ToolResult", "read_tool", "run_tool"]
 
-TOOL_S = 60.0
+TIMEOUT_S = 60.0
 
 
 class ToolResult(NamedTuple):
-    """What one call of the tool printed and its exit code."""
+    """Exit code and output of one call of the tool."""
 
     code: int
     output: str
     errors: str
 
 
-def run_tool(site: Site, *words: str, domain: str = "") -> ToolResult:
-    """Run the tool with `words` against the site's instances, or one domain's.
+def run_tool(site: Site, *arguments: str, domain: str = "") -> ToolResult:
+    """Run the tool with `arguments` against a site and return its result.
 
-    The tool tries the addresses in order; those of `domain` where one is given.
+    The tool tries the control addresses of the site's instances in order, or only
+    those of `domain` if one is given.
     """
     token = site.directory / "token"
     token.write_text(site.token)
@@ -37,27 +38,29 @@
             sys.executable,
             "-m",
             "plantainyard.command",
-            *words,
+            *arguments,
             *addresses,
             f"--token_file={token}",
         ],
         capture_output=True,
         text=True,
-        timeout=TOOL_S,
+        timeout=TIMEOUT_S,
         check=False,
     )
     return ToolResult(result.returncode, result.stdout, result.stderr)
 
 
-def read_tool(site: Site, *words: str, domain: str = "") -> dict[str, Any]:
-    """Return the JSON answer of a call of the tool.
+def read_tool(site: Site, *arguments: str, domain: str = "") -> dict[str, Any]:
+    """Run the tool and return its JSON output.
 
     Raises
     ------
     RuntimeError
-        If the tool's exit code is not zero.
+        If the tool's exit code isn't zero.
     """
-    result = run_tool(site, *words, "--output=json", domain=domain)
+    result = run_tool(site, *arguments, "--output=json", domain=domain)
     if result.code:
-        raise RuntimeError(f"{' '.join(words)}: {result.code}: {result.errors.strip()}")
+        raise RuntimeError(
+            f"{' '.join(arguments)}: {result.code}: {result.errors.strip()}"
+        )
     return dict(json.loads(result.output))
--- a/standins/violations.py
+++ b/standins/violations.py
@@ -1,4 +1,4 @@
-"""Judge the evidence that stand-ins gathered against what must always hold."""
+"""Check of the evidence that stand-ins recorded against the scheduler's invariants."""
 
 from collections import Counter
 from collections.abc import Iterable, Mapping
@@ -7,12 +7,13 @@
 
 __all__ = ["Violations", "find_violations"]
 
-# The ends of a lease and of a task are computed, the begin of the next is measured.
-CLOCK_STEP_S = 1e-6
+# Tolerance in seconds for overlaps: the end of a lease or task is computed, while the
+# start of the next attempt is measured.
+CLOCK_TOLERANCE_S = 1e-6
 
 
 class Violations(NamedTuple):
-    """Violations found; all empty where everything held.
+    """Violations found; all fields are empty if all invariants held.
 
     Attributes
     ----------
@@ -25,7 +26,7 @@
     done_twice : tuple of str
         Tasks that ran to completion more than once.
     overcommitted : tuple of str
-        Workers that held more than their capacity, by how much.
+        Workers that held more than their capacity, with the excess.
     above_slots : tuple of str
         Runners with more requests in progress than slots.
     repeated : tuple of str
@@ -45,12 +46,12 @@
 
 
 def find_violations(counts: Iterable[Mapping[str, Any]]) -> Violations:
-    """Return the violations in the counts of several stand-ins for workers.
+    """Return the violations in the evidence of several stand-ins for workers.
 
     Notes
     -----
-    All times are on the machine-wide clock, so that places in different processes
-    can be compared.
+    All times are on the machine-wide clock, so that attempts at workers of different
+    processes can be compared.
     """
     parts = list(counts)
     runs = list(chain.from_iterable(part["runs"] for part in parts))
@@ -85,11 +86,11 @@
     by_task: dict[str, list[Mapping[str, Any]]] = {}
     for run in runs:
         by_task.setdefault(run["task"], []).append(run)
-    for task, stays in by_task.items():
-        for a, b in combinations(sorted(stays, key=lambda run: run["begun"]), 2):
-            if a["ended"] is None or b["begun"] < a["ended"] - CLOCK_STEP_S:
-                yield f"{task}: {_name_stay(a)} and {_name_stay(b)}"
+    for task, attempts in by_task.items():
+        for a, b in combinations(sorted(attempts, key=lambda run: run["begun"]), 2):
+            if a["ended"] is None or b["begun"] < a["ended"] - CLOCK_TOLERANCE_S:
+                yield f"{task}: {_format_attempt(a)} and {_format_attempt(b)}"
 
 
-def _name_stay(run: Mapping[str, Any]) -> str:
+def _format_attempt(run: Mapping[str, Any]) -> str:
     return f"attempt {run['attempt']} at {run['worker']}"
--- a/standins/workers.py
+++ b/standins/workers.py
@@ -1,11 +1,12 @@
 """Stand-in for the workers of one failure domain, all in one process.
 
 Run it with ``python -m standins.workers --workers='[{"id": ..., "capacity": ...}]'``
-or ``--count``. Each worker is at ``/workers/<id>``. ``POST /faults`` takes any of
-the fields of `MachineFaults` and ``restart``, ``leaving`` for ``workers`` (all by
-default), ``runners_leaving``, ``runners`` with the fields of `RunnerFaults`, and
-``truths`` ({workload: {"true_run_s", "true_cores", "fail", "noise"}}).
-``GET /counts`` gives the evidence.
+or ``--count``. Each worker is served at ``/workers/<id>``. ``POST /faults`` accepts any
+of the fields of `MachineFaults`; ``restart`` and ``leaving`` for ``workers`` (all by
+default); ``runners_leaving``; ``runners`` with the fields of `RunnerFaults`; and
+``truths``, the actual demands of tasks by workload
+({workload: {"true_run_s", "true_cores", "fail", "noise"}}).
+``GET /counts`` returns the recorded evidence.
 """
 
 import contextlib
@@ -48,7 +49,7 @@
 
 @dataclass
 class OpenRunner:
-    """A runner's evidence and what closes its port."""
+    """A runner's state and the exit stack that closes its port."""
 
     state: RunnerState
     stack: contextlib.ExitStack
@@ -74,9 +75,9 @@
     Parameters
     ----------
     workers : sequence of dict
-        Each with ``id`` and ``capacity``.
+        Workers, each with ``id`` and ``capacity``.
     port : int
-        Zero lets the system choose.
+        TCP port; zero lets the system choose.
     seed : int
         Seeds the workers' clocks and the runners' faults.
     """
@@ -93,7 +94,7 @@
     site = Site(machines, rng)
     stopping = threading.Event()
     ticker = threading.Thread(target=_tick, args=(site, stopping), daemon=True)
-    with serve(lambda r: _answer(site, r), port, threads=THREADS) as service:
+    with serve(lambda r: _handle(site, r), port, threads=THREADS) as service:
         ticker.start()
         try:
             yield {
@@ -114,17 +115,17 @@
             now = read_clock()
             for machine in site.machines.values():
                 advance_machine(machine, now)
-            ended = _match_runners(site)
+            ended = _update_runners(site)
         _close_runners(ended)
 
 
-def _match_runners(site: Site) -> list[OpenRunner]:
-    """Open a port for each new runner; return those of ended ones, marked stopped."""
+def _update_runners(site: Site) -> list[OpenRunner]:
+    """Open new runners' ports; mark ended runners as stopped and return them."""
     ended = []
     for machine in site.machines.values():
         for attempt in machine.running.values():
             if attempt.latency_critical and not attempt.address:
-                _open(site, machine, attempt)
+                _open_runner(site, machine, attempt)
             if runner := site.open_runners.get(id(attempt)):
                 attempt.latency_ms = measure_latency(runner.state)
         for attempt in machine.ended:
@@ -135,7 +136,7 @@
     return ended
 
 
-def _open(site: Site, machine: Machine, attempt: Attempt) -> None:
+def _open_runner(site: Site, machine: Machine, attempt: Attempt) -> None:
     state = RunnerState(
         f"{attempt.task}#{attempt.attempt}",
         attempt.slots or DEFAULT_SLOTS,
@@ -156,7 +157,7 @@
         runner.stack.close()
 
 
-def _answer(site: Site, request: Request) -> Reply:
+def _handle(site: Site, request: Request) -> Reply:
     if request.path == "/counts":
         with site.lock:
             return build_reply(_describe_evidence(site))
@@ -172,26 +173,28 @@
         return Reply(200, b"", cut=True)
     with site.lock:
         if verb == "state":
-            return _tell_state(machine)
-        return _take_commands(site, machine, json.loads(request.body))
+            return _report_state(machine)
+        return _carry_out_commands(site, machine, json.loads(request.body))
 
 
-def _tell_state(machine: Machine) -> Reply:
+def _report_state(machine: Machine) -> Reply:
     now = read_clock()
     advance_machine(machine, now)
     return build_reply(describe_machine(machine, (), now))
 
 
-def _take_commands(site: Site, machine: Machine, commands: dict[str, Any]) -> Reply:
+def _carry_out_commands(
+    site: Site, machine: Machine, commands: dict[str, Any]
+) -> Reply:
     now = read_clock()
     status, refused = apply_commands(machine, commands, now)
     _mark_stopped(site, machine)
     for attempt in machine.running.values():
         if attempt.latency_critical and not attempt.address:
-            _open(site, machine, attempt)
-    lost = machine.faults.lose_next_answers
-    if lost:
-        machine.faults = machine.faults._replace(lose_next_answers=lost - 1)
+            _open_runner(site, machine, attempt)
+    losses = machine.faults.lose_next_answers
+    if losses:
+        machine.faults = machine.faults._replace(lose_next_answers=losses - 1)
         return Reply(200, b"", cut=True)
     return build_reply(describe_machine(machine, refused, now), status)
 
@@ -207,13 +210,13 @@
     names = body.pop("workers", None) or list(site.machines)
     restart = body.pop("restart", False)
     leaving = body.pop("leaving", None)
-    truths = body.pop("truths", {})
+    actual_by_workload = body.pop("truths", {})
     runner_faults = body.pop("runners", {})
     runners_leaving = body.pop("runners_leaving", False)
     for name in names:
         machine = site.machines[name]
         machine.faults = machine.faults._replace(**body)
-        machine.truths.update(truths)
+        machine.actual_by_workload.update(actual_by_workload)
         if leaving is not None:
             machine.leaving = leaving
         if restart:
@@ -225,7 +228,7 @@
                 runner.state.faults = faults
                 if runners_leaving and not attempt.leaving:
                     attempt.leaving = True
-                    runner.state.left = now
+                    runner.state.leaving_since = now
     return build_reply({"workers": names})
 
 
@@ -242,7 +245,7 @@
 
 
 def main(_: list[str]) -> None:
-    """Run the workers until the process is told to stop."""
+    """Serve the workers until the process gets a signal to stop."""
     workers = json.loads(flags.FLAGS.workers) or [
         {"id": f"w{i}"} for i in range(flags.FLAGS.count)
     ]
