--- a/standins/callers.py
+++ b/standins/callers.py
@@ -174,9 +174,13 @@
         If they aren't within `limit_s`; the message contains the counts of all
         outcomes.
     """
-    wanted = count_outcomes(load)["done"] + additional
+    expected = count_outcomes(load)["done"] + additional
     try:
-        wait_until(lambda: count_outcomes(load)["done"] >= wanted, "answers", limit_s)
+        wait_until(
+            lambda: count_outcomes(load)["done"] >= expected,
+            "completed requests",
+            limit_s,
+        )
     except TimeoutError as error:
         raise TimeoutError(f"{error}; {dict(count_outcomes(load))}") from None
 
--- a/standins/instances.py
+++ b/standins/instances.py
@@ -1,8 +1,8 @@
 """Stand-in for the platform's lagging list of live and leaving instances.
 
 Run it with ``python -m standins.instances``. ``POST /instances`` adds or replaces
-entries; ``POST /faults`` accepts ``lag_s`` and ``states`` ({id: state}). Domains may see
-different addresses for the same instance (those of their links): ``POST /views``
+entries; ``POST /faults`` accepts ``lag_s`` and ``states`` ({id: state}). Domains may
+see different addresses for the same instance (those of their links): ``POST /views``
 accepts {view: {id: {field: value}}}, and ``GET /views/<view>/instances`` returns the
 list of one view.
 """
--- a/standins/platform/__init__.py
+++ b/standins/platform/__init__.py
@@ -1,7 +1,7 @@
-"""Stand-ins for the users' platform: its store and its runners, with their faults.
+"""Stand-ins for the users' platform: its store and its runners, with injected faults.
 
-What each does is a plain state with the time as an argument; `server` puts both
-behind HTTP on loopback for tests and the demo.
+Store and runners are plain state objects whose methods take the time as an argument;
+`server` serves both over HTTP on loopback for tests and the soak.
 """
 
 from standins.platform.runner import RunnerFaults, RunnerState
--- a/standins/platform/runner.py
+++ b/standins/platform/runner.py
@@ -1,4 +1,4 @@
-"""A stand-in runner: fence, lease, runs, numbered ends, new lives."""
+"""State of a stand-in runner: fencing, lease, runs, their ends, and incarnations."""
 
 import threading
 from dataclasses import dataclass, field
@@ -7,21 +7,22 @@
 __all__ = ["Run", "RunnerFaults", "RunnerState"]
 
 START_S = 0.05
-"""Time until a long-running task is at work."""
+"""Time until a long-running task has started, and until a run fails under the fault
+`fails_all_runs`."""
 
 
 @dataclass(slots=True)
 class RunnerFaults:
-    """What is wrong with a runner.
+    """Injected faults of a runner.
 
     Attributes
     ----------
     fails_all_runs : bool
-        Whatever starts ends as failed.
+        Each run that starts ends as failed.
     makes_no_progress : bool
-        Tasks make no progress.
+        Runs make no progress and don't end.
     refuses_starts : bool
-        Starts are refused; nothing is done.
+        Start orders are refused without effect.
     """
 
     fails_all_runs: bool = False
@@ -31,7 +32,7 @@
 
 @dataclass(slots=True)
 class Run:
-    """A run at a runner."""
+    """One run of a task at a runner."""
 
     task: str
     run: int
@@ -44,23 +45,23 @@
 
 @dataclass(slots=True)
 class RunnerState:
-    """One runner over all its lives.
+    """One runner over all its incarnations.
 
     Attributes
     ----------
     runner : str
-        Its id.
+        Id of the runner.
     durations : dict
-        Run time in seconds by the beginning of a task's name; zero for a task that
-        lasts.
+        Run time in seconds by prefix of a task's name; zero for a task that doesn't end
+        by itself.
     max_lease_s, stop_s : float
-        Bounds of the platform.
+        Longest lease that the runner grants, and time that a run takes to stop.
     capacity : dict
-        As in its entry.
+        Capacity as written in the runner's entry.
     started : list
-        All runs that ever began here: (time, task, run).
+        All runs of all incarnations: (time, task, run).
     lock : RLock
-        Held by whoever calls it from a thread of its own.
+        Must be held by callers on other threads.
     """
 
     runner: str
@@ -86,11 +87,11 @@
     lock: threading.RLock = field(default_factory=threading.RLock)
 
     def clock_ms(self, now: float) -> int:
-        """Return the runner's own clock; it starts anew with each life."""
+        """Return the time of the runner's clock; it restarts with each incarnation."""
         return 1000 + round((now - self.incarnation_started_at) * 1000)
 
     def build_entry(self, now: float) -> dict[str, Any]:
-        """Return what the runner writes about itself."""
+        """Return the entry that the runner writes to the store."""
         return {
             "service": self.service,
             "address": self.address,
@@ -107,7 +108,7 @@
         }
 
     def restart(self, now: float) -> None:
-        """Begin a new life, which knows nothing of the one before."""
+        """Begin a new incarnation, without any state of the previous one."""
         self.incarnation_started_at = now
         self.fence = 0
         self.lease_until_ms = 0
@@ -117,7 +118,7 @@
         self.end_count = 0
 
     def advance(self, now: float) -> None:
-        """Let time pass: runs end, and everything stops when the lease is over."""
+        """Advance to `now`: end finished runs, and all runs if the lease has lapsed."""
         lapsed = self.running and self.clock_ms(now) > self.lease_until_ms
         for run in list(self.running.values()):
             if run.stops_at is not None and now >= run.stops_at:
@@ -127,10 +128,10 @@
             elif lapsed:
                 self._end(run, "lapsed")
 
-    def _end(self, run: Run, how: str) -> None:
+    def _end(self, run: Run, outcome: str) -> None:
         del self.running[run.task]
         self.end_count += 1
-        self.ends.append([self.end_count, run.task, run.run, how, run.checkpoint])
+        self.ends.append([self.end_count, run.task, run.run, outcome, run.checkpoint])
         self._refuse_up_to(run.task, run.run)
 
     def _refuse_up_to(self, task: str, run: int) -> None:
@@ -139,68 +140,70 @@
     def call(self, name: str, body: dict[str, Any], now: float) -> tuple[int, dict]:
         """Serve one call of ``run-start``, ``run-stop``, ``hold`` or ``pace``."""
         self.advance(now)
-        answer: dict[str, Any] = {
+        response: dict[str, Any] = {
             "clockMs": self.clock_ms(now),
             "born": round(self.incarnation_started_at * 1000),
         }
         if body.get("fence", 0) < self.fence:
-            return 409, {**answer, "reason": "fence"}
+            return 409, {**response, "reason": "fence"}
         self.fence = body.get("fence", 0)
         if name == "hold":
-            return self._hold(body, answer)
+            return self._hold(body, response)
         if name == "run-start" and self.faults.refuses_starts:
-            return 503, answer
+            return 503, response
         if name == "run-start":
-            return self._start(body, answer, now)
+            return self._start(body, response, now)
         if name == "run-stop":
-            return self._stop(body, answer, now)
-        return self._pace(body, answer)
+            return self._stop(body, response, now)
+        return self._pace(body, response)
 
     def _extend(self, body: dict[str, Any], clock_ms: int) -> None:
-        until = min(body.get("untilMs", 0), clock_ms + round(self.max_lease_s * 1000))
-        self.lease_until_ms = max(self.lease_until_ms, until)
+        lease_until_ms = min(
+            body.get("untilMs", 0), clock_ms + round(self.max_lease_s * 1000)
+        )
+        self.lease_until_ms = max(self.lease_until_ms, lease_until_ms)
 
-    def _hold(self, body: dict, answer: dict) -> tuple[int, dict]:
-        self._extend(body, answer["clockMs"])
+    def _hold(self, body: dict, response: dict) -> tuple[int, dict]:
+        self._extend(body, response["clockMs"])
         self.ends = [end for end in self.ends if end[0] > body.get("lastSeen", 0)]
         running = [
             [run.task, run.run, run.checkpoint, run.percent, 0]
             for run in self.running.values()
         ]
-        return 200, {**answer, "running": running, "endedRuns": list(self.ends)}
+        return 200, {**response, "running": running, "endedRuns": list(self.ends)}
 
-    def _start(self, body: dict, answer: dict, now: float) -> tuple[int, dict]:
+    def _start(self, body: dict, response: dict, now: float) -> tuple[int, dict]:
         task, number = body["task"], body["run"]
-        present = self.running.get(task)
-        if present is not None and present.run == number:
-            self._extend(body, answer["clockMs"])
-            return 200, answer
+        current = self.running.get(task)
+        if current is not None and current.run == number:
+            self._extend(body, response["clockMs"])
+            return 200, response
         if number <= self.refused_runs.get(task, 0):
-            self._extend(body, answer["clockMs"])
-            return 409, {**answer, "reason": "old"}
-        if body.get("untilMs", 0) <= answer["clockMs"]:
-            return 409, {**answer, "reason": "late"}
-        self._extend(body, answer["clockMs"])
-        length = next((v for k, v in self.durations.items() if task.startswith(k)), 1.0)
+            self._extend(body, response["clockMs"])
+            return 409, {**response, "reason": "old"}
+        if body.get("untilMs", 0) <= response["clockMs"]:
+            return 409, {**response, "reason": "late"}
+        self._extend(body, response["clockMs"])
+        run_s = next((v for k, v in self.durations.items() if task.startswith(k)), 1.0)
         if self.faults.fails_all_runs:
-            length = START_S
-        endless = self.faults.makes_no_progress or not length
-        ends_at = float("inf") if endless else now + length
+            run_s = START_S
+        is_endless = self.faults.makes_no_progress or not run_s
+        ends_at = float("inf") if is_endless else now + run_s
         self.running[task] = Run(task, number, ends_at, now, body.get("checkpoint", ""))
         if self.faults.makes_no_progress:
             self.running[task].percent = 1
         self.started.append((now, task, number))
-        return 200, answer
+        return 200, response
 
-    def _stop(self, body: dict, answer: dict, now: float) -> tuple[int, dict]:
+    def _stop(self, body: dict, response: dict, now: float) -> tuple[int, dict]:
         task, number = body["task"], body["run"]
         run = self.running.get(task)
         if run is not None and run.run == number:
             run.stops_at = run.stops_at or now + self.stop_s
         else:
             self._refuse_up_to(task, number)
-        return 200, answer
+        return 200, response
 
-    def _pace(self, body: dict, answer: dict) -> tuple[int, dict]:
+    def _pace(self, body: dict, response: dict) -> tuple[int, dict]:
         run = self.running.get(body["task"])
-        return (200 if run and run.run == body["run"] else 409), answer
+        return (200 if run and run.run == body["run"] else 409), response
--- a/standins/platform/samples.py
+++ b/standins/platform/samples.py
@@ -1,7 +1,7 @@
-"""Configurations, submissions and calls as the platform's wire spells them.
+"""Sample configurations, submissions and calls in the platform's wire format.
 
-Tests and the soak take them from here, so that the names of the wire stand in the
-adapter and in the stand-ins and nowhere else.
+Tests and the soak use these samples, so that only the adapter and the stand-ins contain
+the names of the wire format.
 """
 
 import json
@@ -45,7 +45,7 @@
 BODY_BYTES = 10_000
 """Longest body that the configuration allows."""
 
-_ORDERS = {
+_CALL_NAMES = {
     OrderKind.START: "run-start",
     OrderKind.STOP: "run-stop",
     OrderKind.PACE: "pace",
@@ -74,7 +74,7 @@
 
 
 def make_settings(store: str) -> InstanceSettings:
-    """Return the settings of an instance on loopback, for a store at ``ip:port``."""
+    """Return the settings of an instance on loopback with a store at ``ip:port``."""
     return InstanceSettings(
         instance="edge-1",
         domain="addis-kality",
@@ -91,7 +91,7 @@
 def make_step_body(
     size: int, cpu: int = 500, after: tuple[int, ...] = (), long_running: bool = False
 ) -> dict[str, Any]:
-    """Return one step of a submission; what is zero or empty is left out."""
+    """Return one step of a submission, without fields that are false or empty."""
     step: dict[str, Any] = {"count": size, "cpu": cpu, "memMb": 10, "estimateMs": 9}
     if after:
         step["after"] = list(after)
@@ -101,7 +101,7 @@
 
 
 def make_body(*steps: dict[str, Any], spec: str = "s") -> dict[str, Any]:
-    """Return a submission."""
+    """Return a submission with the given steps."""
     return {"spec": spec, "steps": list(steps)}
 
 
@@ -121,13 +121,13 @@
     (make_body({"count": 10**9}), 400),
     (b" " * 2 * BODY_BYTES, 413),
 ]
-"""Submissions that are wrong, and the status that each must get."""
+"""Invalid submissions, and the status with which each must be rejected."""
 
 
 def order_runner(
     runner: RunnerState, order: SendOrder, fence: int, now: float
 ) -> OrderResult:
-    """Carry an order out at a stand-in runner and return its decoded answer."""
+    """Carry out an order at a stand-in runner and return the decoded result."""
     body = {
         "task": format_task(order.task),
         "run": order.run,
@@ -137,26 +137,26 @@
         "checkpoint": order.checkpoint,
         "percent": order.percent,
     }
-    return decode_result(_call(runner, _ORDERS[order.kind], body, now))
+    return decode_result(_call(runner, _CALL_NAMES[order.kind], body, now))
 
 
 def request_report(
-    runner: RunnerState, hold: RequestReport, fence: int, now: float
+    runner: RunnerState, request: RequestReport, fence: int, now: float
 ) -> Result[RunnerReport, CallError]:
-    """Ask a stand-in runner for its report and return it decoded."""
+    """Request a stand-in runner's report and return it decoded."""
     body = {
         "fence": fence,
-        "lastSeen": hold.last_seen,
-        "untilMs": hold.lease_until_ms,
+        "lastSeen": request.last_seen,
+        "untilMs": request.lease_until_ms,
     }
-    about = Order(
-        runner.runner, hold.entry.started_at_ms, "", TaskKey("", 0, 0, 0), 0, 0
+    order = Order(
+        runner.runner, request.entry.started_at_ms, "", TaskKey("", 0, 0, 0), 0, 0
     )
-    return decode_report(_call(runner, "hold", body, now), about)
+    return decode_report(_call(runner, "hold", body, now), order)
 
 
 def _call(
     runner: RunnerState, name: str, body: dict[str, Any], now: float
 ) -> HttpResponse:
-    status, answer = runner.call(name, body, now)
-    return HttpResponse(status, {}, json.dumps(answer).encode())
+    status, response = runner.call(name, body, now)
+    return HttpResponse(status, {}, json.dumps(response).encode())
--- a/standins/platform/server.py
+++ b/standins/platform/server.py
@@ -1,4 +1,4 @@
-"""The stand-in store and runners behind HTTP on loopback."""
+"""HTTP servers on loopback for the stand-in store and runners."""
 
 import contextlib
 import json
@@ -16,10 +16,10 @@
 __all__ = ["PlatformServers", "serve_platform"]
 
 THREADS = 16
-CONNECTIONS = 200
-BODY_BYTES = 4_000_000
-POLL_S = 0.01
-"""Time between looks while a call waits for a record or an end."""
+MAX_CONNECTIONS = 200
+MAX_BODY_BYTES = 4_000_000
+POLL_INTERVAL_S = 0.01
+"""Time between checks while a call waits for a record or for the end of a run."""
 
 Handler = Callable[[str, dict[str, str], bytes], tuple[int, bytes]]
 
@@ -35,18 +35,18 @@
 def serve_platform(
     store: StoreState, runners: Iterable[RunnerState]
 ) -> Iterator[PlatformServers]:
-    """Serve a store and runners for the length of the context.
+    """Serve a store and runners for the duration of the context.
 
     Notes
     -----
-    Each runner's entry is written to the store once its address is known.
+    Each runner's entry is written to the store as soon as its address is known.
     """
     with contextlib.ExitStack() as stack:
         lock = threading.RLock()
-        address = stack.enter_context(_serve(_handle_store(store, lock)))
+        address = stack.enter_context(_serve(_build_store_handler(store, lock)))
         addresses = {}
         for runner in runners:
-            handler = _handle_runner(runner)
+            handler = _build_runner_handler(runner)
             runner.address = stack.enter_context(_serve(handler))
             addresses[runner.runner] = runner.address
             entry = json.dumps(runner.build_entry(read_clock())).encode()
@@ -59,23 +59,25 @@
         length = int(environ.get("CONTENT_LENGTH") or 0)
         body = environ["wsgi.input"].read(length)
         query = dict(parse_qsl(environ.get("QUERY_STRING", "")))
-        status, answer = handler(environ["PATH_INFO"], query, body)
-        start(f"{status} -", [("Content-Length", str(len(answer)))])
-        return [answer]
+        status, response = handler(environ["PATH_INFO"], query, body)
+        start(f"{status} -", [("Content-Length", str(len(response)))])
+        return [response]
 
-    return serve_app(app, "127.0.0.1:0", THREADS, CONNECTIONS, BODY_BYTES)
+    return serve_app(app, "127.0.0.1:0", THREADS, MAX_CONNECTIONS, MAX_BODY_BYTES)
 
 
-def _handle_store(store: StoreState, lock: threading.RLock) -> Handler:
+def _build_store_handler(store: StoreState, lock: threading.RLock) -> Handler:
     def handle(path: str, query: dict[str, str], body: bytes) -> tuple[int, bytes]:
-        until = read_clock() + int(query.get("waitMs", 0)) / 1000
+        deadline = read_clock() + int(query.get("waitMs", 0)) / 1000
         while True:
             with lock:
-                status, answer = _call_store(store, path, query, body)
-            waits = path == "/v1/log-read" and status == 200 and len(answer) <= 16
-            if not waits or read_clock() >= until:
-                return status, answer
-            threading.Event().wait(POLL_S)
+                status, response = _call_store(store, path, query, body)
+            is_empty_read = (
+                path == "/v1/log-read" and status == 200 and len(response) <= 16
+            )
+            if not is_empty_read or read_clock() >= deadline:
+                return status, response
+            threading.Event().wait(POLL_INTERVAL_S)
 
     return handle
 
@@ -91,9 +93,9 @@
         status, found = store.append(query, body)
         if store.faults.lose_answers > 0:
             store.faults.lose_answers -= 1
-            # Any status that says nothing about what was done.
+            # A status from which the caller can't tell whether the append was done.
             return 500, b""
-        return status, _dump(found)
+        return status, _encode(found)
     if path == "/v1/log-newest":
         status, found = store.read_newest(query)
     elif path == "/v1/log-owners":
@@ -102,22 +104,22 @@
         status, found = store.join(json.loads(body), read_clock())
     else:
         status, found = store.leave(json.loads(body), read_clock())
-    return status, _dump(found)
+    return status, _encode(found)
 
 
-def _handle_runner(runner: RunnerState) -> Handler:
+def _build_runner_handler(runner: RunnerState) -> Handler:
     def handle(path: str, query: dict[str, str], body: bytes) -> tuple[int, bytes]:
         data = json.loads(body)
-        until = read_clock() + data.get("waitMs", 0) / 1000
+        deadline = read_clock() + data.get("waitMs", 0) / 1000
         while True:
             with runner.lock:
-                status, answer = runner.call(path[4:], data, read_clock())
-            if answer.get("endedRuns") or status != 200 or read_clock() >= until:
-                return status, _dump(answer)
-            threading.Event().wait(POLL_S)
+                status, response = runner.call(path[4:], data, read_clock())
+            if response.get("endedRuns") or status != 200 or read_clock() >= deadline:
+                return status, _encode(response)
+            threading.Event().wait(POLL_INTERVAL_S)
 
     return handle
 
 
-def _dump(data: Any) -> bytes:
+def _encode(data: Any) -> bytes:
     return json.dumps(data).encode()
--- a/standins/platform/store.py
+++ b/standins/platform/store.py
@@ -1,4 +1,4 @@
-"""A stand-in store: topics, newest records, conditional appends, groups."""
+"""State of a stand-in store: topics, newest records, conditional appends, groups."""
 
 import base64
 import struct
@@ -10,20 +10,20 @@
 
 HEADER = struct.Struct(">QQ")
 LENGTH = struct.Struct(">I")
-PAGE_ITEMS = 500
-REPEATS_KNOWN = 5
+MAX_PAGE_ITEMS = 500
+MAX_REMEMBERED_APPENDS = 5
 
 
 @dataclass(slots=True)
 class StoreFaults:
-    """What is wrong with the store.
+    """Injected faults of the store.
 
     Attributes
     ----------
     down : bool
-        Each call is refused; nothing is done.
+        All calls are refused without effect.
     lose_answers : int
-        That many appends are done and not answered.
+        Number of further appends that are carried out without a response.
     """
 
     down: bool = False
@@ -32,16 +32,17 @@
 
 @dataclass(slots=True)
 class Partition:
-    """One partition.
+    """One partition of a topic.
 
     Attributes
     ----------
     records : list of bytes
-        All that was appended.
+        All records that were ever appended.
     first : int
-        Records before this offset are dropped.
+        Offset of the earliest record that isn't dropped.
     producers : dict
-        By producer: its epoch, its last sequence, and its last answers by sequence.
+        By producer: its epoch, its last sequence number, and its last responses by
+        sequence number.
     """
 
     records: list[bytes] = field(default_factory=list)
@@ -53,14 +54,14 @@
 class Member:
     """A member of a group."""
 
-    heard_at: float
+    last_joined_at: float
     ttl_s: float
     generation: int
 
 
 @dataclass(slots=True)
 class Group:
-    """A group that deals one topic's partitions out."""
+    """A group that assigns one topic's partitions to its members."""
 
     topic: str = ""
     generation: int = 0
@@ -70,12 +71,12 @@
 
 @dataclass(slots=True)
 class StoreState:
-    """The whole store.
+    """State of the whole store.
 
     Attributes
     ----------
     parts : int
-        Partitions of each topic that isn't one of the platform's own.
+        Number of partitions of each topic that isn't one of the platform's own.
     """
 
     parts: int = 1
@@ -85,12 +86,12 @@
     appends: int = 0
 
     def put(self, topic: str, key: str, value: bytes, part: int = 0) -> None:
-        """Append one keyed record, as an operator or a runner would."""
+        """Append one keyed record, as operators and runners do."""
         name = key.encode()
         self._partition(topic, part).records.append(bytes((len(name),)) + name + value)
 
     def newest(self, topic: str, part: int = 0) -> dict[str, bytes]:
-        """Return the newest value of each key that has one."""
+        """Return the newest value of each key, without keys whose newest is empty."""
         found: dict[str, bytes] = {}
         for record in self._partition(topic, part).records:
             size = 1 + record[0]
@@ -101,7 +102,7 @@
         return found
 
     def drop_history(self) -> None:
-        """Forget all records but the newest of each key."""
+        """Drop all records from the log; the newest of each key remain readable."""
         for partition in self.partitions.values():
             partition.first = len(partition.records)
 
@@ -119,48 +120,48 @@
         records = _split(body)
         producer = query.get("producer", "")
         if producer:
-            known = self._check_producer(partition, query, producer)
-            if known is not None:
-                return known
+            response = self._check_producer(partition, query, producer)
+            if response is not None:
+                return response
         partition.records += records
         self.appends += 1
-        answer = {"offset": end, "end": len(partition.records)}
+        accepted = {"offset": end, "end": len(partition.records)}
         if producer:
-            self._note_producer(partition, query, producer, answer)
-        return 200, answer
+            self._record_append(partition, query, producer, accepted)
+        return 200, accepted
 
     def _check_producer(
         self, partition: Partition, query: Mapping[str, str], producer: str
     ) -> tuple[int, dict[str, Any]] | None:
         epoch, sequence = int(query["epoch"]), int(query["sequence"])
-        held, last, answers = partition.producers.get(producer, (-1, 0, {}))
-        if epoch < held:
+        known_epoch, last, responses = partition.producers.get(producer, (-1, 0, {}))
+        if epoch < known_epoch:
             return 409, {"reason": "fenced"}
-        if epoch > held:
+        if epoch > known_epoch:
             return None
-        if sequence in answers:
-            return 200, answers[sequence]
+        if sequence in responses:
+            return 200, responses[sequence]
         if sequence != last + 1:
             return 409, {"reason": "seq", "sequence": last + 1}
         return None
 
-    def _note_producer(
+    def _record_append(
         self,
         partition: Partition,
         query: Mapping[str, str],
         producer: str,
-        answer: dict[str, Any],
+        response: dict[str, Any],
     ) -> None:
         epoch, sequence = int(query["epoch"]), int(query["sequence"])
-        held, _, answers = partition.producers.get(producer, (-1, 0, {}))
-        kept = dict(answers) if held == epoch else {}
-        kept[sequence] = answer
-        newest = sorted(kept)[-REPEATS_KNOWN:]
+        known_epoch, _, responses = partition.producers.get(producer, (-1, 0, {}))
+        kept = dict(responses) if known_epoch == epoch else {}
+        kept[sequence] = response
+        newest = sorted(kept)[-MAX_REMEMBERED_APPENDS:]
         kept = {number: kept[number] for number in newest}
         partition.producers[producer] = (epoch, sequence, kept)
 
     def read(self, query: Mapping[str, str]) -> tuple[int, bytes]:
-        """Serve ``log-read`` without its wait."""
+        """Serve ``log-read`` without waiting for new records."""
         partition = self._partition(query["topic"], int(query.get("part", 0)))
         offset = int(query["from"])
         if offset < partition.first:
@@ -178,10 +179,10 @@
         values = self.newest(topic, part)
         items = [
             {"key": key, "value": base64.b64encode(values[key]).decode(), "offset": 0}
-            for key in keys[:PAGE_ITEMS]
+            for key in keys[:MAX_PAGE_ITEMS]
         ]
         end = len(self._partition(topic, part).records)
-        return 200, {"items": items, "hasMore": len(keys) > PAGE_ITEMS, "end": end}
+        return 200, {"items": items, "hasMore": len(keys) > MAX_PAGE_ITEMS, "end": end}
 
     def join(self, body: Mapping[str, Any], now: float) -> tuple[int, dict[str, Any]]:
         """Serve ``log-join``."""
@@ -193,14 +194,14 @@
             group.generation += 1
             group.owners.clear()
         else:
-            member.heard_at = now
+            member.last_joined_at = now
             member.generation = body["generation"]
-        self._deal(group, now)
+        self._assign_partitions(group, now)
         rows = [[group.topic, p, 0] for p, m in group.owners.items() if m == name]
         return 200, {"generation": group.generation, "ttlMs": 0, "parts": rows}
 
     def read_owners(self, query: Mapping[str, str]) -> tuple[int, dict[str, Any]]:
-        """Serve ``log-owners``; whoever was lost is named until another one calls."""
+        """Serve ``log-owners``; a lost member stays owner until another one calls."""
         group = self.groups.get(query["group"], Group())
         rows = [[group.topic, p, m, 0] for p, m in sorted(group.owners.items())]
         return 200, {"generation": group.generation, "parts": rows}
@@ -211,12 +212,12 @@
         if group is not None and body["member"] in group.members:
             del group.members[body["member"]]
             group.generation += 1
-            self._deal(group, now)
+            self._assign_partitions(group, now)
         return 200, {}
 
-    def _deal(self, group: Group, now: float) -> None:
+    def _assign_partitions(self, group: Group, now: float) -> None:
         for name, member in list(group.members.items()):
-            if now - member.heard_at > member.ttl_s:
+            if now - member.last_joined_at > member.ttl_s:
                 del group.members[name]
                 group.generation += 1
         for part in range(self.parts):
@@ -226,10 +227,10 @@
 
 def _split(body: bytes) -> list[bytes]:
     records = []
-    place = 0
-    while place < len(body):
-        (size,) = LENGTH.unpack_from(body, place)
-        place += LENGTH.size
-        records.append(body[place : place + size])
-        place += size
+    offset = 0
+    while offset < len(body):
+        (size,) = LENGTH.unpack_from(body, offset)
+        offset += LENGTH.size
+        records.append(body[offset : offset + size])
+        offset += size
     return records
--- a/standins/tests/test_failures.py
+++ b/standins/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""Failures of whole processes, judged by what workers and runners saw."""
+"""Failures of whole processes, checked by the evidence of workers and runners."""
 
 import os
 import random
@@ -46,7 +46,7 @@
     wait_ready,
 )
 
-PACE = SiteTimings(lease_s=3.0, credit_s=1.5, request_max_s=2.5)
+TIMINGS = SiteTimings(lease_s=3.0, credit_s=1.5, request_max_s=2.5)
 NEAR, FAR = (plan.name for plan in SMALL.domains)
 SERVICE = SMALL.service
 SLOW_REQUESTS = 4
@@ -57,7 +57,7 @@
 @pytest.fixture
 def site(request):
     has_links = getattr(request, "param", True)
-    with start_site(SMALL, PACE, has_links) as started:
+    with start_site(SMALL, TIMINGS, has_links) as started:
         wait_ready(started)
         create_service(started)
         wait_runners(started)
@@ -65,15 +65,15 @@
 
 
 def list_owned(site, name):
-    """Return the racks that an instance owns and may decide for."""
+    """Return the racks that an instance owns with authority to make decisions."""
     control = [site.entries[name].control_address]
     status = call_status(site, control)
     return [r["rack"] for r in status.get("racks", []) if r.get("authority")]
 
 
-def call_status(site, controls):
-    answer = call_operator(controls, site.token, "Status", {})
-    return answer.ok_value if isinstance(answer, Ok) else {}
+def call_status(site, addresses):
+    result = call_operator(addresses, site.token, "Status", {})
+    return result.ok_value if isinstance(result, Ok) else {}
 
 
 def find_owner(site, domain):
@@ -101,32 +101,32 @@
     return count_done(site, job) >= tasks
 
 
-def is_cut_off(answer):
-    """Return whether the request was sent and its answer never came."""
-    is_lost = answer.error is not None and answer.error.kind == ErrorKind.LOST
-    return is_lost or answer.reason == Reason.ANSWER_LOST
+def is_cut_off(result):
+    """Return whether the request was sent but its response was lost."""
+    is_lost = result.error is not None and result.error.kind == ErrorKind.LOST
+    return is_lost or result.reason == Reason.ANSWER_LOST
 
 
-def list_endings(site, job):
+def list_outcomes(site, job):
     return sorted((r["attempt"], r["outcome"]) for r in list_runs(site, job))
 
 
 def assert_promises_hold(site, load, stops_are_planned=True):
-    """No place, slot, request id or answer is wrong, whatever failed."""
-    verdict = find_site_violations(site)
+    """Check that no invariant is violated and that all results match the runs."""
+    violations = find_site_violations(site)
     if not stops_are_planned:
-        # Runners whose lease lapsed with their owner are stopped by the worker.
-        verdict = verdict._replace(cut_off=())
-    assert not any(verdict), verdict
+        # The worker stops runners whose lease lapsed because their owner had failed.
+        violations = violations._replace(cut_off=())
+    assert not any(violations), violations
     assert not find_contradictions(site, load.results)
 
 
 def test_killed_instance(site):
-    """An owner dies; its tasks and its callers' requests must not be done twice.
+    """Guards against tasks or requests that run twice after their owner was killed.
 
-    A job runs and requests flow. The instance that owns the rack is killed by the
-    system. The other instance of the domain takes the rack over: it knows the places
-    of the running tasks from the log, and the slots lent from the gateways.
+    The instance that owns the rack is killed while a job and requests are running. The
+    other instance of the domain takes the rack over; it learns the workers of the
+    running tasks from the log, and the lent slots from the gateways.
     """
     job = create_job(site, 16, 3.0, domain=NEAR).unwrap()
     with run_load(lambda: list_addresses(site), SERVICE) as load:
@@ -139,11 +139,11 @@
 
 
 def test_paused_instance_wakes_after_its_lease(site):
-    """A paused owner wakes up and goes on commanding the workers it has lost.
+    """Guards against an owner that commands workers after its lease has lapsed.
 
-    The owner is paused longer than its lease. Another instance claims the rack and
-    starts what is left. The first wakes with its old state in hand and must not start,
-    renew or send anything on it.
+    The owner is paused for longer than its lease. Another instance claims the rack and
+    starts the remaining tasks. The first owner resumes with outdated state and must not
+    start, renew or send anything on the rack.
     """
     job = create_job(site, 24, 2.0, domain=NEAR).unwrap()
     owner = find_owner(site, NEAR)
@@ -166,11 +166,11 @@
 
 
 def test_log_outage(site):
-    """The log is down for longer than a lease; running work must not be lost.
+    """Guards against lost work while the log is down for longer than a lease.
 
-    Tasks longer than a lease run and requests flow. The log goes out, and a job is
-    sent in meanwhile, which nobody may call accepted. Once the log is back, the results
-    that were held reach it.
+    Tasks that take longer than a lease and requests are running. A job that is
+    submitted during the outage must not be reported as accepted. After the outage, the
+    buffered results are appended to the log.
     """
     job = create_job(site, 12, 5.0, domain=NEAR).unwrap()
     wait_running(site, job, 12)
@@ -178,8 +178,8 @@
     with run_load(lambda: list_addresses(site), SERVICE) as load:
         wait_done(load, 20)
         post_json(site.log, "/faults", {"outage": True})
-        answer = create_job(site, 2, 0.5, domain=NEAR, request_id=request_id)
-        assert isinstance(answer, Err)
+        result = create_job(site, 2, 0.5, domain=NEAR, request_id=request_id)
+        assert isinstance(result, Err)
         wait_until(
             lambda: all(r["ended"] for r in list_runs(site, job)), "all tasks to end"
         )
@@ -192,16 +192,17 @@
         )
         wait_job(site, repeated, 2)
         wait_done(load, 20)
-    assert list_endings(site, job) == [(1, "done")] * 12
+    assert list_outcomes(site, job) == [(1, "done")] * 12
     assert len(call_site(site, "ListJobs", {"kind": 1}).unwrap()["jobs"]) == 2
     assert_promises_hold(site, load)
 
 
 def test_lost_answers_of_the_log(site):
-    """A job is accepted twice, or a task is started twice, after a lost answer.
+    """Guards against jobs or tasks that are duplicated after a lost response.
 
-    The log takes a record and its answer is lost. Whoever appended it can't tell and
-    must neither append it again as something new nor take it as not done.
+    The log appends a record and its response is lost. The instance can't tell whether
+    the append was carried out. It must neither append the record again as a new one nor
+    treat it as not appended.
     """
     request_id = "statements-lost"
     with run_load(lambda: list_addresses(site), SERVICE) as load:
@@ -217,16 +218,17 @@
         wait_done(load, 50)
     jobs = call_site(site, "ListJobs", {"kind": 1}).unwrap()["jobs"]
     assert [found["job_id"] for found in jobs] == [job]
-    assert list_endings(site, job) == [(1, "done")] * 16
+    assert list_outcomes(site, job) == [(1, "done")] * 16
     assert_promises_hold(site, load)
 
 
 def test_domain_is_cut_off_and_healed(site):
-    """A failure domain is cut off from the others and from the platform.
+    """Guards against reruns of tasks in a failure domain that is cut off.
 
-    Its tasks go on and its callers are served there. Nobody else may rerun its tasks,
-    however long it is silent. Once healed, it tells its results, and the configuration
-    that was accepted meanwhile is in force there too.
+    The domain is cut off from the others and from the platform. Its tasks continue and
+    its callers are served there. No other domain may rerun its tasks, no matter how
+    long it is unreachable. Once healed, it reports its results and applies the
+    configuration that was accepted in the meantime.
     """
     job = create_job(site, 8, 5.0, domain=FAR).unwrap()
     wait_running(site, job, 8)
@@ -251,41 +253,44 @@
         wait_job(site, job, 8)
         wait_until(lambda: is_in_force(site, version), "the version everywhere")
         wait_done(far_load, 10)
-    assert list_endings(site, job) == [(1, "done")] * 8
+    assert list_outcomes(site, job) == [(1, "done")] * 8
     assert_promises_hold(site, far_load)
 
 
 def is_in_force(site, version):
     def read(control):
-        answer = call_operator([control], site.token, "GetConfiguration", {})
-        return int(answer.unwrap().get("version", 0)) if answer.is_ok() else -1
+        result = call_operator([control], site.token, "GetConfiguration", {})
+        return int(result.unwrap().get("version", 0)) if result.is_ok() else -1
 
     controls = [e.control_address for e in site.entries.values()]
     return all(read(control) >= version for control in controls)
 
 
 def test_leaving_runner_gets_no_new_work(site):
-    """Requests still reach an upstream that is about to go.
+    """Guards against requests to an upstream that is about to terminate.
 
-    One worker's runners say that they are leaving, while callers go on. The gateways
-    learn it from the worker's word, and the other runners take the load.
+    The runners of one worker report that they are leaving while callers send requests.
+    The gateways learn this from the worker's report, and the other runners serve the
+    load.
     """
     with run_load(lambda: list_addresses(site), SERVICE) as load:
         wait_done(load, 20)
-        left = next(
+        worker = next(
             run["worker"]
             for run in list_runs(site)
             if run["ended"] is None and run["worker"].startswith(NEAR)
         )
-        body = {"workers": [left], "runners_leaving": True}
+        body = {"workers": [worker], "runners_leaving": True}
         post_json(site.domains[NEAR], "/faults", body)
-        wait_until(lambda: is_left_alone(site, load, left), "no more requests to it")
-        assert is_left_alone(site, load, left)
+        wait_until(
+            lambda: gets_no_requests(site, load, worker), "no more requests to it"
+        )
+        assert gets_no_requests(site, load, worker)
     assert_promises_hold(site, load)
 
 
-def is_left_alone(site, load, worker):
-    """Return whether the worker's runners got none of the next requests."""
+def gets_no_requests(site, load, worker):
+    """Return whether the worker's runners get none of the next requests."""
     before = count_requests(site, worker)
     wait_done(load, 40)
     return count_requests(site, worker) == before
@@ -308,16 +313,16 @@
 
 
 def send_slow(site, entry, callers):
-    """Return the coming answers of requests that are in progress at a runner."""
+    """Return the futures of slow requests that are in progress at a runner."""
     peer = build_peer(entry.address)
     rng = random.Random(entry.id)
     ids = [build_request_id(rng, FAR) for _ in range(SLOW_REQUESTS)]
-    answers = [
+    futures = [
         callers.submit(send_caller_request, peer, SERVICE, SLOW_BODY, i, 2400)
         for i in ids
     ]
     wait_until(lambda: set(ids) <= list_requests(site), "the slow requests to run")
-    return answers
+    return futures
 
 
 def list_requests(site):
@@ -325,15 +330,15 @@
     return {name for runner in runners for name in runner["runs"]}
 
 
-# Over a link, the refused connection of an instance that has gone would look like
-# a request that was cut off.
+# Over a link, a connection that is refused by a terminated instance would look like a
+# request that was cut off.
 @pytest.mark.parametrize("site", [False], indirect=True, ids=["direct"])
 def test_rolling_replacement_cuts_off_nothing(site):
-    """All instances of a domain are replaced at load, one after the other.
+    """Guards against requests cut off by a rolling replacement under load.
 
-    Each new one is ready before an old one is told to stop. The old one hands over
-    its racks and credits, finishes the requests that are in progress, and exits by
-    itself.
+    All instances of a domain are replaced one after the other. Each new one is ready
+    before an old one is asked to stop. The old one hands over its racks and credits,
+    finishes the requests in progress, and exits by itself.
     """
     job = create_job(site, 24, 2.0, domain=NEAR).unwrap()
     old = [n for n, e in site.entries.items() if e.domain == NEAR]
@@ -345,12 +350,12 @@
         for name in old:
             add_entry(site, NEAR)
             wait_ready(site)
-            answers = send_slow(site, site.entries[name], callers)
+            futures = send_slow(site, site.entries[name], callers)
             assert retire_entry(site, name) == 0
-            assert [answer.result().outcome for answer in answers] == DONE_SLOW
+            assert [future.result().outcome for future in futures] == DONE_SLOW
             wait_done(load, 20)
         wait_job(site, job, 24)
         wait_done(load, 20)
-    assert not [answer for answer in load.results if is_cut_off(answer)]
-    assert list_endings(site, job) == [(1, "done")] * 24
+    assert not [result for result in load.results if is_cut_off(result)]
+    assert list_outcomes(site, job) == [(1, "done")] * 24
     assert_promises_hold(site, load)
--- a/standins/tests/test_machine.py
+++ b/standins/tests/test_machine.py
@@ -58,10 +58,12 @@
 
 @settings(derandomize=True, deadline=None, max_examples=100)
 @given(CALLS)
-def test_fence_never_yields(calls):
-    """Two instances command one worker, and delayed commands arrive at any time.
+def test_only_the_newest_holder_is_obeyed(calls):
+    """Guards against a worker that carries out commands of an outdated holder.
 
-    Only the greatest epoch's holder, in time and for this incarnation, is obeyed.
+    Two instances command one worker, and delayed commands arrive at any time. Only
+    commands of the highest epoch's holder that arrive in time and are meant for the
+    current incarnation may be carried out.
     """
     machine = build_machine()
     for now, (epoch, holder, incarnation, not_after, attempt, restart) in enumerate(
@@ -110,7 +112,7 @@
     assert machine.runs[-1].ended == 53.0
 
 
-def test_usage_is_seen_late():
+def test_usage_becomes_visible_after_the_lag():
     machine = build_machine()
     apply_commands(machine, build_commands(start=[build_start()]), 0.0)
     advance_machine(machine, 1.0)
@@ -120,7 +122,7 @@
 
 
 def test_evidence_shows_each_violation():
-    """What the stand-ins count must be able to speak against the scheduler."""
+    """Guards against evidence that can't reveal violations by the scheduler."""
     first, second = build_machine(), build_machine()
     start = build_start(run_s=10.0)
     apply_commands(first, build_commands(start=[start]), 0.0)
@@ -138,7 +140,7 @@
         "runs": {"id": 2},
         "cut_off": 1,
     }
-    verdict = find_violations(
+    violations = find_violations(
         {
             "runs": [vars(run) for run in machine.runs],
             "runners": [runner],
@@ -148,4 +150,4 @@
         }
         for machine in (first, second)
     )
-    assert all(verdict)
+    assert all(violations)
--- a/standins/tests/test_platform.py
+++ b/standins/tests/test_platform.py
@@ -39,7 +39,7 @@
     return answer.json()
 
 
-def test_log_keeps_order_faults_and_retention():
+def test_log_order_faults_and_retention():
     with run_log() as ready:
         address = ready["address"]
         client = build_log_client(address, timeout_s=5)
@@ -165,10 +165,10 @@
 
 
 def test_cut_link_holds_and_delivers_once_healed():
-    """A command reaches its worker long after it was sent.
+    """Guards against links that lose data, so that late commands go untested.
 
-    The link is cut while the command is under way; the network holds it and
-    delivers it once the link is healed, when its sender has given up.
+    The link is cut while a record is on its way. The link buffers it and delivers it
+    once it is healed, after the call of the sender has timed out.
     """
     with run_log() as log, run_links() as control:
         item = {"ends": ["accra-central", "platform"], "target": log["address"]}
