--- a/plantainyard/clients/__init__.py
+++ b/plantainyard/clients/__init__.py
@@ -1,4 +1,4 @@
-"""Clients of the platform: log, workers, instance list and runners."""
+"""Clients of the platform's log, workers and instance list, and of runners."""
 
 from plantainyard.clients.instances import (
     Instance,
--- a/plantainyard/clients/instances.py
+++ b/plantainyard/clients/instances.py
@@ -1,4 +1,4 @@
-"""Client of the platform's lagging list of instances."""
+"""Client of the platform's instance list, which lags behind by some seconds."""
 
 import json
 from collections.abc import Iterable, Mapping
@@ -26,14 +26,14 @@
 
 
 class InstanceKind:
-    """Kinds of instances in the list."""
+    """Names of the kinds of instances in the list."""
 
     ENTRY = "entry"
     WORKER = "worker"
 
 
 class InstanceState:
-    """States of an instance as the list tells them, some seconds late."""
+    """Names of the states of an instance in the list, which lags by some seconds."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -47,10 +47,12 @@
     ----------
     kind, state : str
         Names in `InstanceKind` and `InstanceState`.
+    region, domain : str
+        Region and failure domain in which the instance runs.
     address : str
-        Where callers reach an entry instance, or the owner reaches a worker.
+        Address at which callers reach an entry instance, or the owner a worker.
     control_address : str
-        Control port of an entry instance; empty for a worker.
+        Address of the control port of an entry instance; empty for a worker.
     worker : WorkerInfo or None
         Rack and capacity; None for an entry instance.
     """
@@ -66,7 +68,7 @@
 
 
 class InstancesClient(NamedTuple):
-    """The instance list as one instance reaches it."""
+    """A connection to the instance list."""
 
     peer: HttpPeer
 
@@ -83,13 +85,13 @@
 def read_instances(
     client: InstancesClient,
 ) -> Result[tuple[Instance, ...], CallError]:
-    """Return all instances that the platform lists."""
+    """Return all instances in the platform's list."""
     step = "instances.read"
-    answer = call_json(client.peer, step, "GET", "/instances")
-    if isinstance(answer, Err):
-        return answer
+    response = call_json(client.peer, step, "GET", "/instances")
+    if isinstance(response, Err):
+        return response
     try:
-        items = answer.ok_value.body["instances"]
+        items = response.ok_value.body["instances"]
         return Ok(tuple(_parse_instance(item) for item in items))
     except (KeyError, TypeError, ValueError) as error:
         return Err(
@@ -98,23 +100,27 @@
 
 
 def encode_instance(instance: Instance) -> dict[str, Any]:
-    """Return `instance` as the JSON object that the list has for it."""
-    shown: dict[str, Any] = {k: v for k, v in instance._asdict().items() if v}
-    worker = shown.pop("worker", None)
+    """Return `instance` as a JSON object in the list's format."""
+    encoded: dict[str, Any] = {k: v for k, v in instance._asdict().items() if v}
+    worker = encoded.pop("worker", None)
     if worker is None:
-        return shown
+        return encoded
     size = worker.capacity._asdict()
-    more = {"rack": worker.rack, "accelerator": worker.accelerator, "capacity": size}
-    return {**shown, **more}
+    worker_fields = {
+        "rack": worker.rack,
+        "accelerator": worker.accelerator,
+        "capacity": size,
+    }
+    return {**encoded, **worker_fields}
 
 
 def decode_instance(item: Mapping[str, Any]) -> Instance:
-    """Return the instance that `encode_instance` wrote."""
+    """Return the instance in an item encoded by `encode_instance`."""
     return _parse_instance(item)
 
 
 def digest_instances(instances: Iterable[Instance]) -> str:
-    """Return a short digest of a list, the same whatever its order."""
+    """Return a short digest of `instances` that does not depend on their order."""
     items = sorted(json.dumps(encode_instance(i), sort_keys=True) for i in instances)
     return xxhash.xxh3_64_hexdigest("\n".join(items).encode())
 
--- a/plantainyard/clients/log.py
+++ b/plantainyard/clients/log.py
@@ -24,7 +24,7 @@
 
 
 class LogClient(NamedTuple):
-    """The log service as one instance reaches it."""
+    """A connection to the log service."""
 
     peer: HttpPeer
 
@@ -37,9 +37,9 @@
     offset : int
         Position in the stream.
     time_s : float
-        Wall clock of the log at the append.
+        Wall-clock time at which the log appended the record.
     data : dict
-        The record itself.
+        Content of the record.
     """
 
     offset: int
@@ -48,16 +48,16 @@
 
 
 class LogPage(NamedTuple):
-    """Consecutive records of a stream.
+    """A page of consecutive records of a stream.
 
     Attributes
     ----------
     first : int
-        Offset of the earliest record that the log still keeps.
+        Offset of the earliest record that the log still retains.
     next : int
         Offset that the next append will get.
     records : tuple of LogRecord
-        The records found; empty where there was none in time.
+        Records read; empty if none was appended within the wait.
     """
 
     first: int
@@ -79,12 +79,12 @@
 ) -> Result[int, CallError]:
     """Append `record` to `stream` and return its offset."""
     step = "log.append"
-    answer = call_json(client.peer, step, "POST", _format_path(stream), record)
-    if isinstance(answer, Err):
-        return answer
-    offset = answer.ok_value.body.get("offset")
+    response = call_json(client.peer, step, "POST", _format_path(stream), record)
+    if isinstance(response, Err):
+        return response
+    offset = response.ok_value.body.get("offset")
     if not isinstance(offset, int):
-        # The log took the record, but its place is not known: as good as no answer.
+        # The record was appended at an unknown offset; as if there were no response.
         return Err(CallError(ErrorKind.LOST, step, client.peer.address, "no offset"))
     return Ok(offset)
 
@@ -99,14 +99,14 @@
     client : LogClient
         The log.
     stream : str
-        Name of the stream; one that was never written reads as empty.
+        Name of the stream; a stream without records reads as empty.
     start : int
-        Offset of the first record wanted. Where the log no longer keeps it, the
-        page begins at `LogPage.first`.
+        Offset of the first record to read. If the log no longer retains it, the page
+        begins at `LogPage.first`.
     limit : int
-        Greatest number of records.
+        Maximum number of records.
     wait_s : float
-        How long the log may wait for a first record.
+        Longest time, in seconds, that the log waits for a first record.
     """
     step = "log.read"
     path = (
@@ -114,11 +114,11 @@
         f"&wait_ms={int(wait_s * 1000)}"
     )
     timeout_s = client.peer.timeout_s + wait_s
-    answer = call_json(client.peer, step, "GET", path, timeout_s=timeout_s)
-    if isinstance(answer, Err):
-        return answer
+    response = call_json(client.peer, step, "GET", path, timeout_s=timeout_s)
+    if isinstance(response, Err):
+        return response
     try:
-        return Ok(_parse_page(answer.ok_value.body))
+        return Ok(_parse_page(response.ok_value.body))
     except (KeyError, TypeError, ValueError) as error:
         return Err(
             CallError(ErrorKind.MALFORMED, step, client.peer.address, repr(error))
--- a/plantainyard/clients/runner.py
+++ b/plantainyard/clients/runner.py
@@ -1,4 +1,4 @@
-"""Client of a runner: send it one caller's request, once."""
+"""Client of a runner, which sends one caller's request once without retries."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -31,16 +31,18 @@
 
 
 class RunnerOutcome:
-    """What is known of a request after it was sent.
+    """Names of the possible outcomes of a request sent to a runner.
 
     Notes
     -----
     ``ANSWERED``
-        The whole answer came and is for this request; the runner ran it.
+        A complete response to this request arrived; the runner ran the request.
     ``NOT_RUN``
-        It provably did not run: no connection was made, or the runner said so.
+        The request certainly did not run: there was no connection, or the runner
+        responded that it did not run it.
     ``LOST``
-        It may have run: the answer was lost, late, cut short or another's.
+        The request may have run: the response was lost, late, truncated or belongs to
+        another request.
     """
 
     ANSWERED = "answered"
@@ -49,24 +51,25 @@
 
 
 class RunnerClient(NamedTuple):
-    """A runner as one instance reaches it."""
+    """A connection to a runner."""
 
     peer: HttpPeer
 
 
 class RunnerResult(NamedTuple):
-    """The outcome of one sending.
+    """The result of sending one request.
 
     Attributes
     ----------
     outcome : str
         One of the names in `RunnerOutcome`.
-    answer : HttpResponse or None
-        The runner's answer; present whenever a whole one for this request came.
+    response : HttpResponse or None
+        The runner's response; None if no complete response to this request arrived.
     error : CallError or None
-        Why there is no answer; None with an answer.
+        Reason for the missing response; None if there is a response.
     retry_after_s : float
-        Seconds after which the runner asks to come back, else zero.
+        Seconds to wait before a retry, as requested by the runner; zero if it
+        requested none.
     """
 
     outcome: str
@@ -92,7 +95,7 @@
     headers: Mapping[str, str] | None = None,
     remaining_s: float | None = None,
 ) -> RunnerResult:
-    """Send one request to the runner and return its outcome.
+    """Send one request to the runner and return the result.
 
     Parameters
     ----------
@@ -101,51 +104,51 @@
     body : bytes
         The caller's body.
     request_id : str
-        Identifier that the answer must repeat.
+        Identifier that the response must repeat.
     timeout_s : float
-        Longest wait for the whole answer.
+        Longest wait for the complete response.
     headers : mapping, optional
         The caller's headers to pass on.
     remaining_s : float, optional
-        Time left until the caller's deadline, which the runner is told; `timeout_s`
-        by default.
+        Time left until the caller's deadline, sent to the runner; `timeout_s` by
+        default.
 
     Returns
     -------
     RunnerResult
-        Never an error of its own: each failure is an outcome.
+        Failures are reported as an outcome and are never raised.
     """
-    sent = {
+    sent_headers = {
         **(headers or {}),
         REQUEST_ID_HEADER: request_id,
         DEADLINE_HEADER: str(
             int((timeout_s if remaining_s is None else remaining_s) * 1000)
         ),
     }
-    # Answers can be swapped or late: a runner's answer with another request's id must
-    # not reach this caller, and whether this one ran is then not known.
+    # Responses can be swapped or late. A response with the id of another request must
+    # not reach this caller; whether this caller's request ran is then unknown.
     result = send_request(
         client.peer,
         "runner.request",
         "POST",
         "/",
         body,
-        sent,
+        sent_headers,
         timeout_s,
         expected_headers={REQUEST_ID_HEADER: request_id},
     )
     if isinstance(result, Err):
         error = result.err_value
-        sure = error.kind == ErrorKind.UNREACHABLE
-        outcome = RunnerOutcome.NOT_RUN if sure else RunnerOutcome.LOST
+        certainly_not_run = error.kind == ErrorKind.UNREACHABLE
+        outcome = RunnerOutcome.NOT_RUN if certainly_not_run else RunnerOutcome.LOST
         return RunnerResult(outcome, error=error)
     return _classify_response(result.ok_value)
 
 
-def _classify_response(answer: HttpResponse) -> RunnerResult:
-    flag = answer.headers.get(NOT_RUN_HEADER, "").lower()
-    if answer.status == UNAVAILABLE and flag == "true":
+def _classify_response(response: HttpResponse) -> RunnerResult:
+    not_run = response.headers.get(NOT_RUN_HEADER, "").lower()
+    if response.status == UNAVAILABLE and not_run == "true":
         return RunnerResult(
-            RunnerOutcome.NOT_RUN, answer, retry_after_s=read_retry_after(answer)
+            RunnerOutcome.NOT_RUN, response, retry_after_s=read_retry_after(response)
         )
-    return RunnerResult(RunnerOutcome.ANSWERED, answer)
+    return RunnerResult(RunnerOutcome.ANSWERED, response)
--- a/plantainyard/clients/tests/peers.py
+++ b/plantainyard/clients/tests/peers.py
@@ -1,4 +1,4 @@
-"""A peer of raw sockets that answers each connection with prepared bytes."""
+"""A TCP server for tests that responds to each request with prepared bytes."""
 
 import contextlib
 import itertools
@@ -8,27 +8,27 @@
 
 
 @contextlib.contextmanager
-def serve_raw(answers: Sequence[bytes]) -> Iterator[tuple[str, list[int]]]:
-    """Yield an address and the list of the connection number of each request.
+def serve_raw(responses: Sequence[bytes]) -> Iterator[tuple[str, list[int]]]:
+    """Yield the server's address and the list of each request's connection number.
 
-    Request k, counted over all connections, gets ``answers[k]``; an empty answer
-    closes the connection, and any other leaves it open for more.
+    Request k, counted over all connections, gets ``responses[k]``. An empty response
+    closes the connection; any other leaves it open for further requests.
     """
-    seen: list[int] = []
-    counter = itertools.count()
-    left = iter(answers)
+    request_connections: list[int] = []
+    connection_numbers = itertools.count()
+    remaining = iter(responses)
     listener = socket.create_server(("127.0.0.1", 0))
     open_sockets: list[socket.socket] = []
 
-    def talk(connection: socket.socket, number: int) -> None:
+    def serve_connection(connection: socket.socket, number: int) -> None:
         with contextlib.suppress(OSError):
             while connection.recv(65536):
-                seen.append(number)
-                answer = next(left, b"")
-                if not answer:
+                request_connections.append(number)
+                response = next(remaining, b"")
+                if not response:
                     connection.shutdown(socket.SHUT_RDWR)
                     return
-                connection.sendall(answer)
+                connection.sendall(response)
 
     def accept() -> None:
         with contextlib.suppress(OSError):
@@ -36,12 +36,14 @@
                 connection, _ = listener.accept()
                 open_sockets.append(connection)
                 threading.Thread(
-                    target=talk, args=(connection, next(counter)), daemon=True
+                    target=serve_connection,
+                    args=(connection, next(connection_numbers)),
+                    daemon=True,
                 ).start()
 
     threading.Thread(target=accept, daemon=True).start()
     try:
-        yield f"http://127.0.0.1:{listener.getsockname()[1]}", seen
+        yield f"http://127.0.0.1:{listener.getsockname()[1]}", request_connections
     finally:
         with contextlib.suppress(OSError):
             listener.shutdown(socket.SHUT_RDWR)
@@ -51,6 +53,6 @@
 
 
 def format_response(body: bytes, status: str = "200 OK", *headers: str) -> bytes:
-    """Return the bytes of a whole HTTP answer."""
+    """Return the bytes of a complete HTTP response."""
     lines = [f"HTTP/1.1 {status}", f"Content-Length: {len(body)}", *headers]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
--- a/plantainyard/clients/worker.py
+++ b/plantainyard/clients/worker.py
@@ -1,8 +1,9 @@
-"""Client of the platform's workers: read their state, send them commands.
+"""Client of the platform's workers, which reads their state and sends commands.
 
-A worker fences its commands: it answers 409 to an epoch older than the greatest it
-has seen, and 410 after `Commands.not_after` or to an earlier incarnation's. Both
-answers carry its state, from which the sender learns who holds it now.
+The epoch of a call is a fencing token: a worker responds with status 409 if the epoch
+is older than the greatest it has seen. It responds with 410 if the call arrives after
+`Commands.not_after` or is addressed to an earlier incarnation. Both responses contain
+the worker's state, which names its present holder.
 """
 
 from collections.abc import Iterable, Mapping
@@ -45,7 +46,7 @@
 
 
 class WorkerClient(NamedTuple):
-    """A worker as one instance reaches it."""
+    """A connection to a worker."""
 
     peer: HttpPeer
 
@@ -58,7 +59,7 @@
 
 
 class Renewal(NamedTuple):
-    """A lease extended to `until`, on the worker's clock."""
+    """An extension of an attempt's lease to `until`, on the worker's clock."""
 
     task: TaskKey
     attempt: int
@@ -66,7 +67,7 @@
 
 
 class Throttle(NamedTuple):
-    """A share of its processors, in (0, 1], that an attempt may use."""
+    """The fraction of its processors, in (0, 1], that an attempt may use."""
 
     task: TaskKey
     attempt: int
@@ -79,15 +80,15 @@
     Attributes
     ----------
     until : float
-        End of its lease, on the worker's clock.
+        End of the attempt's lease, on the worker's clock.
     run_s : float
-        Declared run time; zero for a runner.
+        Declared run time in seconds; zero for a runner.
     slots, connections : int
-        What a runner can hold.
+        Greatest number of concurrent requests and of connections of a runner.
     checkpoint : str
-        Checkpoint to resume from; empty for a fresh start.
+        Checkpoint to resume from; empty to start from the beginning.
     work : str
-        The job's payload, passed on as it is.
+        The job's payload, passed on unchanged.
     """
 
     task: TaskKey
@@ -104,18 +105,20 @@
 
 
 class Commands(NamedTuple):
-    """Everything one call tells a worker.
+    """The commands that one call sends to a worker.
 
     Attributes
     ----------
     epoch : int
-        Fence of the sender.
+        Fencing token of the sender.
     holder : str
-        Instance that sends.
+        Identifier of the sending instance.
     incarnation : int
-        The worker's incarnation that the call is meant for.
+        Incarnation of the worker to which the call is addressed.
     not_after : float
-        Time on the worker's clock past which the call must do nothing.
+        Time on the worker's clock after which the call must have no effect.
+    renew, start, stop, checkpoint, throttle, ack : tuple
+        The commands of each kind; `ack` acknowledges finished attempts.
     """
 
     epoch: int
@@ -131,7 +134,7 @@
 
 
 class RunningTask(NamedTuple):
-    """A running attempt; `address` is a runner's, empty for a batch task."""
+    """A running attempt; `address` is that of a runner, empty for a batch task."""
 
     task: TaskKey
     attempt: int
@@ -144,7 +147,7 @@
 
 
 class FinishedTask(NamedTuple):
-    """An ended attempt that the worker keeps until it is acknowledged."""
+    """An ended attempt, which the worker reports until it is acknowledged."""
 
     task: TaskKey
     attempt: int
@@ -153,7 +156,7 @@
 
 
 class Usage(NamedTuple):
-    """Measured use of an attempt at `time_s` on the worker's clock."""
+    """Resource usage of an attempt, measured at `time_s` on the worker's clock."""
 
     task: TaskKey
     attempt: int
@@ -164,7 +167,7 @@
 
 
 class Refusal(NamedTuple):
-    """A start that the worker did not carry out."""
+    """A start that the worker refused."""
 
     task: TaskKey
     attempt: int
@@ -172,16 +175,16 @@
 
 
 class WorkerState(NamedTuple):
-    """What a worker says of itself.
+    """The state that a worker reports.
 
     Attributes
     ----------
     incarnation : int
-        Grows with each restart of the worker; a restart ends all that ran.
+        Increases with each restart of the worker; a restart ends all its tasks.
     clock_s : float
-        The worker's clock at the answer.
+        The worker's clock when it responded.
     epoch, holder
-        The greatest epoch seen and the instance that showed it.
+        The greatest epoch that the worker has seen and the instance that sent it.
     """
 
     worker: str
@@ -198,16 +201,16 @@
 
 
 class WorkerResponse(NamedTuple):
-    """A worker's answer to commands.
+    """A worker's response to commands.
 
     Attributes
     ----------
     accepted : bool
-        Whether the worker carried the commands out.
+        Whether the worker executed the commands.
     expired : bool
-        Whether they came after their `Commands.not_after` or were meant for an earlier
-        incarnation; where neither holds, the worker has seen a greater epoch, which
-        `state` names.
+        Whether the commands arrived after their `Commands.not_after` or were addressed
+        to an earlier incarnation. If a call is neither accepted nor expired, the worker
+        has seen a greater epoch, which `state` contains.
     state : WorkerState
         The worker's state after the call.
     """
@@ -227,27 +230,27 @@
 
 
 def read_state(client: WorkerClient) -> Result[WorkerState, CallError]:
-    """Return the worker's state; needs no epoch and changes nothing."""
+    """Return the worker's state; this needs no epoch and changes nothing."""
     step = "worker.state"
-    answer = call_json(client.peer, step, "GET", "/state")
-    if isinstance(answer, Err):
-        return answer
-    return _parse_checked(client, step, answer.ok_value)
+    response = call_json(client.peer, step, "GET", "/state")
+    if isinstance(response, Err):
+        return response
+    return _parse_response(client, step, response.ok_value)
 
 
 def send_commands(
     client: WorkerClient, commands: Commands
 ) -> Result[WorkerResponse, CallError]:
-    """Send `commands` once and return the worker's answer.
+    """Send `commands` once and return the worker's response.
 
     Returns
     -------
     Result[WorkerResponse, CallError]
-        A stale epoch and a late call are answers, not errors. After ``LOST`` the
-        commands may have been carried out: ask `read_state`.
+        A stale epoch and an expired call are responses, not errors. After ``LOST`` the
+        commands may have been executed; `read_state` shows whether they were.
     """
     step = "worker.commands"
-    answer = call_json(
+    response = call_json(
         client.peer,
         step,
         "POST",
@@ -255,10 +258,10 @@
         encode_commands(commands),
         accepted=frozenset({CONFLICT, GONE}),
     )
-    if isinstance(answer, Err):
-        return answer
-    status = answer.ok_value.status
-    return _parse_checked(client, step, answer.ok_value).map(
+    if isinstance(response, Err):
+        return response
+    status = response.ok_value.status
+    return _parse_response(client, step, response.ok_value).map(
         lambda state: WorkerResponse(
             status not in (CONFLICT, GONE), status == GONE, state
         )
@@ -285,12 +288,12 @@
 
 
 def parse_state(body: Mapping[str, Any]) -> WorkerState:
-    """Return the state in a worker's JSON answer.
+    """Return the state in a worker's JSON response.
 
     Raises
     ------
     KeyError, TypeError, ValueError
-        If a field is missing or of another type.
+        If a field is missing or has the wrong type.
     """
     return WorkerState(
         worker=str(body["worker"]),
@@ -310,11 +313,11 @@
     )
 
 
-def _parse_checked(
-    client: WorkerClient, step: str, answer: JsonResponse
+def _parse_response(
+    client: WorkerClient, step: str, response: JsonResponse
 ) -> Result[WorkerState, CallError]:
     try:
-        return Ok(parse_state(answer.body))
+        return Ok(parse_state(response.body))
     except (KeyError, TypeError, ValueError) as error:
         return Err(
             CallError(ErrorKind.MALFORMED, step, client.peer.address, repr(error))
