--- a/plantainyard/settings/__init__.py
+++ b/plantainyard/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings of one instance: their model, rules and loading."""
+"""Settings of one instance: their model, validation rules and loading."""
 
 from plantainyard.settings.load import (
     SettingError,
--- a/plantainyard/settings/load.py
+++ b/plantainyard/settings/load.py
@@ -1,6 +1,7 @@
-"""Read settings from TOML and check them as a whole.
+"""Loading and validation of settings in TOML.
 
-Every fault is found in one pass, so that an operator mends a file once.
+Validation reports as many errors as possible at once, so that an operator does not
+have to correct a file one error at a time.
 """
 
 import re
@@ -20,24 +21,25 @@
 FIRST_LINE = 1
 SECTION_LINE = re.compile(r"\s*\[\s*([^\[\]]+?)\s*\]\s*(?:#.*)?$")
 KEY_LINE = re.compile(r"\s*(?:\"([^\"]+)\"|'([^']+)'|([A-Za-z0-9_-]+))\s*=")
-SYNTAX_PLACE = re.compile(r"\(at line (\d+), column \d+\)")
+SYNTAX_POSITION = re.compile(r"\(at line (\d+), column \d+\)")
 
 Lines = dict[tuple[str, str], int]
+"""Line number by ``(section, key)``; the key is empty for the section's header."""
 
 
 class SettingError(NamedTuple):
-    """One fault of a settings file.
+    """One error in a settings file.
 
     Attributes
     ----------
     file : str
-        The file's path.
+        Path of the file.
     key : str
-        ``section.key``, a section, or empty where the file can't be read.
+        ``section.key`` or a section; empty if the file can't be read or parsed.
     line : int
-        Line of the key, of its section where the key is missing, else the first.
+        Line of the key; line of its section if the key is missing; else the first line.
     expected : str
-        What should stand there.
+        Description of the valid values.
     """
 
     file: str
@@ -59,70 +61,74 @@
 
 
 def load_settings(path: str | Path) -> Result[Settings, list[SettingError]]:
-    """Return the settings in the file at `path`, or every fault in it."""
+    """Return the settings in the file at `path`, or the errors in it."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except OSError as error:
         reason = error.strerror or "an error"
-        return Err([_fault(path, "", FIRST_LINE, f"a readable file, got: {reason}")])
+        return Err(
+            [_build_error(path, "", FIRST_LINE, f"a readable file, got: {reason}")]
+        )
     except UnicodeDecodeError:
-        return Err([_fault(path, "", FIRST_LINE, "a text in UTF-8")])
+        return Err([_build_error(path, "", FIRST_LINE, "a text in UTF-8")])
     return parse_settings(text, path)
 
 
 def parse_settings(text: str, path: str | Path) -> Result[Settings, list[SettingError]]:
-    """Return the settings in `text`, or every fault in it.
+    """Return the settings in `text`, or the errors in it.
 
     Parameters
     ----------
     text : str
-        TOML.
+        Settings in TOML.
     path : str or Path
-        Named in the faults; a relative `security.token_file` is sought beside it.
+        Path of the file, for the errors. A relative `security.token_file` is resolved
+        against its directory.
 
     Returns
     -------
     Ok or Err
-        Conflicts between keys are sought once all keys are right alone.
+        The settings, or a list of `SettingError`. Conflicts between keys are reported
+        only if every key is valid by itself.
     """
     try:
         data = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        return Err([_syntax_fault(path, str(error), text)])
+        return Err([_build_syntax_error(path, str(error), text)])
     lines = _find_lines(text)
-    faults = [
-        _fault(path, key, _line_of(lines, key), expected)
+    errors = [
+        _build_error(path, key, _get_line(lines, key), expected)
         for key, expected in _check_sections(data)
     ]
-    if faults:
-        return Err(sorted(faults, key=lambda fault: fault.line))
+    if errors:
+        return Err(sorted(errors, key=lambda error: error.line))
     token = _read_token(data["security"], Path(path))
     if isinstance(token, Err):
         key = "security.token_file"
-        return Err([_fault(path, key, _line_of(lines, key), token.err_value)])
+        return Err([_build_error(path, key, _get_line(lines, key), token.err_value)])
     settings = _build_settings(data, token.ok_value)
     conflicts = [
-        _fault(path, key, _line_of(lines, key), expected)
+        _build_error(path, key, _get_line(lines, key), expected)
         for section, name, expected in find_conflicts(settings)
         for key in [f"{section}.{name}"]
     ]
     return Err(conflicts) if conflicts else Ok(settings)
 
 
-def _fault(path: str | Path, key: str, line: int, expected: str) -> SettingError:
+def _build_error(path: str | Path, key: str, line: int, expected: str) -> SettingError:
     return SettingError(str(path), key, line, expected)
 
 
-def _syntax_fault(path: str | Path, message: str, text: str) -> SettingError:
-    place = SYNTAX_PLACE.search(message)
+def _build_syntax_error(path: str | Path, message: str, text: str) -> SettingError:
+    position = SYNTAX_POSITION.search(message)
     last_line = len(text.splitlines()) or FIRST_LINE
-    line = int(place[1]) if place else last_line
+    line = int(position[1]) if position else last_line
     reason = message.partition(" (at ")[0]
-    return _fault(path, "", line, f"well-formed TOML, got: {reason}")
+    return _build_error(path, "", line, f"well-formed TOML, got: {reason}")
 
 
 def _find_lines(text: str) -> Lines:
-    """Return the line of each section, as ``(section, "")``, and of each key."""
+    """Return the line numbers of the headers of sections and of the keys in `text`."""
     lines: Lines = {}
     section = ""
     for number, line in enumerate(text.splitlines(), start=FIRST_LINE):
@@ -135,10 +141,12 @@
     return lines
 
 
-def _line_of(lines: Lines, key: str) -> int:
+def _get_line(lines: Lines, key: str) -> int:
     section, _, name = key.partition(".")
-    places = ((section, name), (section, ""), ("", section))
-    return next((lines[place] for place in places if place in lines), FIRST_LINE)
+    candidates = ((section, name), (section, ""), ("", section))
+    return next(
+        (lines[candidate] for candidate in candidates if candidate in lines), FIRST_LINE
+    )
 
 
 def _check_sections(data: Mapping[str, Any]) -> Iterator[tuple[str, str]]:
@@ -163,11 +171,11 @@
         if len(values.keys() & rules.keys()) != 1:
             yield "security.token", "exactly one of token and token_file"
         return
-    for name in _required_names(section) - values.keys():
+    for name in _list_required_keys(section) - values.keys():
         yield f"{section}.{name}", f"{rules[name].expected} (missing)"
 
 
-def _required_names(section: str) -> set[str]:
+def _list_required_keys(section: str) -> set[str]:
     model = get_type_hints(Settings)[section]
     return set(model._fields) - set(model._field_defaults)
 
@@ -198,7 +206,7 @@
 
 
 def _convert_numbers(model: Any, values: Mapping[str, Any]) -> dict[str, Any]:
-    """Return `values` with a float wherever `model` has one."""
+    """Return `values` with a float for each field of `model` that is a float."""
     hints = get_type_hints(model)
     return {
         name: float(value) if hints[name] is float else value
--- a/plantainyard/settings/model.py
+++ b/plantainyard/settings/model.py
@@ -1,7 +1,7 @@
-"""What belongs to one instance: its addresses, place, limits and intervals.
+"""Model of the settings of one instance, such as its addresses, limits and intervals.
 
-What belongs to the whole system is configuration in the log, not settings.
-`Settings` is passed whole to whatever needs a part of it.
+Options of the whole system are not settings but configuration, which is stored in the
+log. Code that needs any of the settings receives the whole `Settings`.
 """
 
 from typing import NamedTuple
@@ -23,20 +23,21 @@
 
 
 class Instance(NamedTuple):
-    """Who and where the instance is.
+    """Identity, location and addresses of the instance.
 
     Attributes
     ----------
     id : str
-        Unique in the deployment.
+        Identifier, unique in the deployment.
     region : str
-        Region in which the instance stands.
+        Region in which the instance runs.
     domain : str
-        Failure domain in which the instance stands; it places work there only.
+        Failure domain in which the instance runs; it places tasks only there.
     address : str
-        ``ip:port`` for callers; port 0 lets the system choose.
+        ``ip:port`` for callers; with port 0 the operating system chooses a port.
     control_address : str
-        ``ip:port`` for other instances, operators and the balancer's checks.
+        ``ip:port`` for other instances, operators and the load balancer's health
+        checks.
     """
 
     id: str
@@ -47,7 +48,7 @@
 
 
 class Platform(NamedTuple):
-    """The platform's services and what may be assumed of its workers.
+    """Addresses of the platform's services, and assumptions about its log and workers.
 
     Attributes
     ----------
@@ -56,15 +57,17 @@
     instances : str
         Base URL of the instance list.
     worker_lease_s : float
-        Longest lease that this instance asks of a worker, in seconds.
+        Longest lease that this instance requests from a worker, in seconds.
     clock_drift : float
-        Greatest relative error between two clocks; 0.01 is 1 %.
+        Greatest relative drift between two clocks; 0.01 is 1 %.
     trust_gone : bool
-        Whether a worker that the list calls ``gone`` has certainly stopped its tasks.
+        Whether a worker listed as ``gone`` is certain to have stopped its tasks.
     log_retention_s : float
-        How long the log keeps a record at least; snapshots are written well within.
+        Shortest time in seconds for which the log retains a record; snapshots are
+        written well within it.
     timeout_s : float
-        Longest wait for an answer of the platform beyond any asked-for wait.
+        Longest wait in seconds for a response of the platform, in addition to any wait
+        that the request itself specifies.
     """
 
     log: str
@@ -77,22 +80,23 @@
 
 
 class Limits(NamedTuple):
-    """Bounds on what callers and peers can make the process hold.
+    """Bounds on the resources that callers and peers can occupy in the process.
 
     Attributes
     ----------
     body_bytes : int
-        Longest body of a request or an answer.
+        Greatest size of the body of a request or a response, in bytes.
     connections : int
-        Open connections on each of the two ports.
+        Greatest number of open connections on each of the two ports.
     caller_threads : int
-        Requests that callers can have in progress.
+        Greatest number of callers' requests in progress.
     control_threads : int
-        Requests in progress from instances, operators and checks.
+        Greatest number of requests in progress from instances, operators and health
+        checks.
     queue_requests : int
-        Requests that wait for a slot.
+        Greatest number of requests that wait for a slot.
     memory_mb : int
-        Memory that bodies in progress may take together.
+        Memory in megabytes that all bodies in progress may occupy together.
     """
 
     body_bytes: int = 1_000_000
@@ -104,24 +108,24 @@
 
 
 class Requests(NamedTuple):
-    """How callers' requests are served.
+    """Handling of callers' requests.
 
     Attributes
     ----------
     default_deadline_ms : int
-        Deadline of a request that names none.
+        Deadline in milliseconds of a request that specifies none.
     request_max_s : float
-        Longest time that a runner may take; later answers are dropped.
+        Longest time in seconds that a runner may take; later responses are discarded.
     credit_s : float
-        Lease of a credit for slots.
+        Duration in seconds of the lease of a credit for slots.
     id_memory_s : float
-        How long the outcome of a request id is remembered.
+        Time in seconds for which the outcome of a request id is retained.
     id_memory_count : int
-        How many request ids are remembered at most.
+        Greatest number of request ids that are retained.
     retry_share : float
-        Retries allowed for each first attempt, over a short window.
+        Number of retries allowed per first attempt, over a short window.
     attempts : int
-        Sendings of one request at most, the first included.
+        Greatest number of attempts at one request, including the first.
     """
 
     default_deadline_ms: int = 5_000
@@ -134,24 +138,24 @@
 
 
 class Intervals(NamedTuple):
-    """How often things happen, in seconds.
+    """Intervals and time-outs, in seconds.
 
     Attributes
     ----------
     tick_s : float
-        Between two rounds of decisions.
+        Time between two rounds of scheduling decisions.
     heartbeat_s : float
-        Silence towards a peer after which a heartbeat is sent.
+        Time between two heartbeats to a peer, randomized by up to 10 %.
     silence_s : float
-        Silence of a peer after which it counts as failed.
+        Time without a heartbeat of a peer after which the peer is considered failed.
     log_wait_s : float
-        How long a read of the log waits for a new record.
+        Longest time that a read of the log waits for a new record.
     instances_s : float
-        Between two reads of the instance list.
+        Time between two reads of the instance list.
     worker_s : float
-        Between two reads of an owned worker's state.
+        Time between two reads of the state of an owned worker.
     stop_s : float
-        Longest graceful shutdown.
+        Longest duration of a graceful shutdown.
     """
 
     tick_s: float = 0.5
@@ -164,14 +168,14 @@
 
 
 class Security(NamedTuple):
-    """The token that processes and operators show each other.
+    """The token with which processes and operators authenticate.
 
     Attributes
     ----------
     token : Secret
         The shared token, from the settings or from `token_file`.
     token_file : str
-        File from which the token was read; empty where it stands in the settings.
+        File from which the token was read; empty if the settings contain the token.
     """
 
     token: Secret
@@ -179,15 +183,15 @@
 
 
 class Logs(NamedTuple):
-    """What is logged.
+    """Log level and recording of placement decisions.
 
     Attributes
     ----------
     level : str
-        ``debug``, ``info``, ``warning`` or ``error``.
+        Log level: ``debug``, ``info``, ``warning`` or ``error``.
     decisions_mb : float
-        Megabytes of placement's deciding events kept for each owned rack from the
-        beginning of its ownership on, and shown in the dump; 0 keeps none.
+        Megabytes of placement events that are kept for each owned rack, from the
+        beginning of its ownership, and included in the dump; 0 keeps none.
     """
 
     level: str = "info"
@@ -195,16 +199,16 @@
 
 
 class Metrics(NamedTuple):
-    """Where metrics are sent.
+    """Destination of metrics.
 
     Attributes
     ----------
     host : str
-        IP address of the statsd server; empty sends nothing.
+        IP address of the statsd server; if empty, no metrics are sent.
     port : int
-        Its UDP port.
+        UDP port of the statsd server.
     prefix : str
-        First part of every metric's name.
+        Prefix of the name of every metric.
     """
 
     host: str = ""
@@ -213,20 +217,21 @@
 
 
 class CutOff(NamedTuple):
-    """What a failure domain does whose configuration may be out of date.
+    """Behaviour of a failure domain whose configuration may be out of date.
 
     Attributes
     ----------
     max_config_age_s : float
-        Age of the last proof that the configuration is current, in seconds,
-        past which `new_starts` holds.
+        Time in seconds since the configuration was last confirmed to be current, after
+        which `new_starts` applies.
     new_starts : str
-        ``stop`` or ``go_on``: whether waiting tasks are placed.
+        Whether waiting tasks are still placed: ``stop`` or ``go_on``.
 
     Notes
     -----
-    Running tasks and callers' requests go on in every case: a domain that is cut off
-    has to serve what it can, and the configuration was checked when tasks started.
+    Running tasks and callers' requests continue in either case. A domain that is cut
+    off must continue to serve what it can, and the configuration was checked when its
+    tasks started.
     """
 
     max_config_age_s: float = 600.0
--- a/plantainyard/settings/rules.py
+++ b/plantainyard/settings/rules.py
@@ -1,4 +1,4 @@
-"""What each key of the settings must be, alone and together with others."""
+"""Validation rules for each key of the settings and for combinations of keys."""
 
 import math
 import re
@@ -21,21 +21,27 @@
 BYTES_IN_MB = 1_000_000
 MS_IN_S = 1_000.0
 GRACE_HEARTBEATS = 4.0
-HEARTBEATS_IN_SILENCE = 2.0
-RENEWALS_IN_LEASE = 2.0
+"""Heartbeat intervals in the grace period before a stopping instance closes."""
+
+MIN_HEARTBEATS_IN_TIMEOUT = 2.0
+"""Fewest heartbeats in a peer's time-out or in a credit's lease."""
+
+MIN_RENEWALS_IN_LEASE = 2.0
+"""Fewest renewals of a worker's lease before it expires."""
+
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_-]*")
 IP_PORT = re.compile(r"(\d{1,3}(?:\.\d{1,3}){3}|\[[0-9A-Fa-f:]+\]):(\d{1,5})")
 
 
 class Rule(NamedTuple):
-    """What a key must be.
+    """Validation rule of a key.
 
     Attributes
     ----------
     accepts : callable
-        Tells whether a value from the TOML file will do.
+        Returns whether a value from the TOML file is valid.
     expected : str
-        What is expected, for the error line and the reference page.
+        Description of the valid values, for error messages and the reference page.
     """
 
     accepts: Callable[[Any], bool]
@@ -43,33 +49,35 @@
 
 
 class Conflict(NamedTuple):
-    """Two keys that don't go together."""
+    """A key whose value is incompatible with that of another key."""
 
     section: str
     key: str
     expected: str
 
 
-def _number(low: float, high: float, unit: str, open_low: bool = False) -> Rule:
+def _build_number_rule(
+    low: float, high: float, unit: str, exclude_low: bool = False
+) -> Rule:
     def accepts(value: Any) -> bool:
         if isinstance(value, bool) or not isinstance(value, int | float):
             return False
-        above = value > low if open_low else value >= low
-        return math.isfinite(value) and above and value <= high
+        is_above_low = value > low if exclude_low else value >= low
+        return math.isfinite(value) and is_above_low and value <= high
 
-    bound = f"above {low:g}" if open_low else f"from {low:g}"
+    bound = f"above {low:g}" if exclude_low else f"from {low:g}"
     return Rule(accepts, f"a number {bound} to {high:g} ({unit})")
 
 
-def _integer(low: int, high: int, unit: str) -> Rule:
+def _build_integer_rule(low: int, high: int, unit: str) -> Rule:
     def accepts(value: Any) -> bool:
-        whole = isinstance(value, int) and not isinstance(value, bool)
-        return whole and low <= value <= high
+        is_integer = isinstance(value, int) and not isinstance(value, bool)
+        return is_integer and low <= value <= high
 
     return Rule(accepts, f"an integer from {low} to {high} ({unit})")
 
 
-def _choice(*names: str) -> Rule:
+def _build_choice_rule(*names: str) -> Rule:
     listed = ", ".join(f'"{name}"' for name in names)
     return Rule(lambda value: value in names, f"one of {listed}")
 
@@ -124,94 +132,96 @@
     "platform": {
         "log": _URL,
         "instances": _URL,
-        "worker_lease_s": _number(0.5, 600, "seconds"),
-        "clock_drift": _number(0, 0.2, "a fraction"),
+        "worker_lease_s": _build_number_rule(0.5, 600, "seconds"),
+        "clock_drift": _build_number_rule(0, 0.2, "a fraction"),
         "trust_gone": _BOOLEAN,
-        "log_retention_s": _number(10, 31_536_000, "seconds"),
-        "timeout_s": _number(0, 60, "seconds", open_low=True),
+        "log_retention_s": _build_number_rule(10, 31_536_000, "seconds"),
+        "timeout_s": _build_number_rule(0, 60, "seconds", exclude_low=True),
     },
     "limits": {
-        "body_bytes": _integer(1_024, 100_000_000, "bytes"),
-        "connections": _integer(8, 100_000, "connections"),
-        "caller_threads": _integer(1, 2_000, "threads"),
-        "control_threads": _integer(4, 1_000, "threads"),
-        "queue_requests": _integer(0, 100_000, "requests"),
-        "memory_mb": _integer(16, 1_000_000, "megabytes"),
+        "body_bytes": _build_integer_rule(1_024, 100_000_000, "bytes"),
+        "connections": _build_integer_rule(8, 100_000, "connections"),
+        "caller_threads": _build_integer_rule(1, 2_000, "threads"),
+        "control_threads": _build_integer_rule(4, 1_000, "threads"),
+        "queue_requests": _build_integer_rule(0, 100_000, "requests"),
+        "memory_mb": _build_integer_rule(16, 1_000_000, "megabytes"),
     },
     "requests": {
-        "default_deadline_ms": _integer(1, 3_600_000, "milliseconds"),
-        "request_max_s": _number(0, 3_600, "seconds", open_low=True),
-        "credit_s": _number(0, 600, "seconds", open_low=True),
-        "id_memory_s": _number(1, 604_800, "seconds"),
-        "id_memory_count": _integer(1, 10_000_000, "request ids"),
-        "retry_share": _number(0, 1, "a fraction"),
-        "attempts": _integer(1, 10, "sendings"),
+        "default_deadline_ms": _build_integer_rule(1, 3_600_000, "milliseconds"),
+        "request_max_s": _build_number_rule(0, 3_600, "seconds", exclude_low=True),
+        "credit_s": _build_number_rule(0, 600, "seconds", exclude_low=True),
+        "id_memory_s": _build_number_rule(1, 604_800, "seconds"),
+        "id_memory_count": _build_integer_rule(1, 10_000_000, "request ids"),
+        "retry_share": _build_number_rule(0, 1, "a fraction"),
+        "attempts": _build_integer_rule(1, 10, "sendings"),
     },
     "intervals": {
-        "tick_s": _number(0.01, 10, "seconds"),
-        "heartbeat_s": _number(0.05, 60, "seconds"),
-        "silence_s": _number(0.1, 600, "seconds"),
-        "log_wait_s": _number(0, 60, "seconds"),
-        "instances_s": _number(0.05, 60, "seconds"),
-        "worker_s": _number(0.05, 60, "seconds"),
-        "stop_s": _number(0, 3_600, "seconds", open_low=True),
+        "tick_s": _build_number_rule(0.01, 10, "seconds"),
+        "heartbeat_s": _build_number_rule(0.05, 60, "seconds"),
+        "silence_s": _build_number_rule(0.1, 600, "seconds"),
+        "log_wait_s": _build_number_rule(0, 60, "seconds"),
+        "instances_s": _build_number_rule(0.05, 60, "seconds"),
+        "worker_s": _build_number_rule(0.05, 60, "seconds"),
+        "stop_s": _build_number_rule(0, 3_600, "seconds", exclude_low=True),
     },
     "security": {"token": _TOKEN, "token_file": _PATH},
     "logs": {
-        "level": _choice("debug", "info", "warning", "error"),
-        "decisions_mb": _number(0, 64, "megabytes"),
+        "level": _build_choice_rule("debug", "info", "warning", "error"),
+        "decisions_mb": _build_number_rule(0, 64, "megabytes"),
     },
     "metrics": {
         "host": _TEXT,
-        "port": _integer(1, 65_535, "a UDP port"),
+        "port": _build_integer_rule(1, 65_535, "a UDP port"),
         "prefix": _NAME,
     },
     "cut_off": {
-        "max_config_age_s": _number(0, 604_800, "seconds", open_low=True),
-        "new_starts": _choice("stop", "go_on"),
+        "max_config_age_s": _build_number_rule(0, 604_800, "seconds", exclude_low=True),
+        "new_starts": _build_choice_rule("stop", "go_on"),
     },
 }
 
 
 def compute_stop_grace(intervals: Intervals) -> float:
-    """Return for how long a stopping instance still takes requests.
+    """Return the time in seconds for which a stopping instance accepts requests.
 
     Notes
     -----
-    Guards against a request that is cut off at a planned stop. The failure: the
-    balancer, or a gateway that still takes this instance for the arbiter of an id,
-    sends on a connection just as it is closed; the answer is lost and nobody knows
-    whether the request ran. The grace covers the lag of the list, and the heartbeats
-    by which the word of a rack's new owner reaches the gateways of other domains.
+    Guards against a request that is cut off at a planned stop. The load balancer, or a
+    gateway that still considers this instance the arbiter of an id, may send on a
+    connection just as it is closed. The response is then lost, and whether the request
+    ran is unknown. The grace period covers the lag of the instance list and the
+    heartbeats that announce a rack's new owner to the gateways of other domains.
     """
     return intervals.instances_s + GRACE_HEARTBEATS * intervals.heartbeat_s
 
 
 def find_conflicts(settings: Settings) -> Iterator[Conflict]:
-    """Yield the values that are possible alone but not together."""
+    """Yield the keys whose values are valid alone but not in combination."""
     instance, platform = settings.instance, settings.platform
     limits, requests = settings.limits, settings.requests
     intervals = settings.intervals
-    if instance.address == instance.control_address and not _has_free_port(instance):
+    if instance.address == instance.control_address and not _has_ephemeral_port(
+        instance
+    ):
         yield Conflict(
             "instance",
             "control_address",
             "another address than instance.address, so that overload by callers "
             "can't stop control",
         )
-    if intervals.silence_s < HEARTBEATS_IN_SILENCE * intervals.heartbeat_s:
+    if intervals.silence_s < MIN_HEARTBEATS_IN_TIMEOUT * intervals.heartbeat_s:
         yield Conflict(
             "intervals",
             "silence_s",
-            f"at least {HEARTBEATS_IN_SILENCE:g} times intervals.heartbeat_s "
+            f"at least {MIN_HEARTBEATS_IN_TIMEOUT:g} times intervals.heartbeat_s "
             f"({intervals.heartbeat_s:g})",
         )
     usable_s = platform.worker_lease_s * (1 - platform.clock_drift)
-    if usable_s < RENEWALS_IN_LEASE * intervals.worker_s:
+    if usable_s < MIN_RENEWALS_IN_LEASE * intervals.worker_s:
         yield Conflict(
             "platform",
             "worker_lease_s",
-            f"at least {RENEWALS_IN_LEASE:g} times intervals.worker_s "
+            f"at least {MIN_RENEWALS_IN_LEASE:g} times intervals.worker_s "
             f"({intervals.worker_s:g}) after clock_drift",
         )
     if requests.default_deadline_ms > requests.request_max_s * MS_IN_S:
@@ -227,20 +237,21 @@
             f"at least requests.request_max_s ({requests.request_max_s:g}), so that "
             "a repeat of a running request is known",
         )
-    if requests.credit_s < HEARTBEATS_IN_SILENCE * intervals.heartbeat_s:
+    if requests.credit_s < MIN_HEARTBEATS_IN_TIMEOUT * intervals.heartbeat_s:
         yield Conflict(
             "requests",
             "credit_s",
-            f"at least {HEARTBEATS_IN_SILENCE:g} times intervals.heartbeat_s "
+            f"at least {MIN_HEARTBEATS_IN_TIMEOUT:g} times intervals.heartbeat_s "
             f"({intervals.heartbeat_s:g})",
         )
-    stop_s = compute_stop_grace(intervals) + requests.request_max_s
-    if intervals.stop_s < stop_s:
+    min_stop_s = compute_stop_grace(intervals) + requests.request_max_s
+    if intervals.stop_s < min_stop_s:
         yield Conflict(
             "intervals",
             "stop_s",
-            f"at least {stop_s:g}: instances_s, {GRACE_HEARTBEATS:g} times heartbeat_s "
-            "and then request_max_s, so that a planned stop cuts off no request",
+            f"at least {min_stop_s:g}: instances_s, {GRACE_HEARTBEATS:g} times "
+            "heartbeat_s and then request_max_s, so that a planned stop cuts off no "
+            "request",
         )
     if limits.caller_threads > limits.connections:
         yield Conflict(
@@ -248,15 +259,17 @@
             "caller_threads",
             f"at most limits.connections ({limits.connections})",
         )
-    held = limits.body_bytes * (limits.caller_threads + limits.control_threads)
-    if held > limits.memory_mb * BYTES_IN_MB:
+    required_bytes = limits.body_bytes * (
+        limits.caller_threads + limits.control_threads
+    )
+    if required_bytes > limits.memory_mb * BYTES_IN_MB:
         yield Conflict(
             "limits",
             "memory_mb",
-            f"at least {math.ceil(held / BYTES_IN_MB)}: body_bytes for each of the "
-            "caller_threads and control_threads",
+            f"at least {math.ceil(required_bytes / BYTES_IN_MB)}: body_bytes for each "
+            "of the caller_threads and control_threads",
         )
 
 
-def _has_free_port(instance: Any) -> bool:
+def _has_ephemeral_port(instance: Any) -> bool:
     return instance.address.endswith(":0")
--- a/plantainyard/settings/secret.py
+++ b/plantainyard/settings/secret.py
@@ -1,4 +1,4 @@
-"""A shared token that can be compared but not printed."""
+"""A wrapper for the shared token that keeps it out of logs and dumps."""
 
 import hmac
 
@@ -6,13 +6,13 @@
 
 
 class Secret:
-    """A token between processes.
+    """A token with which processes authenticate to each other.
 
     Notes
     -----
-    A token that reaches a log line or a dump lets every reader command workers. The
-    value is therefore absent from ``repr``, ``str`` and every encoder that walks
-    public attributes; `reveal` is the only way to it.
+    If the token reaches a log line or a dump, everyone who reads it can command
+    workers. The value is therefore absent from ``repr``, ``str`` and every encoder that
+    walks public attributes; only `reveal` returns it.
 
     Examples
     --------
@@ -26,7 +26,7 @@
         self._value = value
 
     def __repr__(self) -> str:
-        """Return a text without the value."""
+        """Return a representation without the value."""
         return "Secret(***)"
 
     def __eq__(self, other: object) -> bool:
@@ -34,11 +34,11 @@
         return isinstance(other, Secret) and self.matches(other._value)
 
     def __hash__(self) -> int:
-        """Return a hash that agrees with equality."""
+        """Return a hash that is consistent with equality."""
         return hash(self._value)
 
     def matches(self, offered: str) -> bool:
-        """Return whether `offered` is the token, in time that tells nothing of it."""
+        """Return whether `offered` equals the token, compared in constant time."""
         return hmac.compare_digest(self._value.encode(), offered.encode())
 
     def reveal(self) -> str:
--- a/plantainyard/settings/tests/test_load.py
+++ b/plantainyard/settings/tests/test_load.py
@@ -1,4 +1,4 @@
-"""Settings: every single fault is found, with its key and its line."""
+"""Tests that every error in settings is reported with its key and its line."""
 
 from pathlib import Path
 
@@ -25,15 +25,15 @@
 token = "0123456789abcdef"
 """
 KEYS = [(section, key) for section in RULES for key in RULES[section]]
-WRONG = st.sampled_from(["-1", "nan", "[]", "{}", "1979-05-27", '""', "1e300"])
+INVALID_VALUES = st.sampled_from(["-1", "nan", "[]", "{}", "1979-05-27", '""', "1e300"])
 
 
-def find_faults(text: str) -> list:
+def find_errors(text: str) -> list:
     return parse_settings(text, "x.toml").unwrap_err()
 
 
 @pytest.mark.parametrize("path", SETTINGS, ids=lambda path: path.stem)
-def test_examples_are_sound(path, tmp_path):
+def test_examples_are_valid(path, tmp_path):
     token_file = tmp_path / "token"
     token_file.write_text("0123456789abcdef\n")
     text = path.read_text().replace("/run/plantainyard/token", str(token_file))
@@ -42,9 +42,9 @@
     assert loaded.security.token.matches("0123456789abcdef")
 
 
-@given(st.sampled_from(KEYS), WRONG)
+@given(st.sampled_from(KEYS), INVALID_VALUES)
 @settings(derandomize=True, deadline=None, max_examples=200)
-def test_wrong_value_is_told_with_key_and_line(key, value):
+def test_invalid_value_is_reported_with_key_and_line(key, value):
     section, name = key
     if (name, value) == ("host", '""'):
         return
@@ -54,19 +54,19 @@
     header = f"[{section}]"
     if header not in kept:
         kept.append(header)
-    place = kept.index(header) + 1
-    kept.insert(place, f"{name} = {value}")
-    faults = find_faults("\n".join(kept))
-    assert [(f.file, f.key, f.line) for f in faults] == [
-        ("x.toml", f"{section}.{name}", place + 1)
+    position = kept.index(header) + 1
+    kept.insert(position, f"{name} = {value}")
+    errors = find_errors("\n".join(kept))
+    assert [(f.file, f.key, f.line) for f in errors] == [
+        ("x.toml", f"{section}.{name}", position + 1)
     ]
-    assert faults[0].expected == RULES[section][name].expected
+    assert errors[0].expected == RULES[section][name].expected
 
 
-def test_all_faults_are_told_at_once():
+def test_all_errors_are_reported_at_once():
     text = MINIMAL.replace('region = "addis"\n', "") + "[logs]\nlevels = 1\n[nope]\n"
     text = text.replace('"http://127.0.0.1:7000"', "7")
-    assert [(f.key, f.line) for f in find_faults(text)] == [
+    assert [(f.key, f.line) for f in find_errors(text)] == [
         ("instance.region", 1),
         ("platform.log", 7),
         ("logs.levels", 12),
@@ -87,24 +87,24 @@
         ("[limits]\nmemory_mb = 20", "memory_mb"),
     ],
 )
-def test_impossible_pair_is_told(extra, key):
-    assert [fault.key.partition(".")[2] for fault in find_faults(MINIMAL + extra)] == [
+def test_incompatible_values_are_reported(extra, key):
+    assert [error.key.partition(".")[2] for error in find_errors(MINIMAL + extra)] == [
         key
     ]
 
 
 @given(st.text(max_size=60))
 @settings(derandomize=True, deadline=None, max_examples=200)
-def test_any_text_gets_faults_and_never_a_crash(text):
-    assert all(fault.line >= 1 for fault in find_faults(text))
+def test_arbitrary_text_yields_errors_without_raising(text):
+    assert all(error.line >= 1 for error in find_errors(text))
 
 
-def test_unreadable_file_and_broken_toml_are_told(tmp_path):
+def test_unreadable_file_and_invalid_toml_are_reported(tmp_path):
     assert "readable" in load_settings(tmp_path / "none").unwrap_err()[0].expected
-    assert find_faults('[instance]\nid = "a\n')[0].line == 2
+    assert find_errors('[instance]\nid = "a\n')[0].line == 2
 
 
-def test_secret_shows_nowhere():
+def test_secret_is_absent_from_repr_and_str():
     loaded = parse_settings(MINIMAL, "x.toml").unwrap()
     assert "0123456789abcdef" not in repr(loaded) + str(loaded.security.token)
     assert loaded.security.token == Secret("0123456789abcdef")
