--- a/plantainyard/protocol/__init__.py
+++ b/plantainyard/protocol/__init__.py
@@ -1,4 +1,4 @@
-"""Messages between the system's own processes, their codec and their names."""
+"""Messages between instances, their codec, and the paths and headers they use."""
 
 from plantainyard.protocol.codec import decode_message, encode_message
 from plantainyard.protocol.constants import (
--- a/plantainyard/protocol/codec.py
+++ b/plantainyard/protocol/codec.py
@@ -1,8 +1,8 @@
-"""JSON codec of the messages between instances, with checks.
+"""JSON codec of the messages between instances, with validation.
 
-A message is one JSON object with its version, its type and its fields. Decoding
-checks each field against the message's annotations and names the first that is
-wrong. Fields that are not known are ignored, so that two versions run side by side.
+A message is a JSON object with its version, its type and its fields. Decoding checks
+each field against the message's annotations and reports the first invalid one. Unknown
+fields are ignored, so that instances of two versions can run side by side.
 """
 
 import json
@@ -18,15 +18,15 @@
 
 __all__ = ["decode_message", "encode_message"]
 
-_STEP = "protocol.decode"
-_TYPES: dict[str, Any] = {kind.__name__: kind for kind in get_args(Message)}
-_HINTS: dict[Any, dict[str, Any]] = {}
+_DECODE_STEP = "protocol.decode"
+_MESSAGE_TYPES: dict[str, Any] = {type_.__name__: type_ for type_ in get_args(Message)}
+_TYPE_HINTS: dict[Any, dict[str, Any]] = {}
 _M = TypeVar("_M")
 
 
 def encode_message(message: Message) -> bytes:
-    """Return `message` as a JSON object in UTF-8, without fields at their default."""
-    fields = _flatten(message)
+    """Return `message` as JSON in UTF-8, without fields that have their default."""
+    fields = _convert_to_json(message)
     envelope = {"version": PROTOCOL_VERSION, "type": type(message).__name__}
     return json.dumps({**envelope, **fields}, separators=(",", ":")).encode()
 
@@ -37,11 +37,11 @@
     Parameters
     ----------
     body : bytes
-        What the peer sent.
+        Body received from the peer.
     expected : type
-        The message's type; another type is an error.
+        Expected type of the message; any other type is an error.
     peer : str
-        The sender, named in the error.
+        The sender, for the error.
 
     Returns
     -------
@@ -56,95 +56,95 @@
     try:
         data = json.loads(body)
     except (ValueError, RecursionError):
-        return _refuse(peer, "body: not JSON")
+        return _build_error(peer, "body: not JSON")
     if not isinstance(data, dict):
-        return _refuse(peer, "body: not an object")
+        return _build_error(peer, "body: not an object")
     if data.get("version") != PROTOCOL_VERSION:
         detail = f"version: {PROTOCOL_VERSION} expected, not {data.get('version')!r}"
-        return _refuse(peer, detail)
-    if _TYPES.get(str(data.get("type"))) is not expected:
+        return _build_error(peer, detail)
+    if _MESSAGE_TYPES.get(str(data.get("type"))) is not expected:
         detail = f"type: {expected.__name__} expected, not {data.get('type')!r}"
-        return _refuse(peer, detail)
+        return _build_error(peer, detail)
     try:
-        return Ok(_read_tuple(data, expected, ""))
+        return Ok(_decode_tuple(data, expected, ""))
     except _FieldError as error:
-        return _refuse(peer, str(error))
+        return _build_error(peer, str(error))
 
 
 class _FieldError(ValueError):
-    """A field that is missing or of a wrong type."""
+    """Raised for a field that is missing or has an invalid value."""
 
 
-def _refuse(peer: str, detail: str) -> Err[CallError]:
-    return Err(CallError(ErrorKind.MALFORMED, _STEP, peer, detail))
+def _build_error(peer: str, detail: str) -> Err[CallError]:
+    return Err(CallError(ErrorKind.MALFORMED, _DECODE_STEP, peer, detail))
 
 
-def _flatten(value: Any) -> Any:
+def _convert_to_json(value: Any) -> Any:
     if hasattr(value, "_asdict"):
         defaults = value._field_defaults
         return {
-            name: _flatten(item)
+            name: _convert_to_json(item)
             for name, item in value._asdict().items()
             if name not in defaults or defaults[name] != item
         }
     if isinstance(value, dict):
-        return {key: _flatten(item) for key, item in value.items()}
+        return {key: _convert_to_json(item) for key, item in value.items()}
     if isinstance(value, tuple | list):
-        return [_flatten(item) for item in value]
+        return [_convert_to_json(item) for item in value]
     return value
 
 
-def _read_tuple(data: Any, kind: Any, path: str) -> Any:
+def _decode_tuple(data: Any, type_: Any, path: str) -> Any:
     if not isinstance(data, dict):
         raise _FieldError(f"{path or 'body'}: not an object")
-    if kind not in _HINTS:
-        _HINTS[kind] = get_type_hints(kind)
+    if type_ not in _TYPE_HINTS:
+        _TYPE_HINTS[type_] = get_type_hints(type_)
     missing = [
         name
-        for name in kind._fields
-        if name not in data and name not in kind._field_defaults
+        for name in type_._fields
+        if name not in data and name not in type_._field_defaults
     ]
     if missing:
         raise _FieldError(f"{path}{missing[0]}: missing")
     fields = {
-        name: _read_value(data[name], hint, f"{path}{name}")
-        for name, hint in _HINTS[kind].items()
+        name: _decode_value(data[name], hint, f"{path}{name}")
+        for name, hint in _TYPE_HINTS[type_].items()
         if name in data
     }
-    return kind(**fields)
+    return type_(**fields)
 
 
-def _read_value(value: Any, hint: Any, path: str) -> Any:
+def _decode_value(value: Any, hint: Any, path: str) -> Any:
     if hint is Any:
         return value
     origin = get_origin(hint) or hint
     arguments = get_args(hint)
     if origin is UnionType:
-        return None if value is None else _read_value(value, arguments[0], path)
+        return None if value is None else _decode_value(value, arguments[0], path)
     if origin is dict:
         if not isinstance(value, dict):
             raise _FieldError(f"{path}: not an object")
-        inner = arguments[1]
-        return {k: _read_value(v, inner, f"{path}.{k}") for k, v in value.items()}
+        item_hint = arguments[1]
+        return {k: _decode_value(v, item_hint, f"{path}.{k}") for k, v in value.items()}
     if origin is tuple:
         if not isinstance(value, list):
             raise _FieldError(f"{path}: not an array")
-        inner = arguments[0]
+        item_hint = arguments[0]
         items = enumerate(value)
-        return tuple(_read_value(v, inner, f"{path}[{n}]") for n, v in items)
+        return tuple(_decode_value(v, item_hint, f"{path}[{i}]") for i, v in items)
     if hasattr(origin, "_fields"):
-        return _read_tuple(value, origin, f"{path}.")
-    return _read_plain(value, origin, path)
+        return _decode_tuple(value, origin, f"{path}.")
+    return _decode_scalar(value, origin, path)
 
 
-def _read_plain(value: Any, kind: Any, path: str) -> Any:
-    if kind is float and isinstance(value, int) and not isinstance(value, bool):
+def _decode_scalar(value: Any, type_: Any, path: str) -> Any:
+    if type_ is float and isinstance(value, int) and not isinstance(value, bool):
         value = float(value)
-    # In Python a bool is an int: without the exact comparison `true` passes as 1.
-    if type(value) is not kind:
-        raise _FieldError(f"{path}: {kind.__name__} expected")
-    if kind is float and not math.isfinite(value):
+    # In Python bool is a subclass of int; an isinstance check would accept `true` as 1.
+    if type(value) is not type_:
+        raise _FieldError(f"{path}: {type_.__name__} expected")
+    if type_ is float and not math.isfinite(value):
         raise _FieldError(f"{path}: not finite")
-    if kind is int and value < -1:
-        raise _FieldError(f"{path}: negative")
+    if type_ is int and value < -1:
+        raise _FieldError(f"{path}: less than -1")
     return value
--- a/plantainyard/protocol/constants.py
+++ b/plantainyard/protocol/constants.py
@@ -1,4 +1,4 @@
-"""Names on the wire between instances and towards callers: paths, headers, limits."""
+"""Paths, headers and limits of the protocol between instances and with callers."""
 
 __all__ = [
     "CREDITS_PATH",
@@ -38,3 +38,4 @@
 UPSTREAM_STATUS_HEADER = "Plantainyard-Upstream-Status"
 
 MAX_HOPS = 2
+"""Greatest number of times that a request may be forwarded between instances."""
--- a/plantainyard/protocol/messages.py
+++ b/plantainyard/protocol/messages.py
@@ -1,8 +1,8 @@
 """Typed messages between instances.
 
-Each message is a `NamedTuple` of plain values, so that `codec` can check it against
-its own annotations. A field added later needs a default: an older peer leaves it
-out, and ignores it when it is sent.
+Each message is a `NamedTuple` of plain values, so that `codec` can validate it against
+its annotations. The names of the classes and fields are part of the protocol. A field
+that is added later needs a default, because older peers neither send nor read it.
 """
 
 from typing import Any, NamedTuple
@@ -25,20 +25,20 @@
 
 
 class RunnerInfo(NamedTuple):
-    """A runner as its rack's owner knows it.
+    """A runner, as known to the owner of its rack.
 
     Attributes
     ----------
     id : str
-        Unique for each start: a runner that was started again has another id.
+        Identifier, unique for each start: a restarted runner has another id.
     service : str
-        Name of the service that it serves.
+        Name of the service that the runner serves.
     address : str
-        Host and port that take requests.
+        Host and port at which the runner accepts requests.
     rack, domain, region : str
-        Where it runs.
+        Rack, failure domain and region in which the runner runs.
     slots, connections : int
-        Requests in progress and connections that it can hold.
+        Greatest number of concurrent requests and of connections.
     """
 
     id: str
@@ -52,14 +52,14 @@
 
 
 class Holding(NamedTuple):
-    """What a gateway holds of one runner.
+    """The credits and requests in progress of a gateway at one runner.
 
     Attributes
     ----------
     limit : int
-        Credits under which the gateway still sends; zero once its lease ended.
+        Number of credits that the gateway may use; zero after their lease expired.
     in_flight : int
-        Requests that may be in progress, the lost ones included.
+        Number of requests that may be in progress, including lost ones.
     """
 
     limit: int
@@ -67,41 +67,41 @@
 
 
 class Heartbeat(NamedTuple):
-    """One instance's word about itself, sent to its peers.
+    """An instance's report of its own state, sent to its peers.
 
     Attributes
     ----------
     instance, domain, region, address, control_address : str
-        Who speaks and where it can be reached.
+        Identity, location and addresses of the sender.
     sequence : int
-        Grows with each heartbeat of one process.
+        Increases with each heartbeat of a process.
     epochs : dict of str to int
-        Racks that the sender commands, with the epoch.
+        Epoch of the sender's ownership, for each rack that it owns.
     offsets : dict of str to int
-        Next offset that the sender has read, for each stream.
+        Next offset that the sender will read, for each stream.
     config_version : int
-        Offset of the newest configuration in force at the sender.
+        Offset of the newest configuration that the sender applies.
     config_age_s : float
-        Seconds since the sender knew that version to be the newest.
+        Seconds since the sender last confirmed that this version is the newest.
     knows_config : bool
-        Whether the sender can tell now that its version is the newest.
+        Whether the sender can currently confirm that its version is the newest.
     live : bool
-        False in a word passed on about an instance that has fallen silent.
+        False in a relayed heartbeat of an instance that has stopped responding.
     list_digest : str
-        Digest of the platform's list as the sender last read it, or was told.
+        Digest of the platform's instance list that the sender last read or received.
     is_relay : bool
-        Whether the sender relays for its domain.
+        Whether the sender is the relay of its failure domain.
     members : tuple of Heartbeat
-        Words about others that are passed on.
+        Relayed heartbeats of other instances.
     domain_ages : dict of str to float
-        For each other domain that the sender knows of, the seconds since its relay
-        was heard.
+        Seconds since a heartbeat of the domain's relay, for each other domain that the
+        sender knows.
     room : dict of str to int
-        Free credits for each service.
+        Number of free credits for each service.
     ready, draining : bool
-        Whether the sender takes requests; whether it is stopping.
+        Whether the sender accepts requests, and whether it is stopping.
     incarnation : str
-        Distinguishes processes that ran under one instance id.
+        Distinguishes successive processes with the same instance id.
     """
 
     instance: str
@@ -127,37 +127,40 @@
 
 
 class InstancesAsk(NamedTuple):
-    """A question for the platform's list as a relay read it."""
+    """A request for the platform's instance list, as last read by a relay.
+
+    `digest` is that of the list that the sender has.
+    """
 
     digest: str
 
 
 class InstancesAnswer(NamedTuple):
-    """The list, one JSON object for each instance; empty where nothing is newer."""
+    """The instance list as JSON objects; empty if the sender's list is current."""
 
     digest: str
     instances: tuple[dict[str, Any], ...] = ()
 
 
 class CreditAsk(NamedTuple):
-    """A gateway's report of what it holds in a rack, and what it wants.
+    """A gateway's report of the credits that it holds and requests in a rack.
 
     Attributes
     ----------
     gateway : str
-        The asking process; another process of the same instance has another name.
+        Name of the sending process, which differs between processes of an instance.
     rack : str
-        Rack whose slots are asked for.
+        Rack whose slots are requested.
     sequence : int
-        Grows with each ask of the gateway for the rack.
+        Increases with each `CreditAsk` of the gateway for the rack.
     demand : dict of str to int
-        Slots wanted for each service, those in use included.
+        Number of slots needed for each service, including those in use.
     holdings : dict of str to Holding
-        For each runner id, what is held at the moment of sending.
+        Holdings at the time of sending, by runner id.
     term : str
-        The owner's term as its last answer named it; empty at first.
+        The owner's term in its last `CreditAnswer`; empty in the first request.
     closing : bool
-        Whether the gateway is stopping and wants nothing any more.
+        Whether the gateway is stopping and needs no more credits.
     """
 
     gateway: str
@@ -170,26 +173,27 @@
 
 
 class CreditAnswer(NamedTuple):
-    """The owner's answer to a `CreditAsk`.
+    """The owner's response to a `CreditAsk`.
 
     Attributes
     ----------
     gateway, rack, sequence
-        Those of the ask; an answer to any but the newest ask is ignored.
+        Copied from the request; the gateway ignores responses to outdated requests.
     granted : bool
-        False where the answerer has no authority: nothing changes.
+        False if the sender has no authority; the gateway's credits are unchanged.
     lease_s : float
-        Length of the lease, counted by the gateway from before its sending.
+        Duration of the lease in seconds; it begins before the gateway sent its request.
     grants : dict of str to int
-        Credits for each runner that takes requests, with zero for none.
+        Number of credits, possibly zero, for each runner that accepts requests.
     runners : tuple of RunnerInfo
-        The rack's runners that the ask doesn't name.
+        Runners of the rack that the request doesn't name.
     leaving : tuple of str
-        Ids of the runners that take nothing new. What is in neither list has ended.
+        Ids of the runners that accept no new requests. A runner in neither `grants` nor
+        `leaving` has terminated.
     reason : str
-        Why nothing was granted, for people.
+        Human-readable reason for which nothing was granted.
     term : str
-        The answerer's present term, to be named in the next ask.
+        The sender's current term, to be repeated in the next `CreditAsk`.
     """
 
     gateway: str
@@ -205,7 +209,7 @@
 
 
 class RecordsAsk(NamedTuple):
-    """A request for log records that the peer has read."""
+    """A request for log records that the receiver has read."""
 
     stream: str
     start: int
@@ -213,7 +217,7 @@
 
 
 class RelayedRecord(NamedTuple):
-    """A record of the log, unchanged."""
+    """A log record, relayed unchanged."""
 
     offset: int
     time_s: float
@@ -221,7 +225,7 @@
 
 
 class RecordsAnswer(NamedTuple):
-    """Log records as read by a peer; `next` is the offset after the last one."""
+    """Log records that a peer has read; `next` is the offset after the last one."""
 
     stream: str
     first: int
@@ -230,26 +234,26 @@
 
 
 class ForwardAsk(NamedTuple):
-    """A caller's request, sent on to a peer.
+    """A caller's request that is forwarded to a peer.
 
     Attributes
     ----------
     request_id, service, team : str
-        As the caller gave them.
+        As specified by the caller.
     urgent, idempotent : bool
-        As the caller gave them.
+        As specified by the caller.
     remaining_s : float
-        Time left until the caller's deadline, at the moment of sending.
+        Seconds left until the caller's deadline at the time of sending.
     hops : int
-        Number of times that the request has been forwarded, this one included.
+        Number of times that the request has been forwarded, including this time.
     origin : str
-        The instance that the caller reached.
+        Instance that received the request from the caller.
     body : str
-        The caller's body in base64.
+        Body of the caller's request in base64.
     content_type : str
-        The body's media type.
+        Media type of the body.
     judged : bool
-        Whether the arbiter of the id, which is the sender, has let it run.
+        Whether the sender is the arbiter of the request id and has admitted it.
     """
 
     request_id: str
@@ -266,9 +270,9 @@
 
 
 class ForwardAnswer(NamedTuple):
-    """The final answer to a `ForwardAsk`, to be handed on unchanged.
+    """The final response to a `ForwardAsk`, to be returned to the caller unchanged.
 
-    `status` is the runner's, or zero where no runner answered.
+    `status` is that of the runner's response, or zero if no runner responded.
     """
 
     request_id: str
--- a/plantainyard/protocol/tests/test_codec.py
+++ b/plantainyard/protocol/tests/test_codec.py
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES)
-def test_messages_survive_the_wire_with_fields_of_a_newer_version(message):
+def test_messages_with_unknown_fields_are_decoded_unchanged(message):
     data = json.loads(encode_message(message)) | {"later": [1]}
     body = json.dumps(data).encode()
     assert decode_message(body, type(message), "p").unwrap() == message
@@ -50,7 +50,7 @@
         ({"demand": []}, "demand"),
     ],
 )
-def test_a_wrong_field_is_named(change, field):
+def test_error_names_the_invalid_field(change, field):
     data = json.loads(encode_message(MESSAGES[0])) | change
     error = decode_message(
         json.dumps(data).encode(), CreditAsk, "10.0.0.1"
@@ -61,10 +61,10 @@
 
 JSON = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=5),
-    lambda inner: (
-        st.lists(inner, max_size=3)
+    lambda children: (
+        st.lists(children, max_size=3)
         | st.dictionaries(
-            st.sampled_from(["sequence", "demand", "holdings", "r1", "limit"]), inner
+            st.sampled_from(["sequence", "demand", "holdings", "r1", "limit"]), children
         )
     ),
     max_leaves=8,
@@ -73,12 +73,12 @@
 
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(st.binary() | JSON.map(lambda value: json.dumps(value).encode()), JSON)
-def test_no_bytes_raise(body, value):
+def test_arbitrary_bytes_never_raise(body, value):
     decode_message(body, CreditAsk, "p")
     data = json.loads(encode_message(MESSAGES[0])) | {"holdings": value}
     decode_message(json.dumps(data).encode(), CreditAsk, "p")
 
 
-def test_only_the_whole_token_is_admitted():
+def test_only_the_complete_token_is_accepted():
     assert check_authorization("Bearer s3", "s3")
     assert not any(check_authorization(h, "s3") for h in ("", "s3", "Bearer s", "é"))
--- a/plantainyard/protocol/tokens.py
+++ b/plantainyard/protocol/tokens.py
@@ -1,4 +1,4 @@
-"""The bearer token that instances share."""
+"""The ``Authorization`` header with the bearer token that instances share."""
 
 import hmac
 
@@ -13,12 +13,13 @@
 
 
 def check_authorization(header: str, token: str) -> bool:
-    """Tell whether `header` carries `token`.
+    """Return whether `header` contains `token`.
 
     Notes
     -----
-    The comparison takes the same time wherever the first difference stands, so that
-    the token can't be found out byte by byte. An empty token admits nobody.
+    The comparison takes constant time, regardless of the position of the first
+    difference, so that the token can't be guessed byte by byte. An empty token matches
+    no header.
 
     Examples
     --------
--- a/plantainyard/relay/__init__.py
+++ b/plantainyard/relay/__init__.py
@@ -1,4 +1,4 @@
-"""Relaying between instances: of their words, the instance list and log records."""
+"""Relaying of heartbeats between failure domains."""
 
 from plantainyard.relay.heartbeats import (
     HeartbeatBatch,
@@ -13,13 +13,13 @@
 )
 
 __all__ = [
+    "HeartbeatBatch",
     "PeerLocation",
     "RelayState",
-    "HeartbeatBatch",
     "choose_targets",
     "confirm_batch",
-    "reset_confirmations",
     "is_relay",
     "list_unconfirmed",
     "record_heartbeat",
+    "reset_confirmations",
 ]
--- a/plantainyard/relay/heartbeats.py
+++ b/plantainyard/relay/heartbeats.py
@@ -1,8 +1,8 @@
-"""What one instance passes on about others, so that no link carries it twice.
+"""Relaying of heartbeats, so that no link between domains carries one twice.
 
-Within a failure domain every instance speaks to every other. Between domains only
-one relay of each speaks; it hands on what changed in its domain since the other
-relay last confirmed, and hands down to its own domain what it heard from others.
+Within a failure domain every instance sends heartbeats to every other. Between domains
+only the relay of each domain does. It forwards the changes in its domain that the other
+relay has not confirmed, and forwards heartbeats of other domains to its own domain.
 """
 
 from collections.abc import Iterable, Mapping
@@ -12,47 +12,47 @@
 from plantainyard.routing.arbiter import rank_names
 
 __all__ = [
+    "HeartbeatBatch",
     "PeerLocation",
     "RelayState",
-    "HeartbeatBatch",
     "choose_targets",
     "confirm_batch",
-    "reset_confirmations",
     "is_relay",
     "list_unconfirmed",
     "record_heartbeat",
+    "reset_confirmations",
 ]
 
-_SPOKEN = ("sequence", "members", "domain_ages", "list_digest", "config_age_s")
+_VOLATILE_FIELDS = ("sequence", "members", "domain_ages", "list_digest", "config_age_s")
 
 
 class PeerLocation(NamedTuple):
-    """An instance that can be spoken to."""
+    """An instance and its failure domain."""
 
     instance: str
     domain: str
 
 
 class HeartbeatBatch(NamedTuple):
-    """Words to pass on, and the version to confirm once they arrived."""
+    """Heartbeats to relay, and the version to confirm after their delivery."""
 
     heartbeats: tuple[Heartbeat, ...]
     version: int
 
 
 class RelayState:
-    """The newest word of each other instance and who has confirmed which.
+    """The newest heartbeat of each instance and the versions that peers confirmed.
 
     Attributes
     ----------
-    words : dict of str to Heartbeat
-        Newest word by instance.
+    heartbeats : dict of str to Heartbeat
+        Newest heartbeat by instance, without its volatile fields.
     versions : dict of str to int
-        Version at which each word changed.
+        Version at which the heartbeat last changed, by instance.
     version : int
-        Grows with each change.
+        Increases with each change of a heartbeat.
     confirmed : dict of str to int
-        Newest version that each peer confirmed.
+        Newest confirmed version by peer.
     """
 
     def __init__(self) -> None:
@@ -63,94 +63,95 @@
 
 
 def rank_relays(domain: str, instances: Iterable[str]) -> list[str]:
-    """Return `instances` of `domain` in the order in which they relay for it."""
+    """Return the `instances` of `domain` in their order of preference as its relay."""
     return rank_names(f"relay.{domain}", instances)
 
 
 def is_relay(instance: str, domain: str, live: Iterable[str]) -> bool:
-    """Tell whether `instance` relays for its domain, given those that live there."""
+    """Return whether `instance` is the relay among the live instances of `domain`."""
     return rank_relays(domain, {*live, instance})[0] == instance
 
 
 def choose_targets(
     own: PeerLocation,
     listed: Iterable[PeerLocation],
-    silent: Mapping[str, int],
+    unanswered: Mapping[str, int],
     acts_as_relay: bool,
 ) -> list[str]:
-    """Return the instances to speak to in this round.
+    """Return the instances to which heartbeats are sent in this round.
 
     Parameters
     ----------
     own : PeerLocation
         This instance.
     listed : iterable of PeerLocation
-        All others that the list does not call gone.
-    silent : mapping of str to int
-        Calls in a row that brought no answer, by instance.
-    relays : bool
-        Whether this instance relays for its domain.
+        All other instances that are not listed as terminated.
+    unanswered : mapping of str to int
+        Number of consecutive calls without a response, by instance.
+    acts_as_relay : bool
+        Whether this instance is the relay of its domain.
 
     Returns
     -------
     list of str
-        All of the own domain, and for a relay one of each other domain: the first in
-        order of relaying among those with the fewest unanswered calls, so that a
-        domain whose relay died is reached through the next.
+        All instances of the own domain and, for a relay, one of each other domain. This
+        is the most preferred relay among the instances with the fewest unanswered
+        calls, so that a domain whose relay has failed is reached through the next one.
     """
     domains: dict[str, list[str]] = {}
     for peer in listed:
         domains.setdefault(peer.domain, []).append(peer.instance)
-    near = domains.pop(own.domain, [])
+    own_domain_peers = domains.pop(own.domain, [])
     if not acts_as_relay:
-        return near
-    far = [
-        min(rank_relays(domain, names), key=lambda name: silent.get(name, 0))
+        return own_domain_peers
+    other_relays = [
+        min(rank_relays(domain, names), key=lambda name: unanswered.get(name, 0))
         for domain, names in sorted(domains.items())
     ]
-    return near + far
+    return own_domain_peers + other_relays
 
 
-def record_heartbeat(state: RelayState, word: Heartbeat) -> bool:
-    """Keep `word` as its instance's newest; return whether it says anything new."""
-    kept = _strip(word)
-    if state.heartbeats.get(word.instance) == kept:
+def record_heartbeat(state: RelayState, heartbeat: Heartbeat) -> bool:
+    """Store `heartbeat` as its instance's newest; return whether it has changed."""
+    stable = _reset_volatile_fields(heartbeat)
+    if state.heartbeats.get(heartbeat.instance) == stable:
         return False
     state.version += 1
-    state.heartbeats[word.instance] = kept
-    state.versions[word.instance] = state.version
+    state.heartbeats[heartbeat.instance] = stable
+    state.versions[heartbeat.instance] = state.version
     return True
 
 
 def list_unconfirmed(
     state: RelayState, peer: str, domains: Iterable[str]
 ) -> HeartbeatBatch:
-    """Return the words about `domains` that `peer` has not confirmed."""
-    wanted = set(domains)
-    known = state.confirmed.get(peer, 0)
-    words = tuple(
-        word
-        for instance, word in state.heartbeats.items()
-        if word.domain in wanted
+    """Return the heartbeats from `domains` that `peer` has not confirmed."""
+    selected_domains = set(domains)
+    confirmed_version = state.confirmed.get(peer, 0)
+    unconfirmed = tuple(
+        heartbeat
+        for instance, heartbeat in state.heartbeats.items()
+        if heartbeat.domain in selected_domains
         and instance != peer
-        and state.versions[instance] > known
+        and state.versions[instance] > confirmed_version
     )
-    return HeartbeatBatch(words, state.version)
+    return HeartbeatBatch(unconfirmed, state.version)
 
 
 def confirm_batch(state: RelayState, peer: str, version: int) -> None:
-    """Note that `peer` has everything up to `version`."""
+    """Record that `peer` has received every change up to `version`."""
     state.confirmed[peer] = max(version, state.confirmed.get(peer, 0))
 
 
 def reset_confirmations(state: RelayState, peer: str) -> None:
-    """Note that `peer` was started anew and knows nothing."""
+    """Record that `peer` has restarted and has lost everything it had confirmed."""
     state.confirmed.pop(peer, None)
 
 
-def _strip(word: Heartbeat) -> Heartbeat:
-    """Leave out what changes with each heartbeat without saying anything new."""
+def _reset_volatile_fields(heartbeat: Heartbeat) -> Heartbeat:
+    """Return `heartbeat` without the fields that change although the state doesn't."""
     defaults = Heartbeat._field_defaults
-    return word._replace(
-        sequence=0, **{name: defaults[name] for name in _SPOKEN if name in defaults}
+    return heartbeat._replace(
+        sequence=0,
+        **{name: defaults[name] for name in _VOLATILE_FIELDS if name in defaults},
     )
--- a/plantainyard/relay/tests/test_heartbeats.py
+++ b/plantainyard/relay/tests/test_heartbeats.py
@@ -12,7 +12,7 @@
 )
 
 
-def _say(instance, domain, version, sequence):
+def _build_heartbeat(instance, domain, version, sequence):
     return Heartbeat(instance, domain, "r", "", "", sequence, config_version=version)
 
 
@@ -22,25 +22,27 @@
         st.tuples(st.integers(0, 4), st.integers(0, 3), st.booleans()), max_size=40
     )
 )
-def test_confirmed_words_are_never_missing_and_never_sent_twice(rounds):
-    # A sending is lost or arrives; a user would see a domain's free slots as they
-    # were minutes ago if a lost change were taken for a delivered one, and a paid
-    # link would carry each word again and again if a delivered one weren't noted.
+def test_confirmed_heartbeats_are_never_missing_and_never_sent_twice(rounds):
+    # Each batch is either lost or delivered. If a lost change counted as delivered,
+    # users would see a domain's free slots as they were minutes ago. If a delivered
+    # change weren't recorded, a metered link would carry it repeatedly.
     state = RelayState()
-    known: dict[str, Heartbeat] = {}
-    for sequence, (member, version, arrives) in enumerate(rounds):
-        record_heartbeat(state, _say(f"i{member}", "d", version, sequence))
+    received: dict[str, Heartbeat] = {}
+    for sequence, (member, version, is_delivered) in enumerate(rounds):
+        record_heartbeat(state, _build_heartbeat(f"i{member}", "d", version, sequence))
         batch = list_unconfirmed(state, "peer", ["d"])
-        if arrives:
-            known.update({word.instance: word for word in batch.heartbeats})
+        if is_delivered:
+            received.update(
+                {heartbeat.instance: heartbeat for heartbeat in batch.heartbeats}
+            )
             confirm_batch(state, "peer", batch.version)
-            assert known == state.heartbeats
+            assert received == state.heartbeats
             assert not list_unconfirmed(state, "peer", ["d"]).heartbeats
 
 
-def test_domain_with_dead_relay_is_reached_through_another():
-    # A domain's relay dies and the list still shows it: callers elsewhere would see
-    # the whole domain as cut off, while its other instances serve.
+def test_domain_with_failed_relay_is_reached_through_another_instance():
+    # Guards against a failed relay that the instance list still contains: callers in
+    # other domains would see its whole domain as cut off although others there serve.
     own = PeerLocation("a1", "a")
     listed = [PeerLocation(name, "b") for name in ("b1", "b2", "b3")]
     (first,) = choose_targets(own, listed, {}, acts_as_relay=True)
@@ -48,7 +50,7 @@
     assert second != first
 
 
-def test_only_relay_speaks_to_other_domains():
+def test_only_relay_sends_to_other_domains():
     own = PeerLocation("a1", "a")
     listed = [PeerLocation("a2", "a"), PeerLocation("b1", "b")]
     assert choose_targets(own, listed, {}, acts_as_relay=False) == ["a2"]
