--- a/plantainyard/clients/log.py
+++ b/plantainyard/clients/log.py
@@ -84,7 +84,7 @@
         return response
     offset = response.ok_value.body.get("offset")
     if not isinstance(offset, int):
-        # The record was appended at an unknown offset; as if there were no response.
+        # The record was appended at an unknown offset, as after a lost response.
         return Err(CallError(ErrorKind.LOST, step, client.peer.address, "no offset"))
     return Ok(offset)
 
--- a/plantainyard/protocol/messages.py
+++ b/plantainyard/protocol/messages.py
@@ -182,7 +182,8 @@
     granted : bool
         False if the sender has no authority; the gateway's credits are unchanged.
     lease_s : float
-        Duration of the lease in seconds; it begins before the gateway sent its request.
+        Duration of the lease in seconds, which the gateway measures from a time before
+        it sent the request.
     grants : dict of str to int
         Number of credits, possibly zero, for each runner that accepts requests.
     runners : tuple of RunnerInfo
--- a/plantainyard/settings/load.py
+++ b/plantainyard/settings/load.py
@@ -97,7 +97,7 @@
         return Err([_build_syntax_error(path, str(error), text)])
     lines = _find_lines(text)
     errors = [
-        _build_error(path, key, _get_line(lines, key), expected)
+        _build_error(path, key, _find_line(lines, key), expected)
         for key, expected in _check_sections(data)
     ]
     if errors:
@@ -105,10 +105,10 @@
     token = _read_token(data["security"], Path(path))
     if isinstance(token, Err):
         key = "security.token_file"
-        return Err([_build_error(path, key, _get_line(lines, key), token.err_value)])
+        return Err([_build_error(path, key, _find_line(lines, key), token.err_value)])
     settings = _build_settings(data, token.ok_value)
     conflicts = [
-        _build_error(path, key, _get_line(lines, key), expected)
+        _build_error(path, key, _find_line(lines, key), expected)
         for section, name, expected in find_conflicts(settings)
         for key in [f"{section}.{name}"]
     ]
@@ -141,7 +141,7 @@
     return lines
 
 
-def _get_line(lines: Lines, key: str) -> int:
+def _find_line(lines: Lines, key: str) -> int:
     section, _, name = key.partition(".")
     candidates = ((section, name), (section, ""), ("", section))
     return next(
--- a/plantainyard/settings/model.py
+++ b/plantainyard/settings/model.py
@@ -145,13 +145,13 @@
     tick_s : float
         Time between two rounds of scheduling decisions.
     heartbeat_s : float
-        Time between two heartbeats to a peer, randomized by up to 10 %.
+        Approximate time between two heartbeats to a peer.
     silence_s : float
         Time without a heartbeat of a peer after which the peer is considered failed.
     log_wait_s : float
         Longest time that a read of the log waits for a new record.
     instances_s : float
-        Time between two reads of the instance list.
+        Approximate time between two reads of the instance list.
     worker_s : float
         Time between two reads of the state of an owned worker.
     stop_s : float
