--- a/plantainyard/execution/__init__.py
+++ b/plantainyard/execution/__init__.py
@@ -1,4 +1,4 @@
-"""Running a rack's tasks on its workers under leases."""
+"""Execution of a rack's tasks on its workers under leases."""
 
 from .commands import (
     LeaseTerms,
--- a/plantainyard/execution/commands.py
+++ b/plantainyard/execution/commands.py
@@ -1,8 +1,8 @@
-"""What a rack's owner asks of one worker at one moment.
+"""Batches of commands from a rack's owner to one of its workers.
 
-A batch of commands is computed from what the log assigns and what the worker
-listed, not from a queue of things to send. So a lost batch needs no bookkeeping:
-the next one is computed from the worker's next answer.
+Each batch is computed from the assignments in the log and the attempts that the worker
+listed, not taken from a queue. A lost batch therefore needs no bookkeeping: the next
+one is computed from the worker's next response.
 """
 
 from collections.abc import Callable, Mapping
@@ -24,16 +24,16 @@
 
 
 class LeaseTerms(NamedTuple):
-    """Lengths that bound what a worker may do without hearing from the owner.
+    """Durations that bound what a worker may do without contact with the owner.
 
     Attributes
     ----------
     lease_s : float
         Length of a task's lease in seconds.
     command_s : float
-        Seconds after which a command that is still on its way does nothing.
+        Seconds after which a command that has not yet been read has no effect.
     drift : float
-        Largest relative difference of clock speeds.
+        Largest relative difference between clock rates.
     """
 
     lease_s: float = 10.0
@@ -51,20 +51,20 @@
     terms: LeaseTerms,
     now: float,
 ) -> Commands:
-    """Return the commands that bring the worker to what the log assigns.
+    """Return the commands that bring the worker in line with the log's assignments.
 
     Parameters
     ----------
     view : WorkerView
-        A known view.
+        A view whose worker has answered in this term.
     assigned : mapping of TaskKey to Assignment
-        What the log assigns to this worker.
+        Tasks that the log assigns to this worker.
     cancelled : frozenset of TaskKey
         Assigned tasks whose job is cancelled.
     find_job : callable
-        Looks a job up by its id.
+        Returns the job with a given id, or None.
     epoch, holder : int, str
-        Fence under which the commands are sent.
+        Fencing token under which the commands are sent.
     terms : LeaseTerms
         Lengths of leases and commands.
     now : float
@@ -72,26 +72,26 @@
 
     Notes
     -----
-    Every lease end and the batch's `not_after` are on the worker's clock: a batch
-    that sat in the socket of a frozen worker finds its time over when it is read.
+    Every lease end and the batch's `not_after` are on the worker's clock, so that a
+    batch that waited in the socket of a frozen worker has expired when it is read.
     """
     clock = estimate_clock(view, now)
     until = clock + terms.lease_s
-    wanted = {AttemptKey(task, a.attempt): a for task, a in assigned.items()}
-    kept = [k for k in view.running if k in wanted and k.task not in cancelled]
-    absent = [
+    assignments = {AttemptKey(task, a.attempt): a for task, a in assigned.items()}
+    kept = [k for k in view.running if k in assignments and k.task not in cancelled]
+    missing = [
         key
-        for key in wanted
+        for key in assignments
         if key not in view.running
         and key not in view.finished
         and key not in view.seen_attempts
-        and wanted[key].incarnation in (-1, view.incarnation)
+        and assignments[key].incarnation in (-1, view.incarnation)
         and key.task not in cancelled
         and not view.info.leaving
     ]
     starts = [
-        _build_start(key, wanted[key], job, until)
-        for key in absent
+        _build_start(key, assignments[key], job, until)
+        for key in missing
         if (job := find_job(key.task.job)) is not None
     ]
     return Commands(
@@ -104,7 +104,7 @@
         stop=tuple(
             TaskAttempt(*key)
             for key in view.running
-            if key not in wanted or key.task in cancelled
+            if key not in assignments or key.task in cancelled
         ),
         checkpoint=tuple(TaskAttempt(*key) for key in view.evictions if key in kept),
         throttle=tuple(
@@ -112,29 +112,29 @@
             for key, share in view.throttles.items()
             if key in view.running and view.running[key].throttle != share
         ),
-        ack=tuple(TaskAttempt(*key) for key in view.finished if key not in wanted),
+        ack=tuple(TaskAttempt(*key) for key in view.finished if key not in assignments),
     )
 
 
 def keep_only_renewals(commands: Commands) -> Commands:
-    """Return what a caretaker may ask: leases renewed, nothing started or ended."""
+    """Return the part that a caretaker may send: renewals, no starts and no stops."""
     return commands._replace(start=(), stop=(), checkpoint=(), throttle=(), ack=())
 
 
 def withhold_leases(commands: Commands) -> Commands:
-    """Return what a silent worker is asked: nothing that lengthens a lease.
+    """Return the commands without those that extend a lease, for a silent worker.
 
     Notes
     -----
-    Guards against an attempt that never counts as ended. The failure: a worker is
-    cut off, the owner goes on sending renewals that might arrive, so the greatest
-    lease end that it sent keeps growing and the task is never started elsewhere.
+    Guards against an attempt that never counts as ended: a worker is cut off, and the
+    owner keeps sending renewals that might arrive. The latest lease end that it sent
+    would keep growing, and the task would never be started elsewhere.
     """
     return commands._replace(start=(), renew=())
 
 
 def record_sent_leases(view: WorkerView, commands: Commands) -> None:
-    """Remember the lease ends that are about to be sent."""
+    """Record in the view the lease ends that are about to be sent."""
     for renewal in commands.renew:
         record_lease_end(view, AttemptKey(renewal.task, renewal.attempt), renewal.until)
     for start in commands.start:
--- a/plantainyard/execution/events.py
+++ b/plantainyard/execution/events.py
@@ -1,4 +1,4 @@
-"""Events and actions of a rack's step."""
+"""Events that `step` takes for a rack, and the actions that it returns."""
 
 from typing import NamedTuple
 
@@ -24,14 +24,14 @@
 
 
 class WorkersListed(NamedTuple):
-    """The rack's workers, by the lagging list and the operators' word.
+    """The rack's workers, from the delayed instance list and operators' settings.
 
     Attributes
     ----------
     workers : tuple of WorkerInfo
         Workers that are live or leaving.
-    gone : frozenset of str
-        Identifiers of workers vouched to run nothing any more.
+    terminated : frozenset of str
+        Ids of workers that are guaranteed to run nothing any more.
     """
 
     workers: tuple[WorkerInfo, ...]
@@ -39,7 +39,19 @@
 
 
 class WorkerAnswered(NamedTuple):
-    """A worker answered; `sent_at` is the owner's clock before the sending."""
+    """A worker responded to a call.
+
+    Attributes
+    ----------
+    worker : str
+        Id of the worker.
+    answer : WorkerAnswer
+        Its response.
+    sent_at : float
+        Owner's clock just before the call was sent.
+    fencing : bool
+        Whether the call carried commands under the owner's epoch.
+    """
 
     worker: str
     answer: WorkerAnswer
@@ -48,18 +60,18 @@
 
 
 class CallFailed(NamedTuple):
-    """A call to a worker brought no answer."""
+    """A call to a worker failed without a response."""
 
     worker: str
     error: CallError
 
 
 class Tick(NamedTuple):
-    """Time has passed or the log's view has advanced."""
+    """Time has passed, or records of the log were folded."""
 
 
 class Call(NamedTuple):
-    """Send `commands` to a worker, or read its state where they are None."""
+    """Send `commands` to a worker, or read its state if they are None."""
 
     worker: str
     address: str
@@ -67,20 +79,20 @@
 
 
 class AppendResults(NamedTuple):
-    """Write ended attempts to the log as one record."""
+    """Append the results of ended attempts to the log as one record."""
 
     items: tuple[ResultItem, ...]
 
 
 class Fenced(NamedTuple):
-    """A worker accepted the epoch in a call sent at `sent_at`."""
+    """A worker accepted the epoch in a call that was sent at `sent_at`."""
 
     worker: str
     sent_at: float
 
 
 class Superseded(NamedTuple):
-    """A worker holds a newer epoch: another instance has taken the rack."""
+    """A worker holds a newer epoch: another instance has taken over the rack."""
 
     worker: str
     epoch: int
--- a/plantainyard/execution/planning.py
+++ b/plantainyard/execution/planning.py
@@ -1,9 +1,9 @@
-"""Keeps a rack's placement policy in step with the log and the workers.
+"""Synchronization of a rack's placement policy with the log and the workers.
 
-The policy decides from events. Here the folded records of the log and the answers
-of the workers become those events, and the policy's actions become items for the
-log and wishes for the workers. A new owner feeds the whole rack with `load_rack`
-and then each record with `process_record`.
+The policy decides from events. This module translates folded records of the log and
+responses of the workers into these events, and the policy's actions into items for the
+log and requests to the workers. A new owner passes the state of the whole rack to the
+policy with `load_rack` and then each record with `process_record`.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -45,20 +45,21 @@
     "withdraw_placements",
 ]
 
-_SUSPECT_AFTER = 2
+_SUSPECT_FAILURES = 2
+"""Consecutive failed calls after which a worker is reported as suspect."""
 
 
 class Decision(NamedTuple):
-    """What one round of the policy asks of the log.
+    """Records that one round of the policy requests in the log.
 
     Attributes
     ----------
     assign : tuple of AssignItem
-        Attempts to be written down, then started.
-    give_up : tuple of placement.GiveUp
-        Jobs that failed everywhere; they are to be cancelled.
-    notes : tuple
-        Other actions of the policy, for the logs.
+        Attempts to be recorded in the log and then started.
+    abandoned : tuple of placement.GiveUp
+        Jobs that failed on every worker tried and are to be cancelled.
+    other_actions : tuple
+        Other actions of the policy, which are only logged.
     """
 
     assign: tuple[AssignItem, ...] = ()
@@ -67,13 +68,22 @@
 
 
 class Recording:
-    """The deciding events of a term, as lines that replay to the same decisions.
+    """A term's policy events, as lines whose replay gives the same decisions.
 
     Parameters
     ----------
     limit_bytes : int
-        Bound on the lines together; past it the recording ends, since one without its
-        beginning replays to nothing.
+        Maximum total size of the lines. At this size the recording ends instead of
+        dropping its oldest lines, because it can't be replayed without its beginning.
+
+    Attributes
+    ----------
+    lines : list of str
+        Recorded lines.
+    size : int
+        Total length of the lines.
+    complete : bool
+        Whether no line has been left out.
     """
 
     def __init__(self, limit_bytes: int) -> None:
@@ -84,7 +94,7 @@
 
 
 def record_line(recording: Recording, line: str) -> None:
-    """Keep a line of a recording, as long as there is room."""
+    """Append a line to the recording unless that exceeds its size limit."""
     if not recording.complete or recording.size + len(line) > recording.limit_bytes:
         recording.complete = False
         return
@@ -93,7 +103,7 @@
 
 
 def create_plan(record_bytes: int) -> "PlanState":
-    """Return a fresh plan, recorded where `record_bytes` is above zero."""
+    """Return a new plan, with a recording if `record_bytes` is above zero."""
     if not record_bytes:
         return PlanState(placement.create_state())
     recording = Recording(record_bytes)
@@ -106,22 +116,24 @@
 
 
 class PlanState:
-    """The policy of one rack under one term.
+    """The placement policy of one rack during one term.
 
     Attributes
     ----------
     policy : placement.PlacementState
         The policy's own state.
     step : callable
-        Advances the policy, and records it where that is wanted.
+        Advances the policy, and records the event if there is a recording.
     recording : Recording or None
-        What was recorded since the term began.
+        Recording of the events since the term began.
     pending : dict of TaskKey to AssignItem
         Placements whose record is not folded yet.
     suspects : set of str
-        Workers that the policy was told not to use.
-    reasons : dict of str to placement.HoldBack
-        For each job, why its next task waits.
+        Workers that were reported to the policy as suspect.
+    wait_reasons : dict of str to placement.HoldBack
+        For each job, why its next task is waiting.
+    workers : tuple of WorkerInfo
+        Workers that were last reported to the policy.
     """
 
     def __init__(
@@ -140,7 +152,7 @@
 
 
 def load_rack(plan: PlanState, domain: DomainState, rack: str, now: float) -> None:
-    """Feed the policy with all that the log says of `rack`.
+    """Pass the state of `rack` in the log to the policy.
 
     Notes
     -----
@@ -161,8 +173,8 @@
 
 
 def _add_waiting(plan: PlanState, entry: JobState, rack: str, now: float) -> None:
-    fresh = entry.unattempted.get(rack)
-    for first, stop in list_ranges(fresh) if fresh else ():
+    unattempted = entry.unattempted.get(rack)
+    for first, stop in list_ranges(unattempted) if unattempted else ():
         waiting = placement.TasksWaiting(entry.job, first, stop, 1, now)
         plan.step(plan.policy, waiting, now)
     for number, retry in entry.retries.get(rack, {}).items():
@@ -186,7 +198,7 @@
     change: FoldResult,
     now: float,
 ) -> None:
-    """Feed the policy with one record that was just folded into `domain`.
+    """Pass one record that was just folded into `domain` to the policy.
 
     Parameters
     ----------
@@ -199,13 +211,13 @@
     data : Mapping
         The record.
     change : FoldResult
-        Its verdict.
+        Result of folding the record.
     now : float
         Owner's clock in seconds.
     """
     if change.parts:
-        for part, verdict in zip(data["records"], change.parts, strict=True):
-            process_record(plan, domain, rack, part, verdict, now)
+        for part, part_change in zip(data["records"], change.parts, strict=True):
+            process_record(plan, domain, rack, part, part_change, now)
         return
     if change.type == RecordType.ASSIGN and data.get("rack") == rack:
         _process_assign(plan, domain, data, change, now)
@@ -240,7 +252,9 @@
         del plan.pending[task]
         entry = domain.jobs.get(task.job)
         if AttemptKey(task, attempt) in void or not change.applied or entry is None:
-            _end(plan, task, attempt, worker, placement.Outcome.UNPLACED, "", now)
+            _report_end(
+                plan, task, attempt, worker, placement.Outcome.UNPLACED, "", now
+            )
         else:
             started = placement.TaskStarted(entry.job, task.number, attempt, worker)
             plan.step(plan.policy, started, now)
@@ -262,7 +276,7 @@
         cancelled = entry is None or entry.cancelled
         if cancelled and outcome != placement.Outcome.DONE:
             outcome = placement.Outcome.CANCELLED
-        _end(plan, task, attempt, "", outcome, detail, now)
+        _report_end(plan, task, attempt, "", outcome, detail, now)
 
 
 def _process_move(
@@ -282,7 +296,7 @@
             _add_waiting(plan, domain.jobs[job], rack, now)
 
 
-def _end(
+def _report_end(
     plan: PlanState,
     task: TaskKey,
     attempt: int,
@@ -296,7 +310,7 @@
 
 
 def update_workers(plan: PlanState, rack: RackState, now: float) -> None:
-    """Tell the policy which workers may take tasks, and which are in doubt."""
+    """Report to the policy which workers may take tasks and which are suspect."""
     workers = tuple(
         view.info
         for view in rack.views.values()
@@ -314,13 +328,13 @@
 
 
 def _is_trusted(view: WorkerView) -> bool:
-    return view.fenced and view.failures < _SUSPECT_AFTER
+    return view.fenced and view.failures < _SUSPECT_FAILURES
 
 
 def process_usage(
     plan: PlanState, view: WorkerView, usage: Iterable[Usage], now: float
 ) -> None:
-    """Feed a worker's late reports to the policy, at the times they are about."""
+    """Pass a worker's delayed usage reports to the policy, with the times measured."""
     shift = view.heard_at - view.clock_s
     for report in usage:
         event = placement.UsageReported(
@@ -335,12 +349,12 @@
 
 
 def decide(plan: PlanState, rack: RackState, now: float) -> Decision:
-    """Let the policy decide, and note what it wants of running tasks.
+    """Run one round of the policy and record its requests for running tasks.
 
     Returns
     -------
     Decision
-        What has to be written to the log.
+        Records to be appended to the log.
     """
     actions = plan.step(plan.policy, placement.Tick(), now)
     assign = tuple(
@@ -351,27 +365,27 @@
     plan.pending.update({item.task: item for item in assign})
     for action in actions:
         _record_action(plan, rack, action)
-    known = (placement.Place, placement.HoldBack, placement.GiveUp)
+    handled = (placement.Place, placement.HoldBack, placement.GiveUp)
     return Decision(
         assign,
         tuple(a for a in actions if isinstance(a, placement.GiveUp)),
-        tuple(a for a in actions if not isinstance(a, known)),
+        tuple(a for a in actions if not isinstance(a, handled)),
     )
 
 
 def withdraw_placements(
     plan: PlanState, items: Iterable[AssignItem], now: float
 ) -> None:
-    """Let the policy place `items` anew, whose record never gets into the log.
+    """Let the policy place `items` again, whose record was not appended to the log.
 
     Notes
     -----
-    Guards against tasks that wait for ever: in a long outage the backlog of appends is
-    full, the record is refused, and the policy goes on waiting for its verdict.
+    Guards against tasks that wait forever: in a long outage the backlog of appends is
+    full, the record is rejected, and the policy would keep waiting for its result.
     """
     for item in items:
         if plan.pending.pop(item.task, None) is not None:
-            _end(plan, *item[:3], placement.Outcome.UNPLACED, "", now)
+            _report_end(plan, *item[:3], placement.Outcome.UNPLACED, "", now)
 
 
 def _record_action(plan: PlanState, rack: RackState, action: placement.Action) -> None:
--- a/plantainyard/execution/rack.py
+++ b/plantainyard/execution/rack.py
@@ -1,8 +1,8 @@
-"""Runs the tasks of one rack on its workers, under one term of ownership.
+"""Execution of the tasks of one rack on its workers, under one term of ownership.
 
-`step` is the entry point. What should run is what the log assigns; what runs is
-what the workers say. The step compares the two and closes the difference: it
-starts, renews, stops and acknowledges, and reports ended attempts to the log.
+`step` is the entry point. It compares the assignments in the log (the desired state)
+with the lists that the workers report (the actual state) and reconciles them: it
+starts, renews, stops and acknowledges attempts, and reports ended ones to the log.
 """
 
 import itertools
@@ -45,35 +45,53 @@
 __all__ = ["RackState", "unmark_reported", "step"]
 
 _RESEND_S = 0.5
-_SILENT_AFTER = 3
+"""Longest interval in seconds between calls while a worker has requests pending."""
+
+_SILENT_FAILURES = 3
+"""Consecutive failed calls after which a worker counts as silent."""
+
 _RETRY_S = 0.5
-_MARGIN_S = 0.02
-_SHORTEST_S = 0.1
+"""Backoff in seconds that doubles with each consecutive failed call."""
+
+_END_MARGIN_S = 0.02
+"""Seconds between a task's expected end and the call that reads its result."""
+
+_MIN_END_DELAY_S = 0.1
+"""Shortest delay in seconds of a call that reads the result of a short task."""
+
 _RETRY_MAX_S = 4.0
+"""Upper bound in seconds of the backoff after failed calls."""
 
 
 class RackState:
-    """One term of one rack at its owner.
+    """State of one rack during one term of its owner.
 
     Attributes
     ----------
     rack, holder : str
-        The rack and this instance.
+        The rack, and the name of this process.
     epoch : int
-        Fence of this term.
+        Fencing token of this term.
+    terms : LeaseTerms
+        Lengths of leases and commands.
+    sync_s : float
+        Regular interval in seconds between calls to a worker.
     caretaker : bool
-        True while this instance only keeps a silent owner's work alive: it renews
-        and stops, and starts nothing.
+        Whether this instance is a caretaker, which stands in for an owner that became
+        silent while the log is out: it renews the leases of that owner's tasks, and
+        starts and stops nothing.
     views : dict
-        What is known of each worker.
+        View of each worker, by its id.
     confirmed_at : float
-        Owner's clock; a majority of the workers accepted its epoch since.
+        Latest time on the owner's clock at which a majority of the workers is known to
+        have accepted its epoch.
     has_majority : bool
-        Whether a majority ever accepted it.
+        Whether a majority has ever accepted the epoch.
     reported : set of AttemptKey
-        Attempts whose end is on its way to the log.
-    spared : frozenset of TaskKey
-        Runners of cancelled services that still have requests; not yet stopped.
+        Attempts whose result has been submitted to the log but is not folded yet.
+    draining_runners : frozenset of TaskKey
+        Runners of cancelled services that may still serve requests and are not stopped
+        yet.
     """
 
     def __init__(
@@ -108,17 +126,17 @@
     state : RackState
         Changed in place.
     domain : DomainState
-        The folded stream of the failure domain, read only. It must include the
-        record that began this term.
+        The folded stream of the failure domain, which is not changed. It must include
+        the record that began this term.
     event : Event
-        What happened.
+        The event.
     now : float
         Owner's clock in seconds.
 
     Returns
     -------
     list of Action
-        To be carried out in order.
+        Actions to be carried out in this order.
 
     Notes
     -----
@@ -136,12 +154,12 @@
 
 
 def unmark_reported(state: RackState, items: Iterable[ResultItem]) -> None:
-    """Let ended attempts be told again, whose record never gets into the log.
+    """Allow results to be reported again whose record was not appended to the log.
 
     Notes
     -----
     Guards against results that are lost in a long outage of the log: the backlog of
-    appends is full and refuses them, while workers keep them until acknowledged.
+    appends is full and rejects them, while workers keep them until acknowledged.
     """
     state.reported -= {AttemptKey(item.task, item.attempt) for item in items}
 
@@ -172,16 +190,16 @@
     view.call_in_flight = False
     view.failures = 0
     update_view(view, answer.state, now)
-    fence = (answer.state.epoch, answer.state.holder)
+    worker_fence = (answer.state.epoch, answer.state.holder)
     if answer.accepted and fencing:
         view.fenced = True
         view.accepted_at = sent_at
         return [Fenced(worker, sent_at)]
     if answer.state.epoch > state.epoch or (
-        fence[0] == state.epoch and fence[1] != state.holder
+        worker_fence[0] == state.epoch and worker_fence[1] != state.holder
     ):
         view.fenced = False
-        return [Superseded(worker, *fence)]
+        return [Superseded(worker, *worker_fence)]
     return []
 
 
@@ -238,8 +256,8 @@
 ) -> list[Action]:
     open_keys = {AttemptKey(task, a.attempt): a for task, a in assigned.items()}
     state.reported &= open_keys.keys()
-    for known in state.views.values():
-        _prune_view(known, open_keys.keys())
+    for worker_view in state.views.values():
+        _prune_view(worker_view, open_keys.keys())
     items = [
         item
         for key, assignment in open_keys.items()
@@ -268,7 +286,7 @@
     view: WorkerView,
     assigned: Mapping[TaskKey, Assignment],
     cancelled: frozenset[TaskKey],
-    look_up: Callable[[str], Job | None],
+    find_job: Callable[[str], Job | None],
     now: float,
 ) -> Call | None:
     if view.call_in_flight or view.terminated:
@@ -282,7 +300,7 @@
         view,
         assigned,
         cancelled,
-        look_up,
+        find_job,
         state.epoch,
         state.holder,
         state.terms,
@@ -291,16 +309,16 @@
     if state.caretaker:
         commands = keep_only_renewals(commands)
     if state.caretaker and not state.has_majority:
-        # The owner may still be accepted elsewhere and count a lease as over.
+        # Other workers may still accept the owner, which may consider a lease expired.
         commands = withhold_leases(commands)
-    if view.failures >= _SILENT_AFTER:
+    if view.failures >= _SILENT_FAILURES:
         commands = withhold_leases(commands)
-    work = _summarize_changes(commands)
-    is_new = bool(work) and work != view.last_changes
-    if not is_new and view.fenced and now < _find_next_call_time(state, view, work):
+    changes = _summarize_changes(commands)
+    is_new = bool(changes) and changes != view.last_changes
+    if not is_new and view.fenced and now < _find_next_call_time(state, view, changes):
         return None
     view.call_in_flight = True
-    view.last_changes = work
+    view.last_changes = changes
     view.called_at = now
     view.expected_end_at = _estimate_first_end(commands, now)
     record_sent_leases(view, commands)
@@ -308,19 +326,22 @@
 
 
 def _find_next_call_time(
-    state: RackState, view: WorkerView, work: frozenset[object]
+    state: RackState, view: WorkerView, changes: frozenset[object]
 ) -> float:
-    pause_s = min(_RESEND_S, state.sync_s) if work else state.sync_s
+    pause_s = min(_RESEND_S, state.sync_s) if changes else state.sync_s
     return min(view.called_at + pause_s, view.expected_end_at)
 
 
 def _estimate_first_end(commands: Commands, now: float) -> float:
     """Return when the first of the tasks just started should have ended.
 
-    A rack of short tasks would otherwise stand idle until the next regular call.
+    The worker is called again at that time: a rack of short tasks would otherwise be
+    idle until the next regular call.
     """
     runs = [s.run_s for s in commands.start if not s.latency_critical]
-    return now + max(min(runs) + _MARGIN_S, _SHORTEST_S) if runs else float("inf")
+    return (
+        now + max(min(runs) + _END_MARGIN_S, _MIN_END_DELAY_S) if runs else float("inf")
+    )
 
 
 def _summarize_changes(commands: Commands) -> frozenset[object]:
--- a/plantainyard/execution/results.py
+++ b/plantainyard/execution/results.py
@@ -1,4 +1,4 @@
-"""When an attempt has ended, as its worker's word or its silence tells."""
+"""Results of attempts, from the worker's reports or from expired leases."""
 
 from plantainyard.clients import FinishedTask
 from plantainyard.state import (
@@ -21,24 +21,24 @@
     confirmed_at: float,
     drift: float,
 ) -> ResultItem | None:
-    """Return how an assigned attempt has ended, None where it may go on.
+    """Return the result of an assigned attempt, or None if it may still run.
 
     Parameters
     ----------
     view : WorkerView
-        What is known of its worker.
+        View of the worker to which the attempt is assigned.
     key : AttemptKey
         The attempt.
     assignment : Assignment
-        What the log says of it.
+        The attempt's assignment in the log.
     confirmed_at : float
-        Owner's clock at which a majority last confirmed the owner.
+        Owner's clock at which a majority of the workers last confirmed the owner.
     drift : float
-        Largest relative difference of clock speeds.
+        Largest relative difference between clock rates.
     """
     finished = view.finished.get(key)
     if finished is not None:
-        return _translate_end(finished)
+        return _build_result(finished)
     if has_lapsed(view, key, confirmed_at, drift):
         return ResultItem(*key, Outcome.LAPSED, "lease over")
     if _was_lost_by_restart(view, key, assignment):
@@ -48,7 +48,7 @@
     return None
 
 
-def _translate_end(finished: FinishedTask) -> ResultItem:
+def _build_result(finished: FinishedTask) -> ResultItem:
     key = AttemptKey(finished.task, finished.attempt)
     if finished.outcome == _STOPPED:
         return ResultItem(*key, Outcome.EVICTED, "")
@@ -58,17 +58,17 @@
 def _was_lost_by_restart(
     view: WorkerView, key: AttemptKey, assignment: Assignment
 ) -> bool:
-    """Tell whether a restarted worker may have run the attempt and forgotten it.
+    """Return whether a restarted worker may have run and lost the attempt.
 
     Notes
     -----
     Guards against resuming twice from a checkpoint: the former owner's start arrived,
-    then the worker restarted, and a new owner finds the attempt assigned and not
-    listed. Nobody starts it now, for the worker accepted this epoch.
+    then the worker restarted, and a new owner finds the attempt assigned but not
+    listed. No other instance can start it now, because the worker accepted this epoch.
     """
     listed = key in view.running or key in view.finished
-    known = view.fenced and assignment.incarnation >= 0
-    return known and not listed and view.incarnation != assignment.incarnation
+    comparable = view.fenced and assignment.incarnation >= 0
+    return comparable and not listed and view.incarnation != assignment.incarnation
 
 
 def _was_never_started(view: WorkerView, key: AttemptKey) -> bool:
--- a/plantainyard/execution/tests/test_planning.py
+++ b/plantainyard/execution/tests/test_planning.py
@@ -14,15 +14,16 @@
 
 
 def test_recorded_plan_replays_to_the_same_decisions():
+    # Guards against a recording from which decisions can't be reproduced.
     plan = create_plan(1_000_000)
     assert _drive(plan)
     assert plan.recording is not None and plan.recording.complete
     assert replay_recording(plan.recording.lines) == []
 
 
-def test_recording_that_is_full_says_that_it_is_not_whole():
-    # An operator replays a recording that left out its middle and is shown decisions
-    # that the daemon never made.
+def test_full_recording_is_marked_as_incomplete():
+    # Guards against showing an operator who replays a recording with missing lines
+    # decisions that the daemon never made.
     plan = create_plan(600)
     _drive(plan)
     assert plan.recording is not None
--- a/plantainyard/execution/views.py
+++ b/plantainyard/execution/views.py
@@ -1,8 +1,8 @@
-"""What a rack's owner knows of one worker.
+"""The state of one worker as its rack's owner knows it.
 
-The owner's knowledge comes only from the worker's answers; between answers the
-worker's clock is estimated from the owner's. `has_lapsed` is the one place that
-decides that a lease is over without hearing so.
+The owner's knowledge comes only from the worker's responses; between responses the
+worker's clock is estimated from the owner's. `has_lapsed` is the only function that
+decides that a lease has expired without a report from the worker.
 """
 
 from typing import NamedTuple
@@ -34,34 +34,41 @@
     Attributes
     ----------
     info : WorkerInfo
-        As the platform's instance list describes the worker.
-    gone : bool
-        The platform or an operator vouches that the worker runs nothing any more.
+        The worker's entry in the platform's instance list.
+    terminated : bool
+        Whether the platform or an operator guarantees that the worker no longer runs
+        anything.
     has_answered : bool
-        The worker has answered in this term, so `clock_s` and the lists are real.
+        Whether the worker has responded in this term, so that `clock_s` and the lists
+        are valid.
     fenced : bool
-        The worker accepted this term's epoch.
+        Whether the worker has accepted this term's epoch.
     accepted_at : float
-        Owner's clock before sending the last accepted command.
+        Owner's clock just before the last accepted batch of commands was sent.
+    incarnation : int
+        Incarnation of the worker in its last response, -1 before the first.
     clock_s, heard_at : float
-        Worker's clock in its last answer and the owner's clock on receiving it.
-    calling : bool
-        A call is in flight; at most one is, so answers arrive in order.
+        Worker's clock in its last response, and the owner's clock when that arrived.
+    call_in_flight : bool
+        Whether a call is in flight. At most one is, so responses arrive in order.
     next_call_at, called_at : float
-        Owner's clock: no call before, after failures; and the last call.
+        Owner's clock: the earliest time of the next call after failures, and the time
+        of the last call.
     expected_end_at : float
-        When the first of the tasks that were just started should have ended.
+        Owner's clock at which the first of the tasks just started should have ended.
     last_changes : frozenset
-        What the last call asked for beyond renewals.
+        What the last call requested beyond lease renewals.
+    failures : int
+        Consecutive failed calls.
     throttles, evictions : dict, set
-        What the policy wants of running attempts.
+        Throttling and evictions of running attempts that the policy requests.
     running, finished : dict
-        Last answered lists by attempt.
+        The lists in the worker's last response, by attempt.
     lease_ends : dict
-        For each attempt the greatest lease end that was ever sent or shown, on the
-        worker's clock.
-    seen : set of AttemptKey
-        Attempts that were listed by the worker in its present incarnation.
+        For each attempt, the latest lease end that was ever sent to or reported by the
+        worker, on the worker's clock.
+    seen_attempts : set of AttemptKey
+        Attempts that the worker has listed or may have started and that are still open.
     """
 
     def __init__(self, info: WorkerInfo) -> None:
@@ -88,35 +95,35 @@
 
 
 def estimate_clock(view: WorkerView, now: float, drift: float = 0.0) -> float:
-    """Return the worker's clock at the owner's time `now`.
+    """Return an estimate of the worker's clock at the owner's time `now`.
 
     Parameters
     ----------
     view : WorkerView
-        A view that is `has_answered`.
+        A view whose worker has answered in this term.
     now : float
         Owner's clock in seconds.
     drift : float
-        Largest relative difference of the two clocks' speeds; the result is a lower
-        bound of the worker's clock when it is given.
+        Largest relative difference between the rates of the two clocks. If it is
+        given, the result is a lower bound of the worker's clock.
     """
     passed_s = now - view.heard_at
     return view.clock_s + passed_s * (1.0 - drift if passed_s > 0.0 else 1.0 + drift)
 
 
 def record_lease_end(view: WorkerView, key: AttemptKey, until: float) -> None:
-    """Remember that the worker may hold `key` until `until` on its clock."""
+    """Record that the worker may run `key` until `until` on the worker's clock."""
     view.lease_ends[key] = max(until, view.lease_ends.get(key, until))
 
 
 def reset_incarnation(view: WorkerView, incarnation: int) -> None:
-    """Start over with a worker that was restarted; its earlier attempts ended.
+    """Reset the view of a restarted worker, whose earlier attempts have ended.
 
     Notes
     -----
-    Guards against resuming twice from a checkpoint: the answer to a start is lost, the
-    worker restarts and has forgotten that it ran. An attempt that may have been started
-    there is over, whether it was listed or not.
+    Guards against resuming twice from a checkpoint: the response to a start is lost,
+    and the worker restarts and no longer lists the attempt. Any attempt that may have
+    been started before the restart counts as ended, whether it was listed or not.
     """
     view.seen_attempts.update(view.lease_ends)
     view.incarnation = incarnation
@@ -126,16 +133,16 @@
 
 
 def update_view(view: WorkerView, state: WorkerState, now: float) -> None:
-    """Take over the lists and the clock of a worker's answer.
+    """Update the view with the lists and the clock of a worker's response.
 
     Parameters
     ----------
     view : WorkerView
         Changed in place.
     state : WorkerState
-        The worker's answer.
+        The state in the response.
     now : float
-        Owner's clock on receiving it.
+        Owner's clock when the response arrived.
     """
     if state.incarnation != view.incarnation:
         reset_incarnation(view, state.incarnation)
@@ -153,7 +160,7 @@
 def has_lapsed(
     view: WorkerView, key: AttemptKey, confirmed_at: float, drift: float
 ) -> bool:
-    """Return whether the attempt has certainly ended without the worker's word.
+    """Return whether the attempt has certainly ended, without the worker's report.
 
     Parameters
     ----------
@@ -162,22 +169,26 @@
     key : AttemptKey
         The attempt.
     confirmed_at : float
-        Owner's clock; a majority of the rack's workers accepted its epoch since.
+        Latest time on the owner's clock at which a majority of the rack's workers is
+        known to have accepted its epoch.
     drift : float
-        Largest relative difference of clock speeds.
+        Largest relative difference between clock rates.
 
     Notes
     -----
-    Guards against running a task in two places. The failure: a worker is cut off or
-    frozen and its tasks are started elsewhere while they go on there. The guard holds
-    since the worker ends an attempt by itself once *its own* clock passes the lease;
-    this owner, which alone may renew under this epoch, knows the greatest lease end
-    that it ever sent, and waits until the slowest permitted worker clock has passed
-    it. A caretaker of which the owner doesn't know may renew too, but only once a
-    majority refuses the owner; so the lease must have been over at a time since which
-    a majority still accepted it. An owner that never fenced the worker can't know
-    what its predecessor sent, so the attempt stays open until the worker is heard from
-    or vouched gone.
+    Guards against running a task in two places: a worker is cut off or frozen, and its
+    tasks are started elsewhere while they continue there.
+
+    A worker ends an attempt by itself once *its own* clock passes the lease end. Only
+    this owner may renew leases under its epoch, so it knows the latest lease end that
+    it ever sent, and waits until the slowest permitted worker clock has passed it.
+
+    A caretaker unknown to the owner may renew leases too, but only after a majority
+    has refused the owner. The lease must therefore have expired by `confirmed_at`, when
+    a majority still accepted the owner.
+
+    An owner that never fenced the worker can't know which leases its predecessor sent,
+    so the attempt stays open until the worker responds or is known to have terminated.
     """
     if view.terminated:
         return True
--- a/plantainyard/node/messages.py
+++ b/plantainyard/node/messages.py
@@ -74,7 +74,7 @@
 
 
 class ConfigConfirmed(NamedTuple):
-    """The configuration was last known to be the newest at `known_at`."""
+    """The configuration was last known to be the newest at `confirmed_at`."""
 
     confirmed_at: float
 
--- a/plantainyard/node/racks.py
+++ b/plantainyard/node/racks.py
@@ -55,7 +55,7 @@
         For each rack that this instance owns, its present term.
     workers : dict of str to dict of str to WorkerInfo
         Live and leaving workers of each rack, by the lagging list.
-    gone : frozenset of str
+    terminated : frozenset of str
         Workers vouched to run nothing.
     name : str
         This process as claims and fences name it; unique for each start, so that a
--- a/plantainyard/node/streams.py
+++ b/plantainyard/node/streams.py
@@ -50,7 +50,7 @@
 
     Attributes
     ----------
-    reads : bool
+    reads_log : bool
         Whether it reads the log as records appear; if not, a relay hands them on and
         the log is only asked now and then.
     targets : tuple of str
@@ -72,7 +72,7 @@
         Threads on which calls wait.
     deliver : callable
         Hands a `StreamEvent` to the folding actor.
-    hand_on : callable
+    relay_records : callable
         Sends records to the instance at a control URL, without waiting.
     wait_s : float
         How long a read at the end of the stream waits for a record.
@@ -97,11 +97,11 @@
         encode it for one.
     role : StreamRole
         Whether it is read from the log, and who is told.
-    folded : list of LogRecord
+    to_relay : list of LogRecord
         Records folded in the present step, to be handed on.
-    waking : bool
+    wake_pending : bool
         Whether a wake-up for the backlog is under way.
-    waiters : dict
+    callbacks : dict
         For each submission's key, who is told what became of it.
     """
 
--- a/plantainyard/node/terms.py
+++ b/plantainyard/node/terms.py
@@ -171,7 +171,7 @@
         Changed: the attempts to be checkpointed are noted.
     domain : DomainState
         The folded stream.
-    patience_s : float
+    drain_s : float
         Seconds for which a runner goes on after its gateways were told. Until then
         it serves what it has, so that the planned stop cuts off no request.
     now : float
