--- a/plantainyard/node/__init__.py
+++ b/plantainyard/node/__init__.py
@@ -1,4 +1,8 @@
-"""The actors and threads of one process, around the deciding modules."""
+"""The actors and threads of one process.
+
+They carry out the actions of the modules that decide: membership, placement, execution,
+routing and state.
+"""
 
 from .configuration import (
     CONFIG_STREAM,
--- a/plantainyard/node/configuration.py
+++ b/plantainyard/node/configuration.py
@@ -1,4 +1,4 @@
-"""The actor that folds the ``config`` stream and answers questions about it."""
+"""The actor that folds the ``config`` stream and answers queries about it."""
 
 import random
 from collections.abc import Callable
@@ -31,7 +31,8 @@
 ]
 
 CONFIG_STREAM = "config"
-_READS = 3.0
+_MAX_AGE_READS = 3.0
+"""Read intervals without an answer from the log after which the age is too high."""
 
 
 class ReadConfig(NamedTuple):
@@ -54,9 +55,9 @@
     history : tuple of HistoryEntry
         Newest accepted changes, the oldest first.
     age_s : float
-        Seconds since this was known to be the newest.
+        Seconds since this was last known to be the newest.
     is_current : bool
-        Whether all that is known to exist is folded.
+        Whether all records that are known to exist are folded.
     """
 
     version: int
@@ -69,15 +70,18 @@
 
 
 def knows_newest(settings: Settings, view: ConfigView) -> bool:
-    """Tell whether an instance can know that its configuration is the newest.
+    """Return whether an instance can know that its configuration is the newest.
 
     Notes
     -----
-    In an outage of the log nothing newer is heard of, which proves nothing: after a few
-    read intervals without an answer the instance says that it can't know.
+    In an outage of the log an instance sees no newer change, which doesn't mean that
+    there is none. After a few read intervals without an answer it reports that it can't
+    know.
     """
-    oldest = max(settings.intervals.silence_s, _READS * settings.intervals.log_wait_s)
-    return view.is_current and view.age_s <= oldest
+    max_age_s = max(
+        settings.intervals.silence_s, _MAX_AGE_READS * settings.intervals.log_wait_s
+    )
+    return view.is_current and view.age_s <= max_age_s
 
 
 class ConfigActor(pykka.ThreadingActor):
@@ -86,15 +90,15 @@
     Parameters
     ----------
     writer : str
-        Unique for this start of this process.
+        Name of this process, unique for each start.
     rng : random.Random
-        Spreads retries and snapshots.
+        Source of the jitter of retries and snapshots.
     snapshot_settings : SnapshotSettings
         When snapshots are written.
     make_io : callable
-        Builds the stream's input and output for a delivery function.
+        Builds the stream's input and output for a given delivery function.
     on_change : callable
-        Told the whole of the values after each accepted change.
+        Called with all values in force after each accepted change.
     """
 
     use_daemon_thread = True
@@ -125,7 +129,7 @@
         )
 
     def on_receive(self, message: Any) -> Any:
-        """Take one message in."""
+        """Handle one message and return the answer to a query."""
         now = read_clock()
         match message:
             case Tick():
@@ -150,7 +154,7 @@
 
     def _restore(self, record: log_state.LogRecord) -> None:
         restored = log_state.decode_config(record.data["state"])
-        # A snapshot that covers less than was folded would take values back.
+        # A snapshot that covers fewer records than were folded would undo changes.
         if restored.next_offset >= self.config.next_offset:
             self.config = restored
             self.on_change(log_state.list_values(self.config))
--- a/plantainyard/node/control.py
+++ b/plantainyard/node/control.py
@@ -1,4 +1,4 @@
-"""The paths of the control port on which instances call each other."""
+"""HTTP endpoints of the control port through which instances call each other."""
 
 from collections.abc import Callable, Iterable
 from http import HTTPStatus
@@ -28,33 +28,33 @@
 
 
 def build_peer_app(
-    hear: Callable[[Heartbeat], Heartbeat],
-    lend: Callable[[CreditAsk], Message],
+    exchange_heartbeats: Callable[[Heartbeat], Heartbeat],
+    lend_credits: Callable[[CreditAsk], Message],
     list_instances: Callable[[InstancesAsk], Message],
-    take_records: Callable[[RecordsAnswer], Message],
+    receive_records: Callable[[RecordsAnswer], Message],
 ) -> WSGIApplication:
-    """Return the application that answers other instances.
+    """Return the WSGI application that serves the requests of other instances.
 
     Parameters
     ----------
-    hear : callable
+    exchange_heartbeats : callable
         Takes a peer's heartbeat and returns this process's own.
-    lend : callable
-        Answers a gateway's ask for credits.
+    lend_credits : callable
+        Returns the answer to a gateway's request for credits.
     list_instances : callable
-        Answers with the platform's list as it was last read.
-    take_records : callable
-        Takes log records that a relay hands on.
+        Returns the platform's instance list as it was last read.
+    receive_records : callable
+        Takes log records that a relay passes on.
 
     Notes
     -----
-    The token and the body's length were checked before (`api.create_app`).
+    `api.create_app` has already checked the token and the body's length.
     """
     handlers: PeerHandlers = {
-        HEARTBEAT_PATH: (Heartbeat, hear),
-        CREDITS_PATH: (CreditAsk, lend),
+        HEARTBEAT_PATH: (Heartbeat, exchange_heartbeats),
+        CREDITS_PATH: (CreditAsk, lend_credits),
         INSTANCES_PATH: (InstancesAsk, list_instances),
-        RECORDS_PATH: (RecordsAnswer, take_records),
+        RECORDS_PATH: (RecordsAnswer, receive_records),
     }
 
     def serve(environ: WSGIEnvironment, start: StartResponse) -> Iterable[bytes]:
--- a/plantainyard/node/lending.py
+++ b/plantainyard/node/lending.py
@@ -1,7 +1,7 @@
 """The actor that lends the slots of owned racks' runners to gateways.
 
-It is apart from the actor that folds the log, so that a gateway's ask for credits
-never waits behind bookkeeping.
+It is separate from the actor that folds the log, so that a gateway's request for
+credits never waits for the processing of records.
 """
 
 from collections.abc import Mapping
@@ -28,14 +28,14 @@
 
 
 class RackAuthority(NamedTuple):
-    """The authority over a rack, as the domain's actor knows it.
+    """The authority over a rack, as known to the domain's actor.
 
     Attributes
     ----------
     rack : str
         The rack.
     epoch : int
-        Epoch under which the workers accepted this instance; zero for none.
+        Epoch under which the workers accepted this instance, zero for no authority.
     until : float
         End of the authority on this instance's clock.
     """
@@ -53,9 +53,11 @@
     rack : str
         The rack.
     runners : tuple of RunnerInfo
-        Those that run.
-    leaving, newly_started : frozenset of str
-        Ids of those that get nothing new, and of those started under this term.
+        The running runners.
+    leaving : frozenset of str
+        Ids of runners that must receive no new requests.
+    newly_started : frozenset of str
+        Ids of runners that were assigned under the present term.
     """
 
     rack: str
@@ -65,7 +67,7 @@
 
 
 class DumpLenders(NamedTuple):
-    """Ask for the state as plain values."""
+    """Ask for the lenders' state as plain values."""
 
 
 class LenderActor(pykka.ThreadingActor):
@@ -78,15 +80,15 @@
         self.epochs: dict[str, int] = {}
 
     def on_receive(self, message: Any) -> Any:
-        """Take one message in; a `CreditAsk` is answered by a `CreditAnswer`."""
+        """Handle one message; the answer to a `CreditAsk` is a `CreditAnswer`."""
         now = read_clock()
         match message:
             case CreditAsk():
                 return self._answer(message, now)
             case RackAuthority():
-                self._take_authority(message, now)
+                self._update_authority(message, now)
             case RackRunners():
-                self._take_runners(message, now)
+                self._update_runners(message, now)
             case DumpLenders():
                 return self._dump()
         return None
@@ -99,7 +101,7 @@
             )
         return self.step(lender, ask, now)[0]
 
-    def _take_authority(self, message: RackAuthority, now: float) -> None:
+    def _update_authority(self, message: RackAuthority, now: float) -> None:
         lender = self.lenders.setdefault(message.rack, LenderState(message.rack))
         if message.epoch == 0:
             self.epochs.pop(message.rack, None)
@@ -108,13 +110,13 @@
             self.epochs[message.rack] = message.epoch
             self.step(lender, AuthorityGained(message.until, message.epoch), now)
         elif now >= lender.authority_until:
-            # Between the end of the authority and its return another instance may
-            # have lent the same slots: it counts as a new beginning.
+            # Between the end of the authority and its renewal another instance may have
+            # lent the same slots, so the authority counts as newly gained.
             self.step(lender, AuthorityGained(message.until, message.epoch), now)
         else:
             self.step(lender, AuthorityExtended(message.until), now)
 
-    def _take_runners(self, message: RackRunners, now: float) -> None:
+    def _update_runners(self, message: RackRunners, now: float) -> None:
         lender = self.lenders.setdefault(message.rack, LenderState(message.rack))
         known = set(lender.runners)
         for runner in message.runners:
--- a/plantainyard/node/messages.py
+++ b/plantainyard/node/messages.py
@@ -25,11 +25,11 @@
 
 
 class Stop(NamedTuple):
-    """A planned stop: give up what is owned."""
+    """A planned stop: hand over or release the owned racks."""
 
 
 class SubmitRecord(NamedTuple):
-    """Append a record; `on_report` is told what became of it."""
+    """Append a record; `on_report` is called with each report of its status."""
 
     submit: log_state.Submit
     on_report: Callable[[log_state.AppendReport], None]
@@ -38,29 +38,29 @@
 class Query(NamedTuple):
     """Run `read` on the actor's state and return its plain values.
 
-    `read` gets the actor's node and the time; it must change nothing and hand out
-    nothing that the actor goes on changing.
+    `read` is called with the actor and the time. It must not change the state, nor
+    return objects that the actor changes later.
     """
 
     read: Callable[[Any, float], Any]
 
 
 class InstancesListed(NamedTuple):
-    """The platform's list was read, here or by the domain's relay."""
+    """The platform's instance list, read here or by the domain's relay."""
 
     instances: tuple[Instance, ...]
     digest: str = ""
 
 
 class LivePeers(NamedTuple):
-    """Processes of the domain that were heard in time.
+    """Processes of the domain whose last heartbeat is within the silence bound.
 
     Attributes
     ----------
     live : frozenset of str
-        Those that may take duties, this one included.
+        Processes that may own racks, including this one.
     draining : frozenset of str
-        Those that are stopping as planned and hand their duties over.
+        Processes that are stopping as planned and hand over their racks.
     """
 
     live: frozenset[str]
@@ -68,7 +68,7 @@
 
 
 class ConfigChanged(NamedTuple):
-    """All values in force, after an accepted change."""
+    """All configuration values in force after an accepted change."""
 
     values: dict[str, Any]
 
@@ -80,7 +80,7 @@
 
 
 class WorkerReply(NamedTuple):
-    """A worker's reply under one term of a rack."""
+    """The outcome of a call to a worker, made under one term of a rack."""
 
     rack: str
     epoch: int
--- a/plantainyard/node/peer_calls.py
+++ b/plantainyard/node/peer_calls.py
@@ -1,4 +1,4 @@
-"""Calls about other instances, made outside the actor that knows them."""
+"""Calls to the platform and to peers, made outside the actor that tracks peers."""
 
 from typing import Any, NamedTuple
 
@@ -36,13 +36,23 @@
 
 
 class HeartbeatReceived(NamedTuple):
-    """A peer's word about itself, as a message or as an answer."""
+    """A peer's own heartbeat, received as a request or as a response."""
 
     heartbeat: Heartbeat
 
 
 class HeartbeatSent(NamedTuple):
-    """A heartbeat to `peer`, with words up to `version`, arrived or not."""
+    """The end of sending a heartbeat to a peer.
+
+    Attributes
+    ----------
+    peer : str
+        Instance id of the peer.
+    version : int
+        Version of the relay's updates that the heartbeat carried.
+    delivered : bool
+        Whether the peer responded.
+    """
 
     peer: str
     version: int
@@ -52,7 +62,7 @@
 def read_instance_list(
     settings: Settings, pool: urllib3.PoolManager, ref: pykka.ActorRef[Any]
 ) -> None:
-    """Read the platform's list and tell the actor of it."""
+    """Read the platform's instance list and send it to the actor."""
     platform = settings.platform
     client = build_instances_client(platform.instances, pool, platform.timeout_s)
     answer = read_instances(client)
@@ -68,7 +78,7 @@
     peer: Instance,
     digest: str,
 ) -> None:
-    """Ask the domain's relay for its list, where it differs from `digest`."""
+    """Request the domain relay's instance list if it differs from `digest`."""
     answer = call_peer(
         build_peer(_make_url(peer.control_address), pool),
         settings.security.token.reveal(),
@@ -90,7 +100,7 @@
     beat: Heartbeat,
     version: int,
 ) -> None:
-    """Send a heartbeat and tell the actor of the answer and of its end."""
+    """Send a heartbeat and pass its response and the end of the call to the actor."""
     answer = call_peer(
         build_peer(_make_url(peer.control_address), pool),
         settings.security.token.reveal(),
--- a/plantainyard/node/reports.py
+++ b/plantainyard/node/reports.py
@@ -1,4 +1,4 @@
-"""Plain values that the domain's actor tells of itself; for a `Query`."""
+"""Functions for a `Query` that report the domain actor's state as plain values."""
 
 from typing import Any
 
@@ -11,7 +11,7 @@
 
 __all__ = ["list_epochs", "dump_domain", "find_authority_ends", "list_racks"]
 
-_JOBS_SHOWN = 1000
+_MAX_DUMPED_JOBS = 1000
 
 
 def list_epochs(actor: Any, now: float) -> dict[str, int]:
@@ -24,7 +24,7 @@
 
 
 def find_authority_ends(actor: Any, now: float) -> dict[str, float]:
-    """Return the end of the authority over each rack that this instance has."""
+    """Return when the authority ends over each rack where this instance has it."""
     return {
         rack: find_authority_end(term.authority)
         for rack, term in actor.node.terms.items()
@@ -33,7 +33,7 @@
 
 
 def list_racks(actor: Any, now: float) -> list[dict[str, Any]]:
-    """Return how each owned rack is, in the names of the schema."""
+    """Return the status of each owned rack, with the field names of the schema."""
     return [
         _describe_rack(actor.node.domain, rack, term, now)
         for rack, term in sorted(actor.node.terms.items())
@@ -77,7 +77,7 @@
                 "name": entry.job.name,
                 **log_state.count_tasks(entry)._asdict(),
             }
-            for entry in log_state.list_jobs(node.domain)[:_JOBS_SHOWN]
+            for entry in log_state.list_jobs(node.domain)[:_MAX_DUMPED_JOBS]
         ],
         "racks": {rack: _dump_term(node, rack, t) for rack, t in node.terms.items()},
     }
--- a/plantainyard/node/threads.py
+++ b/plantainyard/node/threads.py
@@ -1,8 +1,8 @@
-"""Threads of a process that live as long as a context.
+"""Threads of a process that run as long as a context is open.
 
-Each function is a context manager that starts a thread and, on leaving, asks it to
-stop and waits for it. A failure in a round is logged and the next round is run: a
-thread that died silently would leave its duty half alive.
+Each function is a context manager that starts a thread and, on exit, requests it to
+stop and waits for it. An exception in an iteration is logged and the next iteration
+is run: if the thread ended silently, the process would go on without its work.
 """
 
 import contextlib
@@ -22,7 +22,7 @@
 def run_every(
     name: str, interval_s: float, action: Callable[[], object]
 ) -> Iterator[None]:
-    """Call `action` every `interval_s` seconds in a thread of its own."""
+    """Call `action` in a separate thread, with a pause of `interval_s` seconds."""
 
     def act(stop: threading.Event) -> None:
         action()
@@ -36,14 +36,14 @@
 def run_forever(
     name: str, action: Callable[[threading.Event], object]
 ) -> Iterator[None]:
-    """Call `action` again and again in a thread of its own.
+    """Call `action` repeatedly in a separate thread.
 
     Parameters
     ----------
     name : str
         Name of the thread, for dumps.
     action : callable
-        Gets an event that is set when it should return soon.
+        Takes an event that is set when `action` should return soon.
     """
     stop = threading.Event()
     thread = threading.Thread(target=_loop, args=(stop, action), name=name, daemon=True)
--- a/plantainyard/node/values.py
+++ b/plantainyard/node/values.py
@@ -1,4 +1,4 @@
-"""What the configuration in force means to this process.
+"""Interpretation of the configuration values in force.
 
 The keys are those of `plantainyard.configuration.KEYS`.
 """
@@ -17,7 +17,7 @@
 
 
 def read_weights(values: Mapping[str, Any]) -> Weights:
-    """Return the placement weights; a missing one has its default."""
+    """Return the placement weights, with defaults for missing ones."""
     given = {
         name: float(values[_WEIGHTS + name])
         for name in Weights._fields
@@ -51,8 +51,8 @@
 
     Notes
     -----
-    Shares are divided ahead of time, so that the sum holds under any partition; what
-    one rack leaves unused another can't spend.
+    Shares are divided in advance, so that their sum doesn't exceed the quota under any
+    network partition. Another rack can't use what one rack leaves unused.
     """
     return {
         team: Size(*(resource / parts for resource in quota))  # type: ignore[arg-type]
@@ -61,7 +61,7 @@
 
 
 def list_flagged(values: Mapping[str, Any], group: str, flag: str) -> frozenset[str]:
-    """Return the names under `group` whose `flag` is set.
+    """Return the names under `group` whose `flag` is true.
 
     Examples
     --------
--- a/plantainyard/node/workers.py
+++ b/plantainyard/node/workers.py
@@ -1,6 +1,6 @@
-"""Calls to workers, made outside the deciding actor.
+"""Calls to workers, made outside the actor that decides.
 
-A worker may be slow or frozen; its calls run on a pool of threads and come back to
+A worker may be slow or frozen. Calls run on a thread pool and their results are sent to
 the actor as messages, so that no decision waits for a worker.
 """
 
@@ -25,7 +25,7 @@
 
 
 class WorkerCaller(NamedTuple):
-    """What a call to a worker needs.
+    """Resources for calls to workers.
 
     Attributes
     ----------
@@ -47,7 +47,7 @@
     call: Call,
     deliver: Callable[[WorkerAnswered | CallFailed], object],
 ) -> None:
-    """Make `call` on another thread and hand what comes back to `deliver`."""
+    """Make `call` on another thread and pass its result to `deliver`."""
     caller.executor.submit(_make_call, caller, call, deliver)
 
 
