--- a/plantainyard/node/domain.py
+++ b/plantainyard/node/domain.py
@@ -1,8 +1,8 @@
 """The actor of a failure domain: its stream, its racks and their tasks.
 
-It folds the domain's stream and, for the racks that this instance owns, lets
-placement decide and the workers act. Calls to the log and to workers are made on
-other threads; their answers come back as messages.
+It folds the domain's stream and, for the racks that this instance owns, runs placement
+and sends commands to the workers. Calls to the log and to workers are made on other
+threads, and their results arrive as messages.
 """
 
 import logging
@@ -80,8 +80,8 @@
 __all__ = ["DomainActor", "name_stream"]
 
 
-# Records after which there is new work to place, or new room for it.
-_NEWS = {log_state.RecordType.ACCEPT, log_state.RecordType.RESULTS}
+_DECISION_RECORDS = {log_state.RecordType.ACCEPT, log_state.RecordType.RESULTS}
+"""Records after which there are new tasks to place, or newly free capacity."""
 
 _logger = logging.getLogger(__name__)
 
@@ -99,17 +99,17 @@
     settings : Settings
         The instance's settings.
     writer : str
-        Unique for this start of this process.
+        Name of this process, unique for each start.
     rng : random.Random
-        Spreads retries and snapshots.
+        Source of the jitter of retries and snapshots.
     snapshot_settings : SnapshotSettings
         When snapshots are written.
     make_io : callable
-        Builds the stream's input and output for a delivery function.
+        Builds the stream's input and output for a given delivery function.
     caller : WorkerCaller
-        How workers are called.
+        Resources for calls to workers.
     notify_lender : callable
-        Takes news about authority and runners.
+        Takes updates of the authority over racks and of their runners.
     """
 
     use_daemon_thread = True
@@ -147,7 +147,7 @@
         )
 
     def on_receive(self, message: Any) -> Any:
-        """Take one message in."""
+        """Handle one message and return the answer to a query."""
         now = read_clock()
         match message:
             case Tick():
@@ -184,8 +184,8 @@
             update_term(term, node.domain, record.data, change, now)
         kinds = {part.type for part in (change, *change.parts) if part.applied}
         if log_state.RecordType.CLAIM in kinds:
-            self._follow_claims(now)
-        if kinds & _NEWS:
+            self._process_claims(now)
+        if kinds & _DECISION_RECORDS:
             self.racks_to_decide.update(node.terms)
         return change
 
@@ -194,14 +194,14 @@
         if restored.next_offset < self.node.domain.next_offset:
             return
         self.node.domain = restored
-        # The terms were fed from records that this instance never saw the end of.
+        # The terms lack the records that the snapshot has skipped.
         for rack in list(self.node.terms):
             end_term(self.node, rack)
         for ownership in self.node.ownerships.values():
             reset_claim(ownership)
-        self._follow_claims(read_clock())
+        self._process_claims(read_clock())
 
-    def _follow_claims(self, now: float) -> None:
+    def _process_claims(self, now: float) -> None:
         for rack, claim in self.node.domain.claims.items():
             self._step_ownership(rack, ClaimSeen(claim), now)
 
@@ -210,13 +210,13 @@
         if state is None:
             state = OwnershipState(self.node.name, rack, self.ownership_settings)
             self.node.ownerships[rack] = state
-        # Only an owner that has authority knows that nobody before it has any.
+        # Only an owner that has authority knows that no predecessor still has any.
         term = self.node.terms.get(rack)
         established = term is not None and has_authority(term.authority, now)
         for action in step_ownership(state, event, now):
-            self._act_on_ownership(rack, action, established, now)
+            self._carry_out_ownership(rack, action, established, now)
 
-    def _act_on_ownership(
+    def _carry_out_ownership(
         self, rack: str, action: OwnershipAction, established: bool, now: float
     ) -> None:
         node = self.node
@@ -226,8 +226,8 @@
             case EndTerm():
                 end_term(node, rack)
             case ClaimRack(base, workers):
-                # Claiming on top of its own claim, this process must first have
-                # stopped acting under it.
+                # Before this process replaces its own claim, it must have stopped
+                # acting under it.
                 if rack in node.terms:
                     end_term(node, rack)
                 record = log_state.make_claim(
@@ -238,10 +238,10 @@
                 self._submit(log_state.make_claim(rack, "", base, (), established), now)
 
     def _decide_after_records(self, now: float) -> None:
-        """Let placement decide at once where new work or free room was folded.
+        """Run placement at once if new tasks or free capacity were folded.
 
         Waiting for the next tick would leave a rack of short tasks idle for most of the
-        time, and shorter ticks would cost as much at rest.
+        time, and shorter ticks would cost as much while nothing happens.
         """
         racks, self.racks_to_decide = self.racks_to_decide, set()
         for rack in racks & self.node.terms.keys():
@@ -286,25 +286,26 @@
             self._submit(record, now, withdraw_placements)
         for abandoned in decision.abandoned:
             self._cancel_job(abandoned, now)
-        for note in decision.other_actions:
-            _logger.info("placement: %s", note, extra={"step": "placement"})
+        for action in decision.other_actions:
+            _logger.info("placement: %s", action, extra={"step": "placement"})
         self._run_rack(rack, term, now)
 
     def _decide(self, term: Term, now: float) -> execution.Decision:
         if term.rack.caretaker:
             return execution.Decision()
         if now - self.node.config_confirmed_at > self.node.max_config_age_s:
-            # The configuration may have narrowed where work may run since this domain
-            # was cut off; what runs goes on, nothing new is placed on its strength.
+            # The configuration may have restricted where tasks may run since this
+            # domain was cut off. Running tasks continue, but nothing new is placed
+            # under an outdated configuration.
             return execution.Decision()
         return execution.decide(term.plan, term.rack, now)
 
     def _run_rack(self, rack: str, term: Term, now: float) -> None:
         actions = _step_rack(term, self.node.domain, execution.Tick(), now)
-        self._act(rack, term, actions, now)
+        self._carry_out(rack, term, actions, now)
         publish_runners(self.node, rack, term, now)
 
-    def _act(
+    def _carry_out(
         self, rack: str, term: Term, actions: list[execution.Action], now: float
     ) -> None:
         node, epoch = self.node, term.rack.epoch
@@ -318,13 +319,13 @@
                     )
                 case execution.AppendResults(items):
                     record = log_state.make_results(rack, term.offset, items)
-                    forget = partial(execution.unmark_reported, term.rack, items)
-                    self._submit(record, now, forget)
+                    unmark = partial(execution.unmark_reported, term.rack, items)
+                    self._submit(record, now, unmark)
                 case execution.Fenced(worker, sent_at):
                     record_acceptance(term.authority, worker, sent_at, now)
                 case execution.Superseded(worker, newer, holder):
                     _logger.warning(
-                        "superseded by %s with epoch %d",
+                        "superseded by owner %s with epoch %d",
                         holder,
                         newer,
                         extra={"step": "worker.commands", "peer": worker},
@@ -345,23 +346,25 @@
             if view is not None:
                 usage = event.answer.state.usage
                 execution.process_usage(term.plan, view, usage, now)
-        self._act(message.rack, term, actions, now)
+        self._carry_out(message.rack, term, actions, now)
         if self.node.terms.get(message.rack) is term:
             self._run_rack(message.rack, term, now)
 
     def _cancel_job(self, abandoned: placement.GiveUp, now: float) -> None:
         request_id = f"give-up.{abandoned.job}"
         _logger.warning(
-            "job given up: %s", abandoned.error, extra={"step": "placement"}
+            "cancelling job that failed too often: %s",
+            abandoned.error,
+            extra={"step": "placement"},
         )
         self._submit(log_state.make_cancel(request_id, [abandoned.job]), now)
 
     def _submit(
         self, record: Any, now: float, on_not_run: Callable[[], object] = lambda: None
     ) -> None:
-        """Append `record`; what took effect is told by the folded record itself."""
+        """Append `record`; its effect is known only when the record is folded."""
 
-        def take_report(report: log_state.AppendReport) -> None:
+        def handle_report(report: log_state.AppendReport) -> None:
             if report.status == log_state.AppendStatus.NOT_RUN:
                 on_not_run()
 
@@ -369,7 +372,7 @@
         self.submitted += 1
         key = f"{record['type']}.{self.submitted}"
         submit = log_state.Submit(record, key, urgent=urgent)
-        submit_record(self.stream, self.io, submit, take_report, now)
+        submit_record(self.stream, self.io, submit, handle_report, now)
 
 
 def _step_rack(
--- a/plantainyard/node/peers.py
+++ b/plantainyard/node/peers.py
@@ -1,4 +1,7 @@
-"""The actor that knows the other instances: the lagging list and heartbeats."""
+"""The actor that tracks the other instances.
+
+Its sources are the platform's instance list, which is delayed, and heartbeats.
+"""
 
 import random
 from collections.abc import Callable
@@ -42,32 +45,36 @@
     send_heartbeat,
 )
 
-_LIST_PATIENCE = 2.5
-_RELAYED_SILENCES = 2.0
+_MAX_LIST_AGE_INTERVALS = 2.5
+"""Age of the instance list, in read intervals, above which any instance reads it."""
+
+_RELAYED_SILENCE_FACTOR = 2.0
+"""Factor of the silence bound for instances whose heartbeats relays pass on."""
 
 __all__ = ["PeerView", "PeersActor", "read_peers"]
 
 
 class PeerView(NamedTuple):
-    """What is known of another instance.
+    """State of another instance as known here.
 
     Attributes
     ----------
     instance, domain, region, address, control_address : str
-        Who it is and where it is reached from here; the list goes before the peer's
-        own word, because it knows the way between the two domains.
+        Identity of the peer and its addresses as seen from here. The instance list
+        takes precedence over the peer's own heartbeat, because it has the addresses
+        that are valid between the two domains.
     state : str
-        As the list has it.
+        State in the instance list, empty for a peer that is not listed.
     process : str
-        Name of the process that was last heard, empty for none.
+        Name of the process that sent the last heartbeat, empty for none.
     heartbeat : Heartbeat or None
-        Its last word.
+        The last heartbeat.
     heard_at : float
-        This instance's clock at its last word, minus infinity for none.
+        This instance's clock at the last heartbeat, minus infinity for none.
     age_s : float
-        Seconds since its last word.
+        Seconds since the last heartbeat.
     is_live : bool
-        Whether it was heard from within the silence bound.
+        Whether the last heartbeat is within the silence bound.
     """
 
     instance: str
@@ -84,7 +91,7 @@
 
 
 class PeersActor(pykka.ThreadingActor):
-    """Owns what is known of the other instances.
+    """Owns the state of the other instances.
 
     Parameters
     ----------
@@ -93,15 +100,15 @@
     name : str
         Name of this process.
     rng : random.Random
-        Spreads rounds, so that instances do not speak all at once.
+        Source of the jitter of rounds, so that instances don't send all at once.
     pool : urllib3.PoolManager
         Shared connections.
     executor : Executor
-        Threads on which calls wait.
+        Threads on which calls to peers wait.
     describe : callable
         Returns this process's own heartbeat with a given sequence number.
     publish : callable
-        Told `InstancesListed`, `LivePeers` and `RelayRole`.
+        Called with each `InstancesListed` and `LivePeers`.
     """
 
     use_daemon_thread = True
@@ -138,7 +145,7 @@
         self.next_heartbeat_at = float("-inf")
 
     def on_receive(self, message: Any) -> Any:
-        """Take one message in."""
+        """Handle one message and return the answer to a query."""
         now = read_clock()
         match message:
             case Tick():
@@ -171,20 +178,23 @@
         self._publish_roles(now)
 
     def _list_domain_peers(self, now: float) -> tuple[list[str], list[str]]:
-        """Return the domain's instances that were heard: live and draining ones."""
+        """Return the live and the draining instances of the domain."""
         oldest = now - self.settings.intervals.silence_s
         domain = self.settings.instance.domain
-        near = {
+        draining = {
             name: beat.draining
             for name, (beat, heard_at) in self.heartbeats.items()
             if beat.domain == domain and heard_at >= oldest
         }
-        return [n for n in near if not near[n]], [n for n in near if near[n]]
+        return (
+            [n for n in draining if not draining[n]],
+            [n for n in draining if draining[n]],
+        )
 
     def _refresh_list(self, now: float) -> None:
-        """Read the platform's list where this instance relays or nobody else does."""
-        patience = _LIST_PATIENCE * self.settings.intervals.instances_s
-        if self.is_relay or now - self.list_read_at > patience:
+        """Read the platform's list if this is the relay or the list is too old."""
+        max_age_s = _MAX_LIST_AGE_INTERVALS * self.settings.intervals.instances_s
+        if self.is_relay or now - self.list_read_at > max_age_s:
             self.executor.submit(
                 read_instance_list, self.settings, self.pool, self.actor_ref
             )
@@ -218,9 +228,9 @@
         self._record_silent_peers(now)
         for name in self._choose_targets():
             peer = self.listed[name]
-            near = peer.domain == own.domain
-            sending = self._list_news(name, near)
-            ages = self._list_ages(now) if near and self.is_relay else {}
+            same_domain = peer.domain == own.domain
+            sending = self._list_news(name, same_domain)
+            ages = self._list_ages(now) if same_domain and self.is_relay else {}
             beat = own._replace(members=sending.words, domain_ages=ages)
             self.executor.submit(
                 send_heartbeat,
@@ -245,21 +255,20 @@
             self.is_relay,
         )
 
-    def _list_news(self, peer: str, near: bool) -> Sending:
+    def _list_news(self, peer: str, same_domain: bool) -> Sending:
         if not self.is_relay:
             return Sending((), 0)
         own = self.settings.instance.domain
         others = {word.domain for word in self.relay.words.values()} - {own}
-        return list_news(self.relay, peer, others if near else {own})
+        return list_news(self.relay, peer, others if same_domain else {own})
 
     def _list_ages(self, now: float) -> dict[str, float]:
         return {
-            domain: now - heartbeats
-            for domain, heartbeats in self.domain_heard_at.items()
+            domain: now - heard_at for domain, heard_at in self.domain_heard_at.items()
         }
 
     def _record_silent_peers(self, now: float) -> None:
-        """Say of the own domain's silent instances that they are not live."""
+        """Record in the relay's state which instances of the own domain are silent."""
         oldest = now - self.settings.intervals.silence_s
         for beat, heard_at in self.heartbeats.values():
             if beat.domain == self.settings.instance.domain:
@@ -279,7 +288,7 @@
         if earlier is not None and _is_older(heartbeat, earlier[0]):
             return
         if earlier is None or earlier[0].incarnation != heartbeat.incarnation:
-            # A peer that was started anew knows nothing of what it had confirmed.
+            # A restarted peer has lost the updates that it confirmed before.
             forget_confirmations(self.relay, heartbeat.instance)
         own = self.settings.instance.domain
         if heartbeat.domain != own:
@@ -289,8 +298,8 @@
                 self.heartbeats[word.instance] = (word, now)
                 note_word(self.relay, word)
         for domain, age_s in heartbeat.domain_ages.items():
-            heartbeats = self.domain_heard_at.get(domain, float("-inf"))
-            self.domain_heard_at[domain] = max(heartbeats, now - age_s)
+            heard_at = self.domain_heard_at.get(domain, float("-inf"))
+            self.domain_heard_at[domain] = max(heard_at, now - age_s)
         kept = heartbeat._replace(members=(), domain_ages={})
         self.heartbeats[heartbeat.instance] = (kept, now)
         note_word(self.relay, kept)
@@ -326,7 +335,7 @@
 
 
 def read_peers(actor: PeersActor, now: float) -> tuple[PeerView, ...]:
-    """Return what is known of each other instance; for a `Query`."""
+    """Return the state of each other instance; for a `Query`."""
     names = sorted(actor.listed.keys() | actor.heartbeats.keys())
     return tuple(view for name in names if (view := _describe_peer(actor, name, now)))
 
@@ -357,4 +366,4 @@
     if beat.domain == actor.settings.instance.domain:
         return now - heard_at <= silence_s
     last = actor.domain_heard_at.get(beat.domain, float("-inf"))
-    return beat.live and now - last <= _RELAYED_SILENCES * silence_s
+    return beat.live and now - last <= _RELAYED_SILENCE_FACTOR * silence_s
--- a/plantainyard/node/racks.py
+++ b/plantainyard/node/racks.py
@@ -1,4 +1,4 @@
-"""The racks of a failure domain at one instance: its terms and what they need."""
+"""The racks of a failure domain at one instance, with the terms of the owned racks."""
 
 import logging
 from collections.abc import Callable, Iterator
@@ -45,7 +45,7 @@
 
 
 class DomainNode:
-    """What a failure domain's actor owns.
+    """State of a failure domain's actor.
 
     Attributes
     ----------
@@ -54,16 +54,31 @@
     terms : dict of str to Term
         For each rack that this instance owns, its present term.
     workers : dict of str to dict of str to WorkerInfo
-        Live and leaving workers of each rack, by the lagging list.
+        Live and leaving workers of each rack, from the delayed instance list.
     terminated : frozenset of str
-        Workers vouched to run nothing.
+        Workers that are guaranteed to run nothing any more.
     name : str
-        This process as claims and fences name it; unique for each start, so that a
-        restarted instance is not taken for the owner that it was.
+        Name of this process in claims and fencing tokens. It is unique for each start,
+        so that a restarted instance is not mistaken for the owner that it was before.
     live : frozenset of str
-        Processes of the domain that are thought to live, this one included.
+        Processes of the domain that are considered live, including this one.
     leaving_peers : frozenset of str
         Other processes of the domain that are stopping as planned.
+    stop_requested : bool
+        Whether a planned stop of this process was requested.
+    stopping : bool
+        Whether this process hands over its racks, because of a planned stop or because
+        an operator drains the instance.
+    racks : int
+        Number of racks over all domains.
+    listed_terminated : frozenset of str
+        Workers that the instance list shows as terminated.
+    operator_fenced : frozenset of str
+        Workers that an operator has declared fenced.
+    config_confirmed_at : float
+        When the configuration was last known to be the newest.
+    max_config_age_s : float
+        Age of the configuration above which nothing new is placed.
     """
 
     def __init__(
@@ -104,7 +119,7 @@
 def update_from_instances(
     node: DomainNode, message: InstancesListed, now: float
 ) -> None:
-    """Take over the domain's workers from the platform's list."""
+    """Update the domain's workers from the platform's instance list."""
     workers: dict[str, dict[str, WorkerInfo]] = {}
     terminated = set()
     for instance in message.instances:
@@ -135,7 +150,7 @@
 
 
 def apply_config_values(node: DomainNode, values: dict[str, Any], now: float) -> None:
-    """Take over the configuration in force."""
+    """Apply the configuration values in force."""
     node.weights = read_weights(values)
     node.shares = read_shares(values, node.racks)
     node.operator_fenced = list_flagged(values, "workers", "fenced")
@@ -148,28 +163,28 @@
 
 
 def start_term(node: DomainNode, rack: str, began: BeginTerm, now: float) -> None:
-    """Begin to act for a rack."""
+    """Start acting as the owner or caretaker of a rack."""
     term = begin_term(node.settings, node.name, node.domain, rack, began, now)
     set_policy_inputs(term, node.weights, node.shares, now)
     node.terms[rack] = term
     _logger.info(
-        "rack owned",
+        "took ownership of rack",
         extra={"step": "ownership", "rack": rack, "epoch": began.epoch},
     )
 
 
 def end_term(node: DomainNode, rack: str) -> None:
-    """Stop acting for a rack; nothing of it goes on once this returns."""
+    """Stop acting for a rack; when this returns, no activity for it is left."""
     if node.terms.pop(rack, None) is None:
         return
-    # Waits until the lender and the arbiter of request ids have stopped: a successor
-    # to which the rack is handed over acts at once.
+    # Waits until the lender and the arbiter of request ids have stopped, because a
+    # successor to which the rack is handed over acts at once.
     node.notify_lender(RackAuthority(rack, 0, 0.0))
-    _logger.info("rack given up", extra={"step": "ownership", "rack": rack})
+    _logger.info("released rack", extra={"step": "ownership", "rack": rack})
 
 
 def publish_runners(node: DomainNode, rack: str, term: Term, now: float) -> None:
-    """Tell the lender of the authority over a rack and of its runners."""
+    """Send the authority over a rack and its runners to the lender."""
     until = find_authority_end(term.authority)
     epoch = term.rack.epoch if has_authority(term.authority, now) else 0
     runners = tuple(runner for runner, _ in iter_runners(term, node.domain))
--- a/plantainyard/node/streams.py
+++ b/plantainyard/node/streams.py
@@ -1,7 +1,7 @@
-"""Reading and appending of one stream, at the actor that folds it.
+"""Reads and appends of one stream, on behalf of the actor that folds it.
 
-The deciding modules of `plantainyard.state` say what to read and append; here the
-calls are made on other threads and come back to the actor as messages.
+`plantainyard.state` decides what to read and append. This module makes the calls on
+other threads and sends their results to the actor as messages.
 """
 
 import logging
@@ -31,14 +31,17 @@
     "write_due_snapshot",
 ]
 
-_SLOW_S = 4.0
+_RELAYED_READ_PAUSE_S = 4.0
+"""Pause in seconds between reads of the log by an instance that a relay serves."""
+
 _WAKE_S = 0.1
+"""Delay in seconds after which the appender checks its backlog again."""
 
 _logger = logging.getLogger(__name__)
 
 
 class StreamEvent(NamedTuple):
-    """What came back from the log for one stream; `asked_at` is when it was asked."""
+    """The result of a call to the log for one stream, requested at `requested_at`."""
 
     stream: str
     event: log_state.ReadEvent | log_state.AppendEvent
@@ -46,15 +49,15 @@
 
 
 class StreamRole(NamedTuple):
-    """Part of an instance in the reading of a stream.
+    """Role of an instance in the distribution of a stream's records.
 
     Attributes
     ----------
     reads_log : bool
-        Whether it reads the log as records appear; if not, a relay hands them on and
-        the log is only asked now and then.
+        Whether the instance reads the log as records appear. If not, a relay passes
+        them on and the instance reads the log only occasionally.
     targets : tuple of str
-        Control URLs of the instances to which it hands new records on.
+        Control URLs of the instances to which it passes on new records.
     """
 
     reads_log: bool = True
@@ -62,7 +65,7 @@
 
 
 class StreamIO(NamedTuple):
-    """How one stream is reached.
+    """Resources for reading, appending to and relaying one stream.
 
     Attributes
     ----------
@@ -71,11 +74,11 @@
     executor : Executor
         Threads on which calls wait.
     deliver : callable
-        Hands a `StreamEvent` to the folding actor.
+        Sends a `StreamEvent` to the actor that folds the stream.
     relay_records : callable
         Sends records to the instance at a control URL, without waiting.
     wait_s : float
-        How long a read at the end of the stream waits for a record.
+        Seconds for which a read at the end of the stream waits for a record.
     """
 
     log: LogClient
@@ -86,7 +89,7 @@
 
 
 class StreamState:
-    """One stream as its folding actor keeps it.
+    """State of one stream, kept by the actor that folds it.
 
     Attributes
     ----------
@@ -94,15 +97,17 @@
         Name of the stream.
     fold, restore, encode : callable
         Fold a record into the actor's state, replace that state by a snapshot, and
-        encode it for one.
+        encode it for a snapshot.
     role : StreamRole
-        Whether it is read from the log, and who is told.
+        Whether this instance reads the log, and to which instances it relays records.
     to_relay : list of LogRecord
-        Records folded in the present step, to be handed on.
+        Records folded in the present step, to be passed on.
     wake_pending : bool
-        Whether a wake-up for the backlog is under way.
+        Whether a wake-up for the backlog is scheduled.
     callbacks : dict
-        For each submission's key, who is told what became of it.
+        For each submission's key, the function that is called with its reports.
+    appends : int
+        Number of append calls so far.
     """
 
     def __init__(
@@ -134,7 +139,7 @@
 
 
 def tick_stream(stream: StreamState, io: StreamIO, now: float) -> None:
-    """Let reading, appending and snapshots go on."""
+    """Start the reads, appends and snapshots that are due."""
     _act_on_read(
         stream, io, log_state.step_reader(stream.reader, log_state.ReadTick(), now), now
     )
@@ -145,7 +150,7 @@
 def handle_stream_event(
     stream: StreamState, io: StreamIO, message: StreamEvent, now: float
 ) -> None:
-    """Take in what came back from the log."""
+    """Process the result of a call to the log, or records from a relay."""
     event = message.event
     if isinstance(event, log_state.Relayed):
         _act_on_read(stream, io, log_state.step_reader(stream.reader, event, now), now)
@@ -154,8 +159,8 @@
         _relay_records(stream, io)
         return
     if isinstance(event, log_state.Fetched | log_state.FetchFailed):
-        # The end of the stream was read at some time after the asking; counting from
-        # the asking keeps the age of the knowledge an upper bound.
+        # The end of the stream was read some time after the request. Counting from the
+        # request keeps the staleness an upper bound.
         at = message.requested_at if isinstance(event, log_state.Fetched) else now
         actions = log_state.step_reader(stream.reader, event, at)
         _act_on_read(stream, io, actions, now)
@@ -169,19 +174,19 @@
 
 
 def set_role(stream: StreamState, role: StreamRole) -> None:
-    """Read the log as records appear, or leave that to a relay."""
+    """Start reading the log as records appear, or leave that to a relay."""
     if role.reads_log != stream.role.reads_log:
-        pause_s = 0.0 if role.reads_log else _SLOW_S
+        pause_s = 0.0 if role.reads_log else _RELAYED_READ_PAUSE_S
         stream.reader.settings = stream.reader.settings._replace(pause_s=pause_s)
         stream.reader.fetch_at = float("-inf")
     stream.role = role
 
 
 def _read_soon_if_behind(stream: StreamState) -> None:
-    """Ask the log at once where a relay's records left a gap.
+    """Schedule a read of the log at once if a relay's records left a gap.
 
-    A hand-on that was lost would otherwise leave this instance behind until the next
-    slow question.
+    After a lost message from the relay, this instance would otherwise stay behind until
+    its next occasional read.
     """
     if not log_state.is_current(stream.reader):
         stream.reader.fetch_at = float("-inf")
@@ -208,13 +213,13 @@
     on_report: Callable[[log_state.AppendReport], None],
     now: float,
 ) -> None:
-    """Append a record and have `on_report` told what became of it."""
+    """Append a record; `on_report` is called with each report of its status."""
     stream.callbacks[submit.key] = on_report
     _advance_appender(stream, io, submit, now)
 
 
 def write_due_snapshot(stream: StreamState, io: StreamIO, now: float) -> None:
-    """Write a snapshot where one is due and this instance is current."""
+    """Append a snapshot if one is due and this instance is current."""
     covers = stream.reader.next_offset - 1
     if covers < 0 or not log_state.is_current(stream.reader):
         return
@@ -239,14 +244,14 @@
                 _restore(stream, io, record, now)
             case log_state.ReadRestarted(wanted, first):
                 _logger.warning(
-                    "records %d to %d are no longer kept; reading starts over",
+                    "records %d to %d are no longer retained; restarting the read",
                     wanted,
                     first - 1,
                     extra={"step": "log.read", "peer": stream.name},
                 )
             case log_state.LogRegressed(wanted, end):
                 _logger.error(
-                    "the log ends at %d, below %d, which was read from it",
+                    "log ends at offset %d, before offset %d that was already read",
                     end,
                     wanted,
                     extra={"step": "log.read", "peer": stream.name},
@@ -296,7 +301,7 @@
 
 
 def _wake_for_backlog(stream: StreamState, io: StreamIO) -> None:
-    """Come back when the pace allows the next append, without waiting for a tick."""
+    """Schedule an event that appends from the backlog before the next tick."""
     if stream.wake_pending or not log_state.count_backlog(stream.appender):
         return
     stream.wake_pending = True
@@ -309,12 +314,12 @@
 
 
 def _report(stream: StreamState, report: log_state.AppendReport) -> None:
-    waiter = stream.callbacks.get(report.key)
-    if waiter is None:
+    on_report = stream.callbacks.get(report.key)
+    if on_report is None:
         return
     if report.status != log_state.AppendStatus.UNKNOWN:
         del stream.callbacks[report.key]
-    waiter(report)
+    on_report(report)
 
 
 def _fetch(name: str, io: StreamIO, action: log_state.Fetch, wait_s: float) -> None:
--- a/plantainyard/node/terms.py
+++ b/plantainyard/node/terms.py
@@ -1,8 +1,9 @@
-"""One rack under one term, at the instance that owns it or cares for it.
+"""One rack during one term, at the instance that is its owner or caretaker.
 
-A term joins what runs the tasks (`plantainyard.execution`) with what decides where
-(`plantainyard.placement`). It ends whole: a new term starts from the log and the
-workers alone.
+A caretaker stands in for an owner that became silent while the log is out. A term
+combines the execution of tasks (`plantainyard.execution`) with their placement
+(`plantainyard.placement`). All of its state is dropped at its end: a new term starts
+only from the log and the workers.
 """
 
 from collections.abc import Iterator, Mapping
@@ -30,6 +31,8 @@
 ]
 
 _COMMAND_S = 2.0
+"""Seconds after which a command that a worker has not yet read has no effect."""
+
 _BYTES_IN_MB = 1_000_000
 
 
@@ -39,19 +42,19 @@
     Attributes
     ----------
     rack : RackState
-        What runs, by the workers' word.
+        Views of the workers and of the attempts that they run.
     plan : PlanState
-        The policy.
+        The placement policy.
     offset : int
         Offset of the claim that began the term.
     authority : Authority
-        Whether the workers let this instance act.
+        Acceptance of this instance by the workers.
     newly_started : set of str
-        Runners whose assignment was written under this term.
+        Ids of runners whose assignment was recorded during this term.
     leaving : dict of str to float
-        Leaving workers and when that was noticed.
+        For each leaving worker, when this was first observed.
     cancelled : dict of TaskKey to float
-        Runners of cancelled services and when that was noticed.
+        For each runner of a cancelled service, when this was first observed.
     """
 
     def __init__(
@@ -71,7 +74,7 @@
 
 
 def build_lease_terms(settings: Settings) -> execution.LeaseTerms:
-    """Return the lengths of leases that the settings give."""
+    """Return the lease and command lengths from the settings."""
     return execution.LeaseTerms(
         settings.platform.worker_lease_s, _COMMAND_S, settings.platform.clock_drift
     )
@@ -85,7 +88,7 @@
     began: BeginTerm,
     now: float,
 ) -> Term:
-    """Return a new term over `rack` with all that the log says of it."""
+    """Return a new term over `rack`, initialized from the log."""
     state = execution.RackState(
         rack,
         holder,
@@ -97,7 +100,7 @@
     plan = execution.create_plan(int(settings.logs.decisions_mb * _BYTES_IN_MB))
     execution.load_rack(plan, domain, rack, now)
     claim = began.claim
-    # A caretaker's rival is the owner itself, whose authority rests on the same set.
+    # A caretaker competes with the owner, whose authority has the same set of workers.
     previous = (claim.workers,) if began.caretaker else claim.previous
     platform = settings.platform
     authority = Authority(
@@ -112,7 +115,7 @@
 def set_policy_inputs(
     term: Term, weights: placement.Weights, shares: Mapping[str, Size], now: float
 ) -> None:
-    """Tell the policy the weights and the teams' quotas."""
+    """Pass the placement weights and the teams' quotas to the policy."""
     term.plan.step(term.plan.policy, placement.WeightsChanged(weights), now)
     term.plan.step(term.plan.policy, placement.QuotasChanged(dict(shares)), now)
 
@@ -124,7 +127,7 @@
     change: log_state.FoldResult,
     now: float,
 ) -> None:
-    """Tell the term of a record that was just folded."""
+    """Update the term with a record that was just folded."""
     pending = set(term.plan.pending)
     execution.process_record(term.plan, domain, term.rack.rack, data, change, now)
     assigned = log_state.get_assigned(domain, term.rack.rack)
@@ -137,12 +140,12 @@
 def drain_cancelled_runners(
     term: Term, domain: log_state.DomainState, drain_s: float, now: float
 ) -> None:
-    """Let the runners of cancelled services serve what they have, then stop them.
+    """Let runners of cancelled services finish their requests before they are stopped.
 
     Notes
     -----
-    Guards a planned stop: a runner that is stopped at once cuts off the requests that
-    gateways sent it under credits that still hold.
+    Guards against failed requests at a planned stop: a runner that stopped at once
+    would drop the requests that gateways sent to it under credits that are still valid.
     """
     runners = [
         task
@@ -156,24 +159,24 @@
 
 
 def find_drain_time(settings: Settings) -> float:
-    """Return the seconds after which a leaving runner has no request any more."""
+    """Return the seconds after which a leaving runner has no requests left."""
     return settings.requests.credit_s + settings.requests.request_max_s
 
 
 def drain_workers(
     term: Term, domain: log_state.DomainState, drain_s: float, now: float
 ) -> None:
-    """Evict what runs on workers that are leaving.
+    """Request the eviction of attempts that run on leaving workers.
 
     Parameters
     ----------
     term : Term
-        Changed: the attempts to be checkpointed are noted.
+        Changed in place: the attempts to be checkpointed are recorded in its views.
     domain : DomainState
         The folded stream.
     drain_s : float
-        Seconds for which a runner goes on after its gateways were told. Until then
-        it serves what it has, so that the planned stop cuts off no request.
+        Seconds for which a runner continues after its gateways were notified. It
+        finishes its requests in this time, so that a planned stop drops none.
     now : float
         Owner's clock in seconds.
     """
@@ -204,7 +207,7 @@
 def iter_runners(
     term: Term, domain: log_state.DomainState
 ) -> Iterator[tuple[RunnerInfo, WorkerInfo]]:
-    """Yield the runners that the rack's workers list, with their worker."""
+    """Yield each runner that the rack's workers list, with its worker."""
     for view in term.rack.views.values():
         for key, task in view.running.items():
             entry = domain.jobs.get(key.task.job)
@@ -229,7 +232,10 @@
 
 
 def list_leaving_runners(term: Term, domain: log_state.DomainState) -> frozenset[str]:
-    """Return the runners that must get nothing new, by the first sign of it."""
+    """Return the ids of runners that must receive no new requests.
+
+    A runner is included as soon as any source shows that it will be stopped.
+    """
     cancelled = set(log_state.list_cancelled_running(domain, term.rack.rack))
     return frozenset(
         name_runner(key)
--- a/plantainyard/node/tests/test_domain.py
+++ b/plantainyard/node/tests/test_domain.py
@@ -1,9 +1,9 @@
-"""A whole failure domain under faults: log, workers and instances, two at once.
+"""A whole failure domain under faults of the log, workers and instances, two at once.
 
-The instances are the real actors, driven without threads: their calls to the log
-and to workers are kept and carried out, held back or lost as the test draws. The
-workers are the stand-ins' model, which fences and ends lapsed leases by its own
-clock, and keeps the evidence of what ran where and when.
+The instances are the real actors, driven without threads: their calls to the log and
+to workers are queued, and carried out, delayed or lost as the test draws. The workers
+are the stand-ins' model, which checks epochs, ends expired leases by its own clock, and
+records which task ran where and when.
 """
 
 import itertools
@@ -33,7 +33,7 @@
 
 
 class Domain(RuleBasedStateMachine):
-    """Draws faults, any two at once and the same one twice."""
+    """State machine that draws faults: any two at once, and the same one twice."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -141,7 +141,7 @@
 
 @pytest.fixture(autouse=True, scope="module")
 def quiet_logs() -> Iterator[None]:
-    """Keep thousands of expected warnings out of the output of these tests alone."""
+    """Suppress the thousands of warnings that only these tests expect."""
     logger = logging.getLogger("plantainyard")
     before = logger.level
     logger.setLevel(logging.CRITICAL)
@@ -159,7 +159,7 @@
 
 
 def pick_owner(world: World) -> tuple[Process, Process, Process]:
-    """Return the process with authority and the two others."""
+    """Return the process that owns the rack, and the two others."""
     owner = next(p for p in world.processes if p.actor.node.terms)
     rest = [p for p in world.processes if p is not owner]
     return owner, rest[0], rest[1]
@@ -170,12 +170,12 @@
 
 
 def test_lease_renewed_by_a_caretaker_has_not_lapsed(world: World) -> None:
-    """A monthly statement run is billed twice.
+    """Guards against a task that runs twice, such as a monthly statement run.
 
-    A switch fails: the owner reaches the log and two of three workers; a peer is
-    cut off from log and owner, and reaches only the third worker. It takes the owner
-    for dead and renews the task there, while the owner sees the lease run out,
-    writes so and starts the task elsewhere.
+    After a switch failure the owner reaches the log and two of three workers. A peer is
+    cut off from the log and the owner, and reaches only the third worker. It considers
+    the owner dead and renews the task's lease there, while the owner considers the
+    lease expired, records that and starts the task elsewhere.
     """
     owner, peer, _ = pick_owner(world)
     worker = find_worker(world)
@@ -187,10 +187,11 @@
 
 
 def test_paused_owner_wakes_after_a_caretaker_renewed(world: World) -> None:
-    """A monthly statement run is billed twice.
+    """Guards against a task that runs twice, such as a monthly statement run.
 
-    The log is out and the owner is paused; a peer keeps its task alive. The owner
-    wakes first, and the log returns: its lease has run out by all that it knows.
+    The log is out and the owner is paused, and a caretaker renews the lease of its
+    task. The owner resumes and the log returns: as far as the owner knows, the lease
+    has expired.
     """
     owner, *_ = pick_owner(world)
     world.log_up = False
@@ -207,10 +208,10 @@
 
 
 def test_planned_stop_hands_the_rack_over_at_once(world: World) -> None:
-    """Each replaced instance costs its racks ten seconds without an owner.
+    """Guards against racks without an owner for ten seconds at each planned stop.
 
-    The owner says that it is stopping; its peers leave it out of those that live and
-    claim its rack before it has given it up, and so must wait for its lease to end.
+    The owner reports that it is stopping. If its peers no longer count it as live, they
+    claim its rack before it is released and must wait for the owner's lease to expire.
     """
     owner, *rest = pick_owner(world)
     owner.tell(StopMessage())
@@ -220,11 +221,11 @@
 
 
 def test_hand_over_by_an_owner_that_has_a_caretaker(world: World) -> None:
-    """An order is taken twice: two instances let its request id run.
+    """Guards against an order taken twice: two instances let a request id run.
 
-    A peer that is cut off from the log and the owner cares for the rack; the owner,
-    which can't reach the workers, doesn't know. It stops as planned and hands the
-    rack over, and its successor doesn't wait for the caretaker's lease to end.
+    A peer that is cut off from the log and the owner becomes the rack's caretaker. The
+    owner can't reach the workers and doesn't know this. It stops as planned and hands
+    the rack over, and its successor doesn't wait for the caretaker's lease to expire.
     """
     owner, peer, third = pick_owner(world)
     owner.cut_workers = frozenset(world.machines)
@@ -237,11 +238,12 @@
     assert [p for p in world.processes if p.actor.node.terms] == [peer, third]
 
 
-def test_hand_over_by_an_owner_in_waiting(world: World) -> None:
-    """An order is taken twice: two instances let its request id run.
+def test_hand_over_by_an_owner_without_authority_yet(world: World) -> None:
+    """Guards against an order taken twice: two instances let a request id run.
 
-    An owner is paused; its successor claims the rack and has to wait for the lease to
-    end. It is stopped while it waits, and the third instance takes the rack as free.
+    The owner is paused. Its successor claims the rack and has to wait for the owner's
+    lease to expire. The successor is stopped while it waits, and the third instance
+    takes over the rack as if it were free.
     """
     owner, *rest = pick_owner(world)
     owner.paused = True
@@ -259,11 +261,11 @@
 
 
 def test_hand_over_that_reaches_the_log_late(world: World) -> None:
-    """An order is taken twice: two instances let its request id run.
+    """Guards against an order taken twice: two instances let a request id run.
 
-    An owner with authority stops and hands its rack over, but the network holds the
-    record back. Meanwhile a peer that is cut off cares for the rack. The record
-    arrives, and the successor takes the rack as free at once.
+    An owner with authority stops and hands its rack over, but the network delays the
+    record. Meanwhile a peer that is cut off becomes the rack's caretaker. The record
+    arrives, and the successor at once takes over the rack as if it were free.
     """
     owner, peer, third = pick_owner(world)
     world.hold_appends = True
@@ -281,10 +283,10 @@
 
 
 def test_outage_that_fills_the_backlog_loses_nothing(world: World) -> None:
-    """After a long outage of the log some statement runs never end, others never start.
+    """Guards against tasks that never start or end after a long outage of the log.
 
-    More records gather than the backlog holds. Those past its bound are refused, and
-    nobody tells the results again or places the tasks anew.
+    More records accumulate than the backlog holds. Those beyond its limit are rejected,
+    and no instance reports the results again or places the tasks again.
     """
     owner, *_ = pick_owner(world)
     for process in world.processes:
@@ -303,14 +305,13 @@
 
 
 @pytest.mark.parametrize("replaced", [False, True])
-def test_checkpoint_is_resumed_once_though_the_worker_restarts(
+def test_checkpoint_is_resumed_once_when_the_worker_restarts(
     world: World, replaced: bool
 ) -> None:
-    """Half of the invoices of an evicted run are sent twice.
+    """Guards against a checkpoint resumed twice, with half of the invoices sent twice.
 
-    The run is evicted with a checkpoint and resumed; the answer to its start is
-    lost, and the worker restarts before it is asked again, by the same owner or by
-    its successor.
+    The run is evicted with a checkpoint and resumed. The response to its start is lost,
+    and the worker restarts before the same owner or its successor calls it again.
     """
     owner, *_ = pick_owner(world)
     for view in owner.actor.node.terms[RACK].rack.views.values():
--- a/plantainyard/node/tests/world.py
+++ b/plantainyard/node/tests/world.py
@@ -1,7 +1,7 @@
-"""A failure domain for tests: log, workers and instances, all without threads.
+"""A simulated failure domain: log, workers and instances, all without threads.
 
-Calls to the log and to workers are kept and carried out, held back or lost as the test
-wants.
+Calls to the log and to workers are queued, and carried out, delayed or lost as the test
+specifies.
 """
 
 import itertools
@@ -58,7 +58,7 @@
 
 
 class Process:
-    """One start of an instance, and its messages under way."""
+    """One start of an instance, with its queued calls and messages."""
 
     def __init__(self, world: "World", instance: str, start: int) -> None:
         self.name = f"{instance}.{start}"
@@ -84,7 +84,7 @@
         self.tell(InstancesListed(tuple(map(_list_worker, WORKERS))))
 
     def submit(self, *call: Any) -> None:
-        """Keep a call that the actor hands to its executor."""
+        """Queue a call that the actor submits to its executor."""
         self.calls.append(call[1:])
 
     def tell(self, message: Any) -> None:
@@ -105,7 +105,7 @@
 
 
 class World:
-    """The platform and the instances, on one clock."""
+    """The platform and the instances, with one simulated clock."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -188,7 +188,7 @@
             )
             return
         if self.lose():
-            # Half of the lost ones reach the log, some of them much later.
+            # Two thirds of the unconfirmed records reach the log, half of those later.
             late = self.rng.choice([None, self.held.append, lambda put: put()])
             if late is not None:
                 late(lambda: self.write(wire))
@@ -223,7 +223,7 @@
             error = CallError(ErrorKind.UNREACHABLE, "", "")
             deliver(CallFailed(call.worker, error))
         elif call.worker in self.frozen:
-            # The request sits in the frozen worker's socket; the caller gave up.
+            # The request waits in the frozen worker's socket; the caller timed out.
             self.held.append(lambda: self.ask(call) and None)
             deliver(CallFailed(call.worker, CallError(ErrorKind.LOST, "", "")))
         else:
@@ -255,7 +255,7 @@
     def check(self) -> None:
         for machine in self.machines.values():
             advance_machine(machine, self.now)
-            assert not machine.overcommitted, "a worker got more than it can hold"
+            assert not machine.overcommitted, "a worker exceeds its capacity"
         owners = [
             process.name
             for process in self.processes
@@ -264,11 +264,11 @@
         ]
         assert len(owners) <= 1, f"two instances hold authority: {owners}"
         running = [key[0] for m in self.machines.values() for key in m.running]
-        assert len(running) == len(set(running)), f"in two places: {running}"
+        assert len(running) == len(set(running)), f"task runs in two places: {running}"
         resumed = [run.checkpoint for run in self.list_runs() if run.checkpoint]
         assert len(resumed) == len(set(resumed)), "a checkpoint was resumed twice"
-        # What finished at a worker that was cut off may be run again, for nobody can
-        # know that it did; nothing else may.
+        # Only a task that finished on a worker that was cut off may run again, because
+        # the owner can't know that it finished.
         lapsed = self.lapsed
         done = [r.task for r in self.list_runs() if r.outcome == "done"]
         once = [task for task in done if task not in lapsed]
