--- a/plantainyard/execution/events.py
+++ b/plantainyard/execution/events.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from plantainyard.clients import Commands, WorkerAnswer
+from plantainyard.clients import Commands, WorkerResponse
 from plantainyard.errors import CallError
 from plantainyard.state import (
     ResultItem,
@@ -54,7 +54,7 @@
     """
 
     worker: str
-    answer: WorkerAnswer
+    answer: WorkerResponse
     sent_at: float
     fencing: bool
 
--- a/plantainyard/gateway/routing_settings.py
+++ b/plantainyard/gateway/routing_settings.py
@@ -1,28 +1,32 @@
-"""Translation of an instance's settings into those of routing."""
+"""Conversion of an instance's settings to those of routing."""
 
 from plantainyard.routing import RoutingSettings
 from plantainyard.settings import Settings
 
 __all__ = ["build_routing_settings"]
 
-_REQUESTS_PER_CREDIT_TERM = 6.0
+_MIN_REQUESTS_PER_CREDIT_TERM = 6.0
+"""Smallest number of credit requests in the term of a credit."""
+
 _BYTES_PER_MB = 1_000_000
+
 _QUEUE_MEMORY_SHARE = 0.25
+"""Share of the memory for bodies that queued requests may use."""
 
 
 def build_routing_settings(settings: Settings) -> RoutingSettings:
-    """Return the routing settings of `settings`.
+    """Return the routing settings that follow from `settings`.
 
     Notes
     -----
-    Bodies that wait take a quarter of the memory for bodies; the rest is left to the
-    requests in progress and their answers.
+    The bodies of queued requests may use a quarter of the memory for bodies. The rest
+    is for the requests in progress and their responses.
     """
     requests, limits = settings.requests, settings.limits
     return RoutingSettings(
         credit_s=requests.credit_s,
         credit_request_interval_s=min(
-            0.5, requests.credit_s / _REQUESTS_PER_CREDIT_TERM
+            0.5, requests.credit_s / _MIN_REQUESTS_PER_CREDIT_TERM
         ),
         request_max_s=requests.request_max_s,
         drift=settings.platform.clock_drift,
--- a/plantainyard/node/peers.py
+++ b/plantainyard/node/peers.py
@@ -24,15 +24,15 @@
     InstancesAsk,
 )
 from plantainyard.relay import (
-    PeerAddress,
+    HeartbeatBatch,
+    PeerLocation,
     RelayState,
-    Sending,
     choose_targets,
-    confirm_sending,
-    forget_confirmations,
+    confirm_batch,
     is_relay,
-    list_news,
-    note_word,
+    list_unconfirmed,
+    record_heartbeat,
+    reset_confirmations,
 )
 from plantainyard.settings import Settings
 
@@ -229,9 +229,9 @@
         for name in self._choose_targets():
             peer = self.listed[name]
             same_domain = peer.domain == own.domain
-            sending = self._list_news(name, same_domain)
+            batch = self._list_unconfirmed(name, same_domain)
             ages = self._list_ages(now) if same_domain and self.is_relay else {}
-            beat = own._replace(members=sending.words, domain_ages=ages)
+            beat = own._replace(members=batch.heartbeats, domain_ages=ages)
             self.executor.submit(
                 send_heartbeat,
                 self.settings,
@@ -239,28 +239,28 @@
                 self.actor_ref,
                 peer,
                 beat,
-                sending.version,
+                batch.version,
             )
 
     def _choose_targets(self) -> list[str]:
         instance = self.settings.instance
         return choose_targets(
-            PeerAddress(instance.id, instance.domain),
+            PeerLocation(instance.id, instance.domain),
             (
-                PeerAddress(peer.id, peer.domain)
+                PeerLocation(peer.id, peer.domain)
                 for peer in self.listed.values()
-                if peer.state != InstanceState.GONE and peer.control_address
+                if peer.state != InstanceState.TERMINATED and peer.control_address
             ),
             self.failed_heartbeats,
             self.is_relay,
         )
 
-    def _list_news(self, peer: str, same_domain: bool) -> Sending:
+    def _list_unconfirmed(self, peer: str, same_domain: bool) -> HeartbeatBatch:
         if not self.is_relay:
-            return Sending((), 0)
+            return HeartbeatBatch((), 0)
         own = self.settings.instance.domain
-        others = {word.domain for word in self.relay.words.values()} - {own}
-        return list_news(self.relay, peer, others if same_domain else {own})
+        others = {member.domain for member in self.relay.heartbeats.values()} - {own}
+        return list_unconfirmed(self.relay, peer, others if same_domain else {own})
 
     def _list_ages(self, now: float) -> dict[str, float]:
         return {
@@ -272,7 +272,7 @@
         oldest = now - self.settings.intervals.silence_s
         for beat, heard_at in self.heartbeats.values():
             if beat.domain == self.settings.instance.domain:
-                note_word(self.relay, beat._replace(live=heard_at >= oldest))
+                record_heartbeat(self.relay, beat._replace(live=heard_at >= oldest))
 
     def _process_heartbeat_end(self, message: "HeartbeatSent") -> None:
         if not message.delivered:
@@ -281,7 +281,7 @@
             )
             return
         self.failed_heartbeats.pop(message.peer, None)
-        confirm_sending(self.relay, message.peer, message.version)
+        confirm_batch(self.relay, message.peer, message.version)
 
     def _process_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
         earlier = self.heartbeats.get(heartbeat.instance)
@@ -289,20 +289,20 @@
             return
         if earlier is None or earlier[0].incarnation != heartbeat.incarnation:
             # A restarted peer has lost the updates that it confirmed before.
-            forget_confirmations(self.relay, heartbeat.instance)
+            reset_confirmations(self.relay, heartbeat.instance)
         own = self.settings.instance.domain
         if heartbeat.domain != own:
             self.domain_heard_at[heartbeat.domain] = now
-        for word in heartbeat.members:
-            if word.domain != own:
-                self.heartbeats[word.instance] = (word, now)
-                note_word(self.relay, word)
+        for member in heartbeat.members:
+            if member.domain != own:
+                self.heartbeats[member.instance] = (member, now)
+                record_heartbeat(self.relay, member)
         for domain, age_s in heartbeat.domain_ages.items():
             heard_at = self.domain_heard_at.get(domain, float("-inf"))
             self.domain_heard_at[domain] = max(heard_at, now - age_s)
         kept = heartbeat._replace(members=(), domain_ages={})
         self.heartbeats[heartbeat.instance] = (kept, now)
-        note_word(self.relay, kept)
+        record_heartbeat(self.relay, kept)
         self._check_relay_list(heartbeat, now)
 
     def _check_relay_list(self, heartbeat: Heartbeat, now: float) -> None:
