--- a/plantainyard/dispatch/dispatcher.py
+++ b/plantainyard/dispatch/dispatcher.py
@@ -72,7 +72,7 @@
 __all__ = ["Dispatcher", "restore_dispatcher", "step"]
 
 
-FORGET_INTERVAL_S = 1.0
+EXPIRY_INTERVAL_S = 1.0
 """Time between expiries of unobserved estimates; several reports of each runner come
 within it."""
 
@@ -220,9 +220,9 @@
 
 def _expire_interference(state: Dispatcher, now: float) -> None:
     elapsed_s = now - state.interference_expired_at
-    if elapsed_s >= FORGET_INTERVAL_S:
+    if elapsed_s >= EXPIRY_INTERVAL_S:
         expire_unobserved(
-            state.interference, min(elapsed_s, 2 * FORGET_INTERVAL_S), now
+            state.interference, min(elapsed_s, 2 * EXPIRY_INTERVAL_S), now
         )
         state.interference_expired_at = now
 
@@ -274,8 +274,8 @@
     for job_id, final_state in state.new_final_states.items():
         records.append(Record(make_end_key(job_id), final_state.encode()))
         records += [
-            Record(make_progress_key(job_id, *place), b"")
-            for place in state.jobs[job_id].steps
+            Record(make_progress_key(job_id, *position), b"")
+            for position in state.jobs[job_id].steps
         ]
     records += [
         Record(make_handover_key(job_id), str(state.handed_over[job_id]).encode())
--- a/plantainyard/dispatch/forwarding.py
+++ b/plantainyard/dispatch/forwarding.py
@@ -54,8 +54,8 @@
 
 def build_task_submission(task: Task) -> Submission:
     """Return the submission of a single task in the form that its new unit stores."""
-    place = task.key.occurrence, task.key.step, task.key.number
-    submission = task.step.job.submission._replace(piece=place, first_run=task.run)
+    position = task.key.occurrence, task.key.step, task.key.number
+    submission = task.step.job.submission._replace(piece=position, first_run=task.run)
     return add_hop(submission)
 
 
--- a/plantainyard/dispatch/handover.py
+++ b/plantainyard/dispatch/handover.py
@@ -55,8 +55,8 @@
 """The same for an interrupted long-running task: any unit with a gap is accepted."""
 
 MAX_TASK_HOPS = 6
-"""Number of times that a single task may be handed over: the gap that a unit reported
-may be occupied when the task arrives."""
+"""Number of times that a single task may be handed over; more than one, since the gap
+that a unit reported may be occupied when the task arrives."""
 
 INTERRUPTED_TASK_WAIT_S = 0.6
 """Time for which an interrupted task waits for capacity in its own unit: the platform
@@ -207,7 +207,7 @@
 def _find_unit(
     state: Dispatcher, step: Step, needed: int, difference: float
 ) -> int | None:
-    """Return the least loaded unit with a sufficient gap, or None.
+    """Return the least loaded unit with a sufficient gap, or None if none qualifies.
 
     Parameters
     ----------
--- a/plantainyard/dispatch/jobs.py
+++ b/plantainyard/dispatch/jobs.py
@@ -26,7 +26,11 @@
 def add_job(state: Dispatcher, submission: Submission, now: float) -> None:
     """Add an accepted job; repeated submissions are ignored."""
     job_id = submission.record_id
-    if job_id in state.jobs or job_id in state.ended_at or job_id in state.handed_over:
+    if (
+        job_id in state.jobs
+        or job_id in state.ended_jobs
+        or job_id in state.handed_over
+    ):
         return
     remaining_ms = find_critical_paths_ms(submission.steps)
     job = Job(submission, 0.0, remaining_ms, now)
@@ -157,4 +161,4 @@
     """Set the final state of a job, to be stored with the next commit."""
     job.final_state = final_state
     state.new_final_states[job.submission.record_id] = final_state
-    state.ended_at[job.submission.record_id] = 0.0
+    state.ended_jobs[job.submission.record_id] = 0.0
--- a/plantainyard/dispatch/restoring.py
+++ b/plantainyard/dispatch/restoring.py
@@ -39,7 +39,7 @@
     delivered = {job_id for job_id, view in views if view.delivered}
     for job_id, view in views:
         if view.final_state:
-            state.ended_at[job_id] = now
+            state.ended_jobs[job_id] = now
         elif view.handed_to is not None:
             _restore_handed_over_job(state, view, view.handed_to)
         elif view.submission is not None:
@@ -47,7 +47,7 @@
 
 
 def _restore_handed_over_job(state: Dispatcher, view: JobView, unit: int) -> None:
-    """Send a job that was handed over again, unless its new unit surely has it.
+    """Resend a job that was handed over, unless its new unit surely has it.
 
     Notes
     -----
@@ -113,7 +113,7 @@
 def _restore_handed_over_task(
     state: Dispatcher, task: Task, unit: int, delivered: Set[str]
 ) -> None:
-    """Send a task that was handed over again; see `_restore_handed_over_job`."""
+    """Resend a task that was handed over; see `_restore_handed_over_job`."""
     task.phase = Phase.HANDED_OVER
     task.unit = unit
     submission = build_task_submission(task)
--- a/plantainyard/dispatch/state.py
+++ b/plantainyard/dispatch/state.py
@@ -49,8 +49,9 @@
         jump.
     jobs : dict
         Jobs that haven't ended, by id.
-    ended_at : dict
-        When jobs ended in this unit, by id; their repeated submissions are ignored.
+    ended_jobs : dict
+        Jobs that have ended in this unit, by id; repeated submissions of them are
+        ignored. Only the keys are used.
     runners : dict
         Runner incarnations by name.
     newest_incarnations : dict
@@ -121,7 +122,7 @@
     limits: Limits
     wall_offset_s: float = 0.0
     jobs: dict[str, Job] = field(default_factory=dict)
-    ended_at: dict[str, float] = field(default_factory=dict)
+    ended_jobs: dict[str, float] = field(default_factory=dict)
     runners: dict[str, Runner] = field(default_factory=dict)
     newest_incarnations: dict[str, str] = field(default_factory=dict)
     dirty_steps: dict[int, StepRun] = field(default_factory=dict)
--- a/plantainyard/dispatch/tests/test_dispatcher.py
+++ b/plantainyard/dispatch/tests/test_dispatcher.py
@@ -13,7 +13,7 @@
     assert world.final_state("a") == "completed"
 
 
-def test_a_submission_that_comes_twice_runs_once():
+def test_a_repeated_submission_runs_once():
     # Guards against a job that runs again because a caller that didn't get the answer
     # resubmits it at another instance, whose copy is read after the job has ended.
     world = World()
@@ -53,7 +53,7 @@
     assert world.final_state("a") == "completed"
 
 
-def test_a_cancelled_job_stops_and_starts_nothing():
+def test_a_cancelled_job_stops_and_starts_no_tasks():
     world = World()
     world.submit("a", make_step(2), make_step(2, after=(0,)))
     world.run(0.5)
--- a/plantainyard/dispatch/tests/test_faults.py
+++ b/plantainyard/dispatch/tests/test_faults.py
@@ -27,15 +27,15 @@
         self.cancelled: set[str] = set()
         self.noted_done: set[str] = set()
 
-    @rule(job=st.sampled_from(JOBS), lasting=st.booleans())
-    def submit(self, job: str, lasting: bool) -> None:
+    @rule(job=st.sampled_from(JOBS), long_running=st.booleans())
+    def submit(self, job: str, long_running: bool) -> None:
         if job in self.world.submissions:
             self.world.resubmit(job)
             return
         for runner in self.world.runners.values():
-            runner.durations[job] = 0.0 if lasting else 1.2
-        steps = [make_step(2, cpu=TASK_CPU, long_running=lasting)]
-        if not lasting:
+            runner.durations[job] = 0.0 if long_running else 1.2
+        steps = [make_step(2, cpu=TASK_CPU, long_running=long_running)]
+        if not long_running:
             steps.append(make_step(1, cpu=TASK_CPU, after=(0,)))
         self.world.submit(job, *steps)
 
--- a/plantainyard/dispatch/tests/test_handover.py
+++ b/plantainyard/dispatch/tests/test_handover.py
@@ -116,7 +116,7 @@
     assert [keys for _, keys in list_forwarded(world)][-1:] == together
 
 
-def test_a_burst_of_large_jobs_fits_into_the_calls_that_the_store_takes():
+def test_a_burst_of_large_jobs_is_split_into_calls_that_the_store_accepts():
     # Guards against a call that the store refuses for its size and that is repeated
     # forever.
     world = make_full_world()
@@ -169,7 +169,7 @@
     assert len(world.list_starts("a")) == 1
 
 
-def test_a_job_is_handed_over_once():
+def test_a_job_is_handed_over_only_once():
     # Guards against a job that two full units hand to each other without running it.
     world = make_full_world()
     world.submit("a", make_step(cpu=4000), hops=1)
@@ -287,9 +287,9 @@
     ((unit, (key,)),) = list_forwarded(world)
     assert unit == 5
     (record,) = world.forwarded[0].records
-    piece = decode_submission(record.value)
-    assert (piece.job_id, piece.first_run, piece.hops) == ("a", 1, 1)
-    assert key == f"j/{piece.record_id}"
+    submission = decode_submission(record.value)
+    assert (submission.job_id, submission.first_run, submission.hops) == ("a", 1, 1)
+    assert key == f"j/{submission.record_id}"
     assert len(world.list_running("a")) == 1
 
 
@@ -383,11 +383,11 @@
     world.runners["r0"].durations = {"a": 0.0}
     step = make_step(9, long_running=True, max_per_runner=1)
     for number in (3, 4):
-        piece = Submission(
+        submission = Submission(
             "a", "q", "tollgate", "spec", (step,), hops=1, piece=(0, 0, number)
         )
-        key = make_submission_key(piece.record_id)
-        world.receive_submission(Record(key, encode_submission(piece)))
+        key = make_submission_key(submission.record_id)
+        world.receive_submission(Record(key, encode_submission(submission)))
     world.run(1.0)
     assert len(world.list_running("a")) == 1
 
@@ -455,8 +455,8 @@
 def test_a_wide_job_does_not_start_in_the_only_gap_of_its_unit():
     # Guards against a job of twelve tasks that starts in a gap for one task, can then
     # no longer be handed over, and runs one task after the other for the rest of the
-    # day. The runners of the other unit are all in use, but by tasks that end within 1
-    # s.
+    # day. The runners of the other unit are all in use, but by tasks that end within a
+    # second.
     world = make_nearly_full_world()
     world.send_event(LoadsReceived({3: HIGH_LOAD, 5: BUSY_WITH_SHORT_TASKS}))
     world.submit("a", make_step(12, cpu=3000))
@@ -477,10 +477,8 @@
     # Guards against jobs that are handed over for a small gain, to a unit that others
     # were handed to as well: loads are reported only once a second.
     world = make_nearly_full_world()
-    crowded = BUSY_WITH_SHORT_TASKS._replace(slots=(1,) * 14, ending=0)
-    world.send_event(
-        LoadsReceived({3: crowded, 5: HIGH_LOAD._replace(slots=(0,) * 14)})
-    )
+    busy = BUSY_WITH_SHORT_TASKS._replace(slots=(1,) * 14, ending=0)
+    world.send_event(LoadsReceived({3: busy, 5: HIGH_LOAD._replace(slots=(0,) * 14)}))
     world.submit("a", make_step(2, cpu=3500))
     world.run(0.2)
     assert world.forwarded == []
