--- a/plantainyard/clients/__init__.py
+++ b/plantainyard/clients/__init__.py
@@ -1,4 +1,4 @@
-"""Clients of the platform: log, workers, instance list and runners."""
+"""Clients of the platform's log, workers and instance list, and of runners."""
 
 from plantainyard.clients.instances import (
     Instance,
@@ -15,14 +15,14 @@
     LogClient,
     LogPage,
     LogRecord,
-    append,
+    append_record,
     build_log_client,
-    read,
+    read_records,
 )
 from plantainyard.clients.runner import (
-    RunnerAnswer,
     RunnerClient,
     RunnerOutcome,
+    RunnerResult,
     build_runner_client,
     run_request,
 )
@@ -36,8 +36,8 @@
     TaskAttempt,
     Throttle,
     Usage,
-    WorkerAnswer,
     WorkerClient,
+    WorkerResponse,
     WorkerState,
     build_worker_client,
     read_state,
@@ -59,7 +59,7 @@
     "LogRecord",
     "Refusal",
     "Renewal",
-    "RunnerAnswer",
+    "RunnerResult",
     "RunnerClient",
     "RunnerOutcome",
     "RunningTask",
@@ -67,10 +67,10 @@
     "TaskAttempt",
     "Throttle",
     "Usage",
-    "WorkerAnswer",
+    "WorkerResponse",
     "WorkerClient",
     "WorkerState",
-    "append",
+    "append_record",
     "build_instances_client",
     "decode_instance",
     "digest_instances",
@@ -80,7 +80,7 @@
     "build_pool",
     "build_runner_client",
     "build_worker_client",
-    "read",
+    "read_records",
     "read_instances",
     "read_state",
     "run_request",
--- a/plantainyard/commands/exits.py
+++ b/plantainyard/commands/exit_codes.py
@@ -4,11 +4,11 @@
 
 from plantainyard.api import ErrorCode
 
-__all__ = ["EXIT_MEANINGS", "EXIT_OF_CODE", "ExitCode", "describe_exits"]
+__all__ = ["EXIT_MEANINGS", "EXIT_CODE_BY_ERROR", "ExitCode", "describe_exit_codes"]
 
 
 class ExitCode(IntEnum):
-    """What a script may rely on."""
+    """Exit codes that scripts may rely on."""
 
     OK = 0
     INTERNAL = 1
@@ -43,7 +43,7 @@
     ExitCode.NO_READER: "standard output was closed before all was printed",
 }
 
-EXIT_OF_CODE = {
+EXIT_CODE_BY_ERROR = {
     ErrorCode.MALFORMED: ExitCode.USAGE,
     ErrorCode.TOO_LARGE: ExitCode.USAGE,
     ErrorCode.UNAUTHORIZED: ExitCode.UNAUTHORIZED,
@@ -56,8 +56,8 @@
 }
 
 
-def describe_exits() -> str:
-    """Return the exit codes as lines for people."""
+def describe_exit_codes() -> str:
+    """Return the exit codes and their meanings, one a line."""
     return "\n".join(
         f"  {code.value:>3}  {meaning}" for code, meaning in EXIT_MEANINGS.items()
     )
--- a/plantainyard/commands/instances.py
+++ b/plantainyard/commands/instances.py
@@ -1,4 +1,4 @@
-"""Subcommands for instances and workers: drain, dump and status."""
+"""Subcommands that drain, dump and show the status of instances and workers."""
 
 from absl import flags
 from google.protobuf import json_format
@@ -9,23 +9,23 @@
     Command,
     Invocation,
     UsageError,
-    ask,
-    define_nothing,
-    define_request_id,
+    call_method,
+    define_no_flags,
+    define_request_id_flag,
     format_table,
     pick_request_id,
+    print_json,
     report_failure,
     run_call,
-    show_json,
 )
-from plantainyard.commands.exits import ExitCode
-from plantainyard.commands.render import format_age, format_ages
+from plantainyard.commands.exit_codes import ExitCode
+from plantainyard.commands.rendering import format_age, format_ages
 
 __all__ = ["COMMANDS"]
 
 
 def _define_drain(values: flags.FlagValues) -> None:
-    define_request_id(values)
+    define_request_id_flag(values)
     flags.DEFINE_string("instance", "", "Entry instance to empty.", flag_values=values)
     flags.DEFINE_string("worker", "", "Worker to empty.", flag_values=values)
     flags.DEFINE_bool("undo", False, "Take it back into use.", flag_values=values)
@@ -46,37 +46,37 @@
         invocation,
         "Drain",
         request,
-        lambda answer: f"accepted as configuration version {answer.version}",
+        lambda response: f"accepted as configuration version {response.version}",
     )
 
 
 def _dump(invocation: Invocation) -> ExitCode:
-    answer = ask(invocation, "Dump", schema.DumpRequest())
-    if isinstance(answer, Err):
-        return report_failure(invocation, answer.err_value)
-    show_json(invocation, json_format.MessageToDict(answer.ok_value.state))
+    response = call_method(invocation, "Dump", schema.DumpRequest())
+    if isinstance(response, Err):
+        return report_failure(invocation, response.err_value)
+    print_json(invocation, json_format.MessageToDict(response.ok_value.state))
     return ExitCode.OK
 
 
-def _tell_status(invocation: Invocation) -> ExitCode:
+def _show_status(invocation: Invocation) -> ExitCode:
     return run_call(invocation, "Status", schema.StatusRequest(), _format_status)
 
 
-def _format_status(answer: schema.StatusResponse) -> str:
-    reasons = "; ".join(answer.not_ready_reasons)
-    facts = (
-        ("instance", f"{answer.instance} ({answer.domain}, {answer.region})"),
-        ("software", f"{answer.software_version}, up {answer.uptime_s:.0f} s"),
-        ("ready", "yes" if answer.ready else f"no: {reasons}"),
+def _format_status(response: schema.StatusResponse) -> str:
+    reasons = "; ".join(response.not_ready_reasons)
+    summary = (
+        ("instance", f"{response.instance} ({response.domain}, {response.region})"),
+        ("software", f"{response.software_version}, up {response.uptime_s:.0f} s"),
+        ("ready", "yes" if response.ready else f"no: {reasons}"),
         (
             "configuration",
-            f"version {answer.configuration_version}, "
-            f"known current {format_age(answer.configuration_age_s)}",
+            f"version {response.configuration_version}, "
+            f"known current {format_age(response.configuration_age_s)}",
         ),
         (
             "requests",
-            f"{answer.requests_in_progress} in progress, "
-            f"{answer.requests_queued} queued",
+            f"{response.requests_in_progress} in progress, "
+            f"{response.requests_queued} queued",
         ),
     )
     racks = (
@@ -88,11 +88,11 @@
             r.tasks_assigned,
             r.tasks_waiting,
         )
-        for r in answer.racks
+        for r in response.racks
     )
     peers = (
         (p.instance, p.domain, p.state, format_age(p.heard_s), p.address)
-        for p in answer.peers
+        for p in response.peers
     )
     rack_names = (
         "rack",
@@ -105,8 +105,8 @@
     peer_names = ("peer", "domain", "state", "heard from", "address")
     return "\n".join(
         [
-            *(f"{name + ':':<15} {value}" for name, value in facts),
-            *format_ages(answer.streams),
+            *(f"{name + ':':<15} {value}" for name, value in summary),
+            *format_ages(response.streams),
             "",
             format_table(rack_names, racks),
             "",
@@ -140,7 +140,7 @@
         "Asks the first instance that answers; name one with --address. Secrets are "
         "not part of it.",
         ("plantainyard dump --address=10.10.1.1:7401 > dump.json",),
-        define_nothing,
+        define_no_flags,
         _dump,
     ),
     Command(
@@ -149,7 +149,7 @@
         "Tell how one instance is: readiness, racks, peers, configuration.",
         "Asks the first instance that answers; name one with --address.",
         ("plantainyard status --address=10.10.1.1:7401",),
-        define_nothing,
-        _tell_status,
+        define_no_flags,
+        _show_status,
     ),
 )
--- a/plantainyard/commands/declare.py
+++ b/plantainyard/commands/work_flags.py
@@ -1,4 +1,4 @@
-"""Flags that declare work, and the messages made of them."""
+"""Flags that declare work, and the request messages built from them."""
 
 from typing import Any
 
@@ -11,16 +11,22 @@
 from plantainyard.commands.command import (
     Invocation,
     UsageError,
-    define_request_id,
+    define_request_id_flag,
     pick_request_id,
 )
 
-__all__ = ["define_work", "parse_pairs", "read_declared_file", "read_text", "read_work"]
+__all__ = [
+    "define_work_flags",
+    "parse_pairs",
+    "read_request_file",
+    "read_text",
+    "read_work_flags",
+]
 
 
-def define_work(values: flags.FlagValues) -> None:
-    """Define the flags that batch jobs and services share."""
-    define_request_id(values)
+def define_work_flags(values: flags.FlagValues) -> None:
+    """Define the flags that the creation of batch jobs and services shares."""
+    define_request_id_flag(values)
     text, number = flags.DEFINE_string, flags.DEFINE_float
     text("file", "", "JSON file with the whole request.", flag_values=values)
     text("name", "", "Name of the work.", flag_values=values)
@@ -53,8 +59,8 @@
     )
 
 
-def read_work(invocation: Invocation) -> dict[str, Any]:
-    """Return the fields that batch jobs and services share, from the flags."""
+def read_work_flags(invocation: Invocation) -> dict[str, Any]:
+    """Return the request fields that batch jobs and services share, from the flags."""
     values = invocation.flags
     payload = read_text(values.payload_file) if values.payload_file else values.payload
     return {
@@ -77,8 +83,8 @@
     }
 
 
-def read_declared_file(invocation: Invocation, message_class: type[Message]) -> Any:
-    """Return the request in the file of ``--file``, with its request id filled in."""
+def read_request_file(invocation: Invocation, message_class: type[Message]) -> Any:
+    """Return the request in the file of ``--file``, with a request id filled in."""
     values = invocation.flags
     body = read_text(values.file).encode()
     decoded = decode_message(message_class, JSON, body)
@@ -99,7 +105,7 @@
     Raises
     ------
     UsageError
-        If it can't be read.
+        If the file can't be read.
     """
     try:
         with open(path, encoding="utf-8") as file:
@@ -109,12 +115,12 @@
 
 
 def parse_pairs(flag: str, parts: list[str]) -> dict[str, int]:
-    """Return ``name=number`` parts as a mapping.
+    """Return the mapping given by parts of the form ``name=number``.
 
     Raises
     ------
     UsageError
-        If a part has another form or a name stands twice.
+        If a part has another form or a name occurs twice.
     """
     pairs = {}
     for part in parts:
--- a/plantainyard/gateway/actor.py
+++ b/plantainyard/gateway/actor.py
@@ -1,8 +1,8 @@
 """The actor that owns a gateway's state.
 
-A caller's thread tells the actor of its request and waits on a ticket of its own. The
-actor decides and puts what is to be done on the ticket; the caller's thread does it,
-so that the actor never waits for a runner or a peer.
+The thread that serves a caller posts the request to the actor and waits on a channel
+of its own. The actor decides what to do and puts the actions on that channel. The
+thread performs them, so that the actor never waits for a runner or a peer.
 """
 
 import contextlib
@@ -15,7 +15,7 @@
 import pykka
 
 from plantainyard.clock import read_clock
-from plantainyard.gateway.tuning import build_routing_settings
+from plantainyard.gateway.routing_settings import build_routing_settings
 from plantainyard.routing import (
     Action,
     Answer,
@@ -39,27 +39,32 @@
 from plantainyard.settings import Settings
 
 __all__ = [
+    "ActionChannel",
     "Gateway",
-    "Ticket",
-    "close_ticket",
+    "close_channel",
     "describe_gateway",
     "drain_gateway",
     "is_alive",
-    "open_ticket",
-    "read_room",
+    "open_channel",
+    "post_event",
+    "read_free_credits",
     "run_gateway",
-    "tell_event",
 ]
 
-_TICK_S = 0.1
-_DUMP_TIMEOUT_S = 2.0
+_TICK_INTERVAL_S = 0.1
+"""Seconds between two `Tick` events."""
+
+_ACTOR_REPLY_TIMEOUT_S = 2.0
+"""Longest wait in seconds for the actor's reply to a read of its state."""
+
 _STOP_TIMEOUT_S = 5.0
+"""Longest wait in seconds for the actor to stop."""
 
 _logger = logging.getLogger(__name__)
 
 
-class Ticket:
-    """Where a caller's thread waits for what it is to do next.
+class ActionChannel:
+    """Queue of actions for the thread that serves one request.
 
     Parameters
     ----------
@@ -79,30 +84,30 @@
     ----------
     ref : pykka.ActorRef
         The actor that owns the state.
-    tickets : dict of str to Ticket
-        Those of the requests in progress.
+    channels : dict of str to ActionChannel
+        Channels of the requests in progress, by request key.
     lock : threading.Lock
-        Held while the tickets change.
+        Guards `channels`.
     drained : threading.Event
-        Set once nothing is in progress after `drain_gateway`.
+        Set after `drain_gateway` once no request is in progress.
     """
 
     ref: pykka.ActorRef[Any]
-    tickets: dict[str, Ticket]
+    channels: dict[str, ActionChannel]
     lock: threading.Lock
     drained: threading.Event
 
 
-class _Dump(NamedTuple):
-    """Asks the actor for its state as plain values."""
+class _ReadState(NamedTuple):
+    """Message that requests the actor's state as plain values."""
 
 
-class _Room(NamedTuple):
-    """Asks the actor for its free credits."""
+class _ReadFreeCredits(NamedTuple):
+    """Message that requests the actor's free credits."""
 
 
 class _GatewayActor(pykka.ThreadingActor):
-    """Owner of a `GatewayState`."""
+    """Actor that owns a `GatewayState` and applies events to it one at a time."""
 
     use_daemon_thread = True
 
@@ -114,9 +119,9 @@
         self.perform = perform
 
     def on_receive(self, message: Any) -> Any:
-        if isinstance(message, _Dump):
-            return self._dump()
-        if isinstance(message, _Room):
+        if isinstance(message, _ReadState):
+            return self._dump_state()
+        if isinstance(message, _ReadFreeCredits):
             return count_free_credits(self.state, read_clock())
         events = [message]
         while events:
@@ -129,46 +134,51 @@
     ) -> None:
         _logger.error("gateway actor failed", exc_info=exception_value)
 
-    def _dump(self) -> dict[str, object]:
+    def _dump_state(self) -> dict[str, object]:
         inbox: Any = self.actor_inbox
         return {"mailbox": inbox.qsize(), **dump_gateway(self.state, read_clock())}
 
 
 @contextlib.contextmanager
 def run_gateway(
-    settings: Settings, name: str, ask: Callable[[RequestCredits], object]
+    settings: Settings, name: str, request_credits: Callable[[RequestCredits], object]
 ) -> Iterator[Gateway]:
-    """Run the actor for the length of the context.
+    """Run the actor and its timer for the duration of the context.
 
     Parameters
     ----------
     settings : Settings
-        Place and limits.
+        Location and limits of the instance.
     name : str
-        Name of this process towards the owners of racks; no other process, and none
-        after this one, may have it.
-    ask : callable
-        Takes a credit ask to its rack's owner without waiting, and later tells the
-        answer with `tell_event`.
+        Name of this process in its credit requests to the owners of racks. It must be
+        unique, also among processes that start later.
+    request_credits : callable
+        Sends a credit request to the owner of its rack without blocking, and later
+        passes the owner's answer on with `post_event`.
+
+    Yields
+    ------
+    Gateway
+        The running gateway.
     """
     instance = settings.instance
-    place = Location(instance.id, instance.domain, instance.region)
-    state = GatewayState(place, name, build_routing_settings(settings))
-    tickets: dict[str, Ticket] = {}
+    location = Location(instance.id, instance.domain, instance.region)
+    state = GatewayState(location, name, build_routing_settings(settings))
+    channels: dict[str, ActionChannel] = {}
     lock, drained = threading.Lock(), threading.Event()
 
     def perform(action: Action) -> Event | None:
         match action:
             case RequestCredits():
-                ask(action)
+                request_credits(action)
             case Drained():
                 drained.set()
             case Send() | Forward() | Answer():
-                return _deliver(tickets, lock, action)
+                return _deliver(channels, lock, action)
         return None
 
     ref = _GatewayActor.start(state, perform)
-    gateway = Gateway(ref, tickets, lock, drained)
+    gateway = Gateway(ref, channels, lock, drained)
     try:
         with _run_ticks(gateway):
             yield gateway
@@ -176,67 +186,69 @@
         ref.stop(block=True, timeout=_STOP_TIMEOUT_S)
 
 
-def tell_event(gateway: Gateway, event: Event) -> None:
-    """Hand an event to the actor without waiting; an actor that ended takes none."""
+def post_event(gateway: Gateway, event: Event) -> None:
+    """Post an event to the actor without waiting; drop it if the actor has ended."""
     with contextlib.suppress(pykka.ActorDeadError):
         gateway.ref.tell(event)
 
 
-def open_ticket(gateway: Gateway, arrival: RequestArrived) -> Ticket:
-    """Hand a request to the actor and return the ticket to wait on."""
-    ticket = Ticket(arrival.request.key)
+def open_channel(gateway: Gateway, arrival: RequestArrived) -> ActionChannel:
+    """Post a request to the actor and return the channel of its actions."""
+    channel = ActionChannel(arrival.request.key)
     with gateway.lock:
-        gateway.tickets[ticket.key] = ticket
-    tell_event(gateway, arrival)
-    return ticket
+        gateway.channels[channel.key] = channel
+    post_event(gateway, arrival)
+    return channel
 
 
-def close_ticket(gateway: Gateway, ticket: Ticket) -> None:
-    """End the waiting on a ticket and give back what was not done."""
+def close_channel(gateway: Gateway, channel: ActionChannel) -> None:
+    """Remove a channel and report its unperformed actions to the actor as not sent."""
     with gateway.lock:
-        gateway.tickets.pop(ticket.key, None)
-    while not ticket.actions.empty():
-        event = _refuse(ticket.actions.get())
+        gateway.channels.pop(channel.key, None)
+    while not channel.actions.empty():
+        event = _build_not_sent_event(channel.actions.get())
         if event is not None:
-            tell_event(gateway, event)
+            post_event(gateway, event)
 
 
 def drain_gateway(gateway: Gateway, grace_s: float) -> None:
-    """Begin the planned stop; `Gateway.drained` tells the end."""
-    tell_event(gateway, Drain(grace_s))
+    """Begin a planned stop; `Gateway.drained` is set when it is complete."""
+    post_event(gateway, Drain(grace_s))
 
 
 def describe_gateway(gateway: Gateway) -> dict[str, Any]:
     """Return the gateway's state as plain values."""
-    dump: Any = gateway.ref.ask(_Dump(), timeout=_DUMP_TIMEOUT_S)
-    return dict(dump)
+    state: Any = gateway.ref.ask(_ReadState(), timeout=_ACTOR_REPLY_TIMEOUT_S)
+    return dict(state)
 
 
-def read_room(gateway: Gateway) -> dict[str, int]:
-    """Return the free credits for each service, for the heartbeats to peers."""
-    room: Any = gateway.ref.ask(_Room(), timeout=_DUMP_TIMEOUT_S)
-    return dict(room)
+def read_free_credits(gateway: Gateway) -> dict[str, int]:
+    """Return the free credits of each service, for the heartbeats to peers."""
+    credits: Any = gateway.ref.ask(_ReadFreeCredits(), timeout=_ACTOR_REPLY_TIMEOUT_S)
+    return dict(credits)
 
 
 def is_alive(gateway: Gateway) -> bool:
-    """Tell whether the actor still takes events."""
+    """Return whether the actor still accepts events."""
     return bool(gateway.ref.is_alive())
 
 
 def _deliver(
-    tickets: dict[str, Ticket], lock: threading.Lock, action: Send | Forward | Answer
+    channels: dict[str, ActionChannel],
+    lock: threading.Lock,
+    action: Send | Forward | Answer,
 ) -> Event | None:
     with lock:
-        ticket = tickets.get(action.key)
-        if ticket is not None:
-            ticket.actions.put(action)
+        channel = channels.get(action.key)
+        if channel is not None:
+            channel.actions.put(action)
             return None
-    # The caller's thread has gone: nobody would do the sending, and its slot would
-    # stay taken for ever.
-    return _refuse(action)
+    # The thread of this request has ended, so no one would perform the action and its
+    # slot would stay taken forever.
+    return _build_not_sent_event(action)
 
 
-def _refuse(action: Action) -> Event | None:
+def _build_not_sent_event(action: Action) -> Event | None:
     if isinstance(action, Send):
         return AttemptEnded(action.key, SendResult.NOT_SENT)
     if isinstance(action, Forward):
@@ -249,8 +261,8 @@
     stop = threading.Event()
 
     def run() -> None:
-        while not stop.wait(_TICK_S):
-            tell_event(gateway, Tick())
+        while not stop.wait(_TICK_INTERVAL_S):
+            post_event(gateway, Tick())
 
     thread = threading.Thread(target=run, name="gateway-ticks", daemon=True)
     thread.start()
--- a/plantainyard/node/tests/world.py
+++ b/plantainyard/node/tests/world.py
@@ -15,7 +15,7 @@
     Instance,
     InstanceKind,
     InstanceState,
-    WorkerAnswer,
+    WorkerResponse,
 )
 from plantainyard.clients.worker import encode_commands, parse_state
 from plantainyard.errors import CallError, ErrorKind
@@ -23,7 +23,7 @@
 from plantainyard.membership import has_authority
 from plantainyard.node import domain as node_domain
 from plantainyard.node.domain import DomainActor
-from plantainyard.node.messages import ConfigKnown, InstancesListed, PeersHeard
+from plantainyard.node.messages import ConfigConfirmed, InstancesListed, LivePeers
 from plantainyard.node.messages import Tick as TickMessage
 from plantainyard.node.streams import StreamEvent, StreamIO
 from plantainyard.settings import Settings
@@ -137,21 +137,21 @@
             for process in self.processes:
                 if process.paused:
                     continue
-                process.tell(ConfigKnown(self.now))
-                process.tell(PeersHeard(*self.list_live(process)))
+                process.tell(ConfigConfirmed(self.now))
+                process.tell(LivePeers(*self.list_live(process)))
                 process.tell(TickMessage())
                 for _ in range(3):
                     self.carry_out(process)
             self.check()
 
     def list_live(self, process: Process) -> tuple[frozenset[str], frozenset[str]]:
-        heard = [
+        heartbeats = [
             p
             for p in self.processes
             if not (p.paused or p.cut_peers or process.cut_peers)
         ]
-        draining = frozenset(p.name for p in heard if p.actor.node.stopping)
-        live = frozenset(p.name for p in heard) - draining | {process.name}
+        draining = frozenset(p.name for p in heartbeats if p.actor.node.stopping)
+        live = frozenset(p.name for p in heartbeats) - draining | {process.name}
         return live, draining - {process.name}
 
     def carry_out(self, process: Process) -> None:
@@ -229,7 +229,7 @@
         else:
             reach()
 
-    def ask(self, call: Any) -> WorkerAnswer:
+    def ask(self, call: Any) -> WorkerResponse:
         machine = self.machines[call.worker]
         status, refused = 200, list[Any]()
         if call.commands is None:
@@ -238,7 +238,7 @@
             wire = json.loads(json.dumps(encode_commands(call.commands)))
             status, refused = apply_commands(machine, wire, self.now)
         body = json.loads(json.dumps(describe_machine(machine, refused, self.now)))
-        return WorkerAnswer(status == 200, status == 410, parse_state(body))
+        return WorkerResponse(status == 200, status == 410, parse_state(body))
 
     def deliver_held(self) -> None:
         held, self.held = self.held, []
--- a/plantainyard/operators/__init__.py
+++ b/plantainyard/operators/__init__.py
@@ -1,4 +1,4 @@
-"""Answers to operators' calls, from the actors of one process."""
+"""Handlers of operators' calls, which query and command the actors of one process."""
 
 from collections.abc import Callable
 from functools import partial
@@ -14,10 +14,10 @@
     get_configuration_status,
 )
 from .creation import cancel_jobs, create_job, create_service
-from .explaining import explain_task
+from .explanation import explain_task
 from .listing import describe_job, list_jobs, list_teams
 from .node import Node, ask_actor, make_url
-from .standing import describe_state, dump, find_faults, find_waits, tell_status
+from .status import describe_state, dump, find_faults, get_status, list_unready_reasons
 
 __all__ = [
     "Node",
@@ -25,9 +25,9 @@
     "build_handlers",
     "describe_state",
     "find_faults",
-    "find_waits",
+    "list_unready_reasons",
     "make_url",
-    "tell_status",
+    "get_status",
 ]
 
 _HANDLERS: dict[str, Callable[[Node, Any], Any]] = {
@@ -44,10 +44,10 @@
     "GetConfigurationStatus": get_configuration_status,
     "ListJobs": list_jobs,
     "ListTeams": list_teams,
-    "Status": tell_status,
+    "Status": get_status,
 }
 
 
 def build_handlers(node: Node) -> Handlers:
-    """Return the handler of each method of the schema."""
+    """Return the handler of each schema method, keyed by method name."""
     return {name: partial(handle, node) for name, handle in _HANDLERS.items()}
--- a/plantainyard/operators/creation.py
+++ b/plantainyard/operators/creation.py
@@ -1,4 +1,8 @@
-"""Calls that accept or cancel work."""
+"""Handlers of calls that accept or cancel work.
+
+A call for another failure domain is forwarded to a live instance of that domain,
+which appends the record to its own log.
+"""
 
 from collections.abc import Callable, Iterable, Iterator
 from functools import partial
@@ -11,7 +15,7 @@
 from plantainyard.api import (
     ApiError,
     ErrorCode,
-    iter_service_parts,
+    iter_service_jobs,
     read_job,
 )
 from plantainyard.api import operators_pb2 as schema
@@ -21,20 +25,20 @@
 from plantainyard.placement import check_possible
 from plantainyard.work import Job, Size, WorkerInfo
 
-from .homes import (
-    allot,
-    find_job_domain,
-    list_allowed,
-    make_job_id,
-    name_request,
-    pick_home,
+from .home_domains import (
+    allot_tasks,
+    choose_home_domain,
+    list_eligible_domains,
+    make_job_id_stem,
+    parse_home_domain,
+    qualify_request_id,
 )
 from .node import (
     Node,
-    call_operator,
-    explain_report,
-    explain_silence,
+    build_append_error,
+    build_unreachable_error,
     find_peer,
+    forward_call,
     list_instances,
     query,
     read_config,
@@ -43,40 +47,40 @@
 
 __all__ = ["cancel_jobs", "create_job", "create_service", "list_workers"]
 
-_DRY_OFFSET = -1
-_RETRY_S = 2.0
+_DRY_RUN_OFFSET = -1
+_RETRY_AFTER_S = 2.0
 
 
 def list_workers(node: Node) -> list[WorkerInfo]:
-    """Return the workers that the platform's list does not call gone."""
+    """Return the workers that the platform doesn't list as terminated."""
     return [
         i.worker
         for i in list_instances(node)
-        if i.worker is not None and i.state != InstanceState.GONE
+        if i.worker is not None and i.state != InstanceState.TERMINATED
     ]
 
 
 def create_job(
     node: Node, request: schema.CreateJobRequest
 ) -> Result[schema.CreateJobResponse, ApiError]:
-    """Accept a batch job in its home domain."""
-    job = read_job(request, make_job_id(request.request_id))
+    """Accept a batch job in its home domain, forwarding the call there if needed."""
+    job = read_job(request, make_job_id_stem(request.request_id))
     workers = list_workers(node)
     listed = [i.worker for i in list_instances(node) if i.worker is not None]
     if not listed:
-        return Err(_refuse_unread())
-    home = pick_home(request.request_id, list_allowed(job, listed))
+        return Err(_build_unread_list_error())
+    home = choose_home_domain(request.request_id, list_eligible_domains(job, listed))
     if home is None:
         failing = check_possible(job, listed) or "constraints"
-        return Err(_refuse_infeasible("size", f"no worker meets: {failing}"))
-    named = name_request(request.request_id, home)
+        return Err(_build_infeasible_error("size", f"no worker meets: {failing}"))
+    qualified_id = qualify_request_id(request.request_id, home)
     if home != node.settings.instance.domain:
         forwarded = schema.CreateJobRequest()
         forwarded.CopyFrom(request)
-        forwarded.request_id = named
+        forwarded.request_id = qualified_id
         return _forward(node, home, "CreateJob", forwarded, schema.CreateJobResponse())
-    job = job._replace(id=f"{make_job_id(named)}.{home}")
-    accepted = _accept(node, named, job, workers, request.dry_run)
+    job = job._replace(id=f"{make_job_id_stem(qualified_id)}.{home}")
+    accepted = _accept(node, qualified_id, job, workers, request.dry_run)
     return accepted.map(lambda part: schema.CreateJobResponse(job=part))
 
 
@@ -87,23 +91,26 @@
 
     Notes
     -----
-    Each part is a record of its own domain. Where one of them is refused or unknown,
-    the error says so and a repeat with the same id completes the rest.
+    Each part is a separate record in the log of its domain. If one of them is refused
+    or its outcome is unknown, the error says so, and a retry with the same request id
+    completes the remaining parts.
     """
     workers = list_workers(node)
     if not workers:
-        return Err(_refuse_unread())
-    stem = make_job_id(request.request_id)
-    parts = list(iter_service_parts(request, stem))
+        return Err(_build_unread_list_error())
+    stem = make_job_id_stem(request.request_id)
+    parts = list(iter_service_jobs(request, stem))
     unknown = {d for d in request.runners if not any(w.domain == d for w in workers)}
     if unknown:
         field = f"runners.{min(unknown)}"
-        return Err(_refuse_infeasible(field, "no such failure domain"))
+        return Err(_build_infeasible_error(field, "no such failure domain"))
     accepted: list[schema.AcceptedJob] = []
     for part in parts:
         result = _accept_part(node, request, part, workers)
         if isinstance(result, Err):
-            return Err(_tell_partial(result.err_value, [a.domain for a in accepted]))
+            return Err(
+                _mark_partial_success(result.err_value, [a.domain for a in accepted])
+            )
         accepted.append(result.ok_value)
     return Ok(schema.CreateServiceResponse(jobs=accepted))
 
@@ -116,8 +123,8 @@
 ) -> Result[schema.AcceptedJob, ApiError]:
     (domain,) = part.constraints.domains
     if domain == node.settings.instance.domain:
-        named = name_request(request.request_id, domain)
-        return _accept(node, named, part, workers, request.dry_run)
+        qualified_id = qualify_request_id(request.request_id, domain)
+        return _accept(node, qualified_id, part, workers, request.dry_run)
     forwarded = schema.CreateServiceRequest()
     forwarded.CopyFrom(request)
     for other in [d for d in forwarded.runners if d != domain]:
@@ -133,8 +140,8 @@
 ) -> Result[Any, ApiError]:
     peer = find_peer(node, domain)
     if peer is None:
-        return Err(explain_silence(node, domain))
-    return call_operator(node, peer, method, request, response)
+        return Err(build_unreachable_error(node, domain))
+    return forward_call(node, peer, method, request, response)
 
 
 def _accept(
@@ -142,14 +149,14 @@
 ) -> Result[schema.AcceptedJob, ApiError]:
     domain = node.settings.instance.domain
     members = [w for w in workers if w.domain == domain]
-    allotment, failing = allot(job, members, _find_share(node, job.team, workers))
+    allotment, failing = allot_tasks(job, members, _find_share(node, job.team, workers))
     if failing:
-        return Err(_refuse_infeasible("size", f"no worker meets: {failing}"))
+        return Err(_build_infeasible_error("size", f"no worker meets: {failing}"))
     if dry_run:
-        return Ok(schema.AcceptedJob(domain=domain, offset=_DRY_OFFSET))
+        return Ok(schema.AcceptedJob(domain=domain, offset=_DRY_RUN_OFFSET))
     record = log_state.make_accept(request_id, job, allotment)
     report = submit_and_wait(node.domain, record)
-    error = explain_report(report)
+    error = build_append_error(report)
     if error is not None:
         return Err(error)
     add_count(node.meter, "jobs.accepted")
@@ -161,41 +168,44 @@
     return read_shares(read_config(node).values, racks).get(team)
 
 
-def _refuse_unread() -> ApiError:
-    detail = "the platform's list is not read yet"
-    return ApiError(ErrorCode.REFUSED, detail, retry_after_s=_RETRY_S)
+def _build_unread_list_error() -> ApiError:
+    detail = "the platform's list of workers has not been read yet"
+    return ApiError(ErrorCode.REFUSED, detail, retry_after_s=_RETRY_AFTER_S)
 
 
-def _tell_partial(error: ApiError, done: list[str]) -> ApiError:
-    """Return the error of a call that took effect in some domains already.
+def _mark_partial_success(error: ApiError, done: list[str]) -> ApiError:
+    """Return the error of a call that has already taken effect in the domains `done`.
 
     Notes
     -----
-    Guards against "nothing was done" where a part runs: the operator would send the
-    work again under another id. Told as unknown, the repeat has the same id and
-    completes the rest.
+    Guards against reporting that nothing was done while a part is running: the
+    operator would resubmit the work under another request id and run it twice. With
+    the code ``unknown``, the operator retries with the same request id, which
+    completes the remaining parts.
     """
     if not done:
         return error
     detail = f"done in {', '.join(done)}; then {error.code}: {error.detail}"
-    return error._replace(code=ErrorCode.UNKNOWN, detail=detail, retry_after_s=_RETRY_S)
+    return error._replace(
+        code=ErrorCode.UNKNOWN, detail=detail, retry_after_s=_RETRY_AFTER_S
+    )
 
 
-def _refuse_infeasible(field: str, detail: str) -> ApiError:
+def _build_infeasible_error(field: str, detail: str) -> ApiError:
     return ApiError(ErrorCode.INFEASIBLE, detail, field)
 
 
 def cancel_jobs(
     node: Node, request: schema.CancelJobsRequest
 ) -> Result[schema.CancelJobsResponse, ApiError]:
-    """Cancel jobs, with one record in each of their home domains."""
-    groups = groupby(sorted(request.job_ids, key=find_job_domain), find_job_domain)
+    """Cancel jobs, with one record for each of their home domains."""
+    groups = groupby(sorted(request.job_ids, key=parse_home_domain), parse_home_domain)
     cancelled: list[schema.CancelledJob] = []
     for domain, jobs in groups:
         result = _cancel_in(node, request.request_id, domain, list(jobs))
         if isinstance(result, Err):
             done = sorted({job.domain for job in cancelled})
-            return Err(_tell_partial(result.err_value, done))
+            return Err(_mark_partial_success(result.err_value, done))
         cancelled.extend(result.ok_value)
     return Ok(schema.CancelJobsResponse(jobs=cancelled))
 
@@ -209,19 +219,19 @@
             node, domain, "CancelJobs", forwarded, schema.CancelJobsResponse()
         )
         return result.map(lambda response: list(response.jobs))
-    over = query(node.domain, partial(_find_over, jobs))
-    missing = [job for job in jobs if over[job] is None]
+    ended = query(node.domain, partial(_find_ended, jobs))
+    missing = [job for job in jobs if ended[job] is None]
     if missing:
         return Err(ApiError(ErrorCode.NOT_FOUND, missing[0], "job_ids"))
-    record = log_state.make_cancel(name_request(request_id, domain), jobs)
+    record = log_state.make_cancel(qualify_request_id(request_id, domain), jobs)
     report = submit_and_wait(node.domain, record)
-    error = explain_report(report)
+    error = build_append_error(report)
     if error is not None:
         return Err(error)
-    return Ok(list(_iter_cancelled(jobs, domain, report.offset, over.__getitem__)))
+    return Ok(list(_iter_cancelled(jobs, domain, report.offset, ended.__getitem__)))
 
 
-def _find_over(jobs: list[str], actor: Any, _: float) -> dict[str, bool | None]:
+def _find_ended(jobs: list[str], actor: Any, _: float) -> dict[str, bool | None]:
     state = actor.node.domain
     found = {job: log_state.get_job(state, job) for job in jobs}
     return {
@@ -233,9 +243,9 @@
 
 
 def _iter_cancelled(
-    jobs: list[str], domain: str, offset: int, was_over: Callable[[str], bool | None]
+    jobs: list[str], domain: str, offset: int, has_ended: Callable[[str], bool | None]
 ) -> Iterator[schema.CancelledJob]:
     for job in jobs:
         yield schema.CancelledJob(
-            job_id=job, domain=domain, offset=offset, was_over=bool(was_over(job))
+            job_id=job, domain=domain, offset=offset, was_over=bool(has_ended(job))
         )
