--- a/plantainyard/execution/events.py
+++ b/plantainyard/execution/events.py
@@ -45,7 +45,7 @@
     ----------
     worker : str
         Id of the worker.
-    answer : WorkerAnswer
+    answer : WorkerResponse
         Its response.
     sent_at : float
         Owner's clock just before the call was sent.
