--- a/plantainyard/node/lending.py
+++ b/plantainyard/node/lending.py
@@ -118,12 +118,12 @@
 
     def _update_runners(self, message: RackRunners, now: float) -> None:
         lender = self.lenders.setdefault(message.rack, LenderState(message.rack))
-        known = set(lender.runners)
+        previous = set(lender.runners)
         for runner in message.runners:
             self.step(lender, RunnerUp(runner, runner.id in message.newly_started), now)
         for runner_id in message.leaving & {r.id for r in message.runners}:
             self.step(lender, RunnerLeaving(runner_id), now)
-        for runner_id in known - {r.id for r in message.runners}:
+        for runner_id in previous - {r.id for r in message.runners}:
             self.step(lender, RunnerTerminated(runner_id), now)
 
     def _dump(self) -> Mapping[str, Any]:
--- a/plantainyard/node/peers.py
+++ b/plantainyard/node/peers.py
@@ -46,10 +46,10 @@
 )
 
 _MAX_LIST_AGE_INTERVALS = 2.5
-"""Age of the instance list, in read intervals, above which any instance reads it."""
+"""Age of the list, in read intervals, above which any instance reads it itself."""
 
 _RELAYED_SILENCE_FACTOR = 2.0
-"""Factor of the silence bound for instances whose heartbeats relays pass on."""
+"""Factor of the silence bound for other domains, whose heartbeats are relayed."""
 
 __all__ = ["PeerView", "PeersActor", "read_peers"]
 
--- a/plantainyard/node/racks.py
+++ b/plantainyard/node/racks.py
@@ -69,12 +69,16 @@
     stopping : bool
         Whether this process hands over its racks, because of a planned stop or because
         an operator drains the instance.
-    racks : int
+    rack_count : int
         Number of racks over all domains.
     listed_terminated : frozenset of str
         Workers that the instance list shows as terminated.
     operator_fenced : frozenset of str
         Workers that an operator has declared fenced.
+    draining : frozenset of str
+        Workers that an operator drains.
+    ownerships : dict of str to OwnershipState
+        For each rack, the state of this instance's claims.
     config_confirmed_at : float
         When the configuration was last known to be the newest.
     max_config_age_s : float
@@ -104,7 +108,7 @@
         self.shares: dict[str, Size] = {}
         self.stop_requested = False
         self.stopping = False
-        self.racks = 1
+        self.rack_count = 1
         self.listed_terminated: frozenset[str] = frozenset()
         self.operator_fenced: frozenset[str] = frozenset()
         self.draining: frozenset[str] = frozenset()
@@ -133,7 +137,7 @@
         rack = workers.setdefault(instance.worker.rack, {})
         rack[instance.id] = instance.worker
     node.workers = workers
-    node.racks = max(len({(w.domain, w.rack) for w in _iter_workers(message)}), 1)
+    node.rack_count = max(len({(w.domain, w.rack) for w in _iter_workers(message)}), 1)
     node.listed_terminated = frozenset(terminated)
     _update_terminated(node)
 
@@ -152,7 +156,7 @@
 def apply_config_values(node: DomainNode, values: dict[str, Any], now: float) -> None:
     """Apply the configuration values in force."""
     node.weights = read_weights(values)
-    node.shares = read_shares(values, node.racks)
+    node.shares = read_shares(values, node.rack_count)
     node.operator_fenced = list_flagged(values, "workers", "fenced")
     node.draining = list_flagged(values, "workers", "draining")
     draining = list_flagged(values, "instances", "draining")
@@ -168,7 +172,7 @@
     set_policy_inputs(term, node.weights, node.shares, now)
     node.terms[rack] = term
     _logger.info(
-        "took ownership of rack",
+        "started term for rack",
         extra={"step": "ownership", "rack": rack, "epoch": began.epoch},
     )
 
@@ -180,7 +184,7 @@
     # Waits until the lender and the arbiter of request ids have stopped, because a
     # successor to which the rack is handed over acts at once.
     node.notify_lender(RackAuthority(rack, 0, 0.0))
-    _logger.info("released rack", extra={"step": "ownership", "rack": rack})
+    _logger.info("ended term for rack", extra={"step": "ownership", "rack": rack})
 
 
 def publish_runners(node: DomainNode, rack: str, term: Term, now: float) -> None:
