--- a/soak/checks.py
+++ b/soak/checks.py
@@ -135,8 +135,8 @@
     As with the other checks, faults are no excuse: an instance that may not know all
     waiting jobs must refuse the query.
     """
-    begun = _find_begins(site)
-    checked = [(c, list_waiting(callers.jobs, begun, c)) for c in callers.counts]
+    job_starts = _find_job_starts(site)
+    checked = [(c, list_waiting(callers.jobs, job_starts, c)) for c in callers.counts]
     wrong = [
         f"a response reports {count.pending} waiting jobs at {count.asked_at:.3f}; "
         f"{len(waiting)} have waited for {MIN_COUNTED_WAIT_S} s: {waiting[:5]}"
@@ -146,18 +146,18 @@
     return sum(bool(waiting) for _, waiting in checked), wrong
 
 
-def _find_begins(site: Site) -> dict[str, float]:
-    """Return the start time of the first task of each job that has begun."""
-    begun: dict[str, float] = {}
+def _find_job_starts(site: Site) -> dict[str, float]:
+    """Return the start time of the first task of each job that has started."""
+    job_starts: dict[str, float] = {}
     for runner in site.runners:
         for at, task, _ in runner.started:
             job_id = task.partition(".")[0]
-            begun[job_id] = min(at, begun.get(job_id, math.inf))
-    return begun
+            job_starts[job_id] = min(at, job_starts.get(job_id, math.inf))
+    return job_starts
 
 
 def list_waiting(
-    jobs: Iterable[TrackedJob], begun: Mapping[str, float], count: PendingCount
+    jobs: Iterable[TrackedJob], job_starts: Mapping[str, float], count: PendingCount
 ) -> list[str]:
     """Return the ids of the jobs that a count must include.
 
@@ -165,7 +165,7 @@
     ----------
     jobs : iterable of TrackedJob
         Jobs as their callers see them; jobs that they try to cancel are ignored.
-    begun : mapping
+    job_starts : mapping
         Start time of the first task of a job, by job.
     count : PendingCount
         Response that is checked.
@@ -175,5 +175,5 @@
         for job in jobs
         if job.accepted_at < count.asked_at - MIN_COUNTED_WAIT_S
         and not job.wants_cancel
-        and begun.get(job.job_id, math.inf) > count.answered_at
+        and job_starts.get(job.job_id, math.inf) > count.answered_at
     ]
--- a/standins/tests/test_machine.py
+++ b/standins/tests/test_machine.py
@@ -1,3 +1,5 @@
+"""Tests of the stand-in worker and of the check for violations."""
+
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
--- a/standins/tests/test_platform.py
+++ b/standins/tests/test_platform.py
@@ -1,3 +1,5 @@
+"""Tests of the stand-ins over HTTP, with the clients of the product."""
+
 import os
 import signal
 import threading
@@ -34,9 +36,9 @@
 
 
 def post(address, path, body):
-    answer = urllib3.request("POST", address + path, json=body, retries=False)
-    assert answer.status == 200, answer.data
-    return answer.json()
+    response = urllib3.request("POST", address + path, json=body, retries=False)
+    assert response.status == 200, response.data
+    return response.json()
 
 
 def test_log_order_faults_and_retention():
@@ -100,9 +102,9 @@
         commands = Commands(3, "a", state.incarnation, end, start=(start,))
         post(address, "/faults", {"lose_next_answers": 1})
         assert send_commands(client, commands).unwrap_err().kind == ErrorKind.LOST
-        answer = send_commands(client, commands).unwrap()
-        (running,) = answer.state.running
-        assert answer.accepted
+        result = send_commands(client, commands).unwrap()
+        (running,) = result.state.running
+        assert result.accepted
         assert (running.task, running.size) == (TASK, Size(1, 2))
 
         runner = build_runner_client(running.address)
