--- a/bench/control.py
+++ b/bench/control.py
@@ -1,7 +1,8 @@
-"""What control costs in a whole site of real processes on one machine.
+"""Cost of the control plane in a complete site of real processes on one machine.
 
-Each measurement starts a site of stand-ins and entry instances, does one thing at
-several sizes, and returns plain numbers; slopes are taken over the sizes of one run.
+Each measurement starts a site of stand-ins and entry instances, repeats one operation
+at several sizes, and returns plain numbers. Slopes are computed over the sizes of one
+run.
 """
 
 import contextlib
@@ -39,16 +40,16 @@
 
 _TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 _PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
-_REST_S = 6.0
+_IDLE_S = 6.0
 _INSTANCES = (2, 8, 32)
 _WORKERS = (3, 30, 90)
 _STARTS = (200, 1000)
 _TASKS = (50, 200)
 _CHANGES = 5
-_LIMIT_S = 120.0
-_LONG_S = 600.0
+_TIMEOUT_S = 120.0
+_TASK_RUN_S = 600.0
 _POLL_S = 0.02
-# Production's times, not the short ones of the tests.
+# Intervals as in production, not the shorter ones of the tests.
 _PACE = Pace(
     lease_s=10.0,
     credit_s=5.0,
@@ -63,7 +64,7 @@
 
 
 class _Use(NamedTuple):
-    """Processor seconds, resident bytes and bytes between domains so far."""
+    """Processor seconds, resident bytes, and bytes sent between domains so far."""
 
     cpu_s: float
     memory: float
@@ -71,16 +72,17 @@
 
 
 def run_control() -> dict[str, Any]:
-    """Measure the costs of control once.
+    """Measure the cost of the control plane once and return the numbers.
 
     Returns
     -------
     dict
-        Measurement to its numbers: log appends for each 1,000 starts, use of one
-        instance at rest against the number of instances, seconds to take over, for a
-        configuration to be in force, and to recover against the number of tasks.
+        Numbers by measurement: log appends per 1,000 starts, resource use of an idle
+        instance by number of instances and of an idle owner by number of workers,
+        seconds for a takeover and until a configuration is in force, and seconds for
+        a recovery by number of tasks.
     """
-    rest = [measure_rest(count) for count in _INSTANCES]
+    rest = [measure_idle(count) for count in _INSTANCES]
     owner = [measure_owner(count) for count in _WORKERS]
     recovery = measure_recovery(_TASKS)
     return {
@@ -100,7 +102,7 @@
 
 
 def measure_appends(sizes: Iterable[int]) -> list[dict[str, float]]:
-    """Return the appends to the log while jobs of several sizes run to their end."""
+    """Return the log appends while jobs of several sizes run to completion."""
     with _start_ready(SMALL) as site:
         return [_count_appends(site, size) for size in sizes]
 
@@ -109,7 +111,7 @@
     before = read_json(site.log, "/counts")
     began = read_clock()
     job = create_job(site, tasks, 0.05, site.deployment.domains[0].name).unwrap()
-    wait_job(site, job, tasks, _LIMIT_S)
+    wait_job(site, job, tasks, _TIMEOUT_S)
     seconds = read_clock() - began
     after = read_json(site.log, "/counts")
     appends = after["appends"] - before["appends"]
@@ -123,13 +125,13 @@
     }
 
 
-def measure_rest(instances: int) -> dict[str, float]:
-    """Return what one instance uses while its site is at rest."""
-    with _start_ready(_spread(SMALL, instances)) as site:
-        wait_until(lambda: _try_service(site), "a service accepted", _LIMIT_S)
+def measure_idle(instances: int) -> dict[str, float]:
+    """Return the resource use of one instance in an idle site."""
+    with _start_ready(_set_instances(SMALL, instances)) as site:
+        wait_until(lambda: _try_create_service(site), "a service accepted", _TIMEOUT_S)
         wait_runners(site)
         before, began = _read_use(site), read_clock()
-        time.sleep(_REST_S)
+        time.sleep(_IDLE_S)
         after, seconds = _read_use(site), read_clock() - began
     return {
         "instances": instances,
@@ -141,8 +143,8 @@
     }
 
 
-def _try_service(site: Site) -> bool:
-    """Create the service once the instances have heard of each other."""
+def _try_create_service(site: Site) -> bool:
+    """Try to create the service; it fails until the instances know each other."""
     try:
         create_service(site)
     except UnwrapError:
@@ -150,7 +152,7 @@
     return True
 
 
-def _spread(deployment: Deployment, instances: int) -> Deployment:
+def _set_instances(deployment: Deployment, instances: int) -> Deployment:
     each = instances // len(deployment.domains)
     domains = tuple(d._replace(entries=each) for d in deployment.domains)
     return deployment._replace(domains=domains)
@@ -178,14 +180,14 @@
 
 
 def measure_owner(workers: int) -> dict[str, float]:
-    """Return what the owner of a rack uses at rest, against the rack's workers."""
+    """Return the resource use of an idle rack's owner for a number of workers."""
     first, *others = SMALL.domains
     domains = (first._replace(workers=workers), *others)
     with _start_ready(SMALL._replace(domains=domains, rack_size=workers)) as site:
-        owner = wait_until(lambda: _find_owner(site, first.name), "owner", _LIMIT_S)
+        owner = wait_until(lambda: _find_owner(site, first.name), "owner", _TIMEOUT_S)
         pid = site.entries[owner].child.pid
         used, began = _read_cpu(pid), read_clock()
-        time.sleep(_REST_S)
+        time.sleep(_IDLE_S)
         seconds = read_clock() - began
         return {
             "workers": workers,
@@ -195,13 +197,13 @@
 
 
 def measure_takeover() -> float:
-    """Return the seconds from an owner's death to its successor's authority."""
-    with _start_ready(_spread(SMALL, 8)) as site:
+    """Return the seconds from killing an owner until its successor has authority."""
+    with _start_ready(_set_instances(SMALL, 8)) as site:
         domain = site.deployment.domains[0].name
-        owner = wait_until(lambda: _find_owner(site, domain), "owner", _LIMIT_S)
+        owner = wait_until(lambda: _find_owner(site, domain), "owner", _TIMEOUT_S)
         began = read_clock()
         kill_entry(site, owner)
-        wait_until(lambda: _find_owner(site, domain), "successor", _LIMIT_S)
+        wait_until(lambda: _find_owner(site, domain), "successor", _TIMEOUT_S)
         return read_clock() - began
 
 
@@ -220,8 +222,8 @@
 
 
 def measure_configuration() -> list[float]:
-    """Return, for each change and instance, the seconds until it is in force there."""
-    with _start_ready(_spread(SMALL, 8)) as site:
+    """Return the seconds until a change is in force, for each change and instance."""
+    with _start_ready(_set_instances(SMALL, 8)) as site:
         return list(
             itertools.chain.from_iterable(
                 _time_change(site, number) for number in range(_CHANGES)
@@ -243,27 +245,27 @@
 
 
 def measure_recovery(sizes: Iterable[int]) -> list[dict[str, float]]:
-    """Return the seconds until a domain's state is back, all instances replaced."""
+    """Return the seconds to recover a domain's state after replacing all instances."""
     return [_time_recovery(tasks) for tasks in sizes]
 
 
 def _time_recovery(tasks: int) -> dict[str, float]:
-    with _start_ready(_widen(SMALL, tasks)) as site:
+    with _start_ready(_enlarge_domain(SMALL, tasks)) as site:
         domain = site.deployment.domains[0].name
-        create_job(site, tasks, _LONG_S, domain).unwrap()
-        wait_until(lambda: _count_assigned(site, domain) >= tasks, "tasks", _LIMIT_S)
+        create_job(site, tasks, _TASK_RUN_S, domain).unwrap()
+        wait_until(lambda: _count_assigned(site, domain) >= tasks, "tasks", _TIMEOUT_S)
         names = [e.id for e in site.entries.values() if e.domain == domain]
         for name in names:
             kill_entry(site, name)
         for _ in names:
             add_entry(site, domain)
         began = read_clock()
-        wait_until(lambda: _find_owner(site, domain), "authority", _LIMIT_S)
-        wait_until(lambda: _count_assigned(site, domain) >= tasks, "state", _LIMIT_S)
+        wait_until(lambda: _find_owner(site, domain), "authority", _TIMEOUT_S)
+        wait_until(lambda: _count_assigned(site, domain) >= tasks, "state", _TIMEOUT_S)
         return {"tasks": tasks, "seconds": read_clock() - began}
 
 
-def _widen(deployment: Deployment, tasks: int) -> Deployment:
+def _enlarge_domain(deployment: Deployment, tasks: int) -> Deployment:
     cores = deployment.capacity.cores
     workers = max(3, int(1.2 * tasks / cores) + 1)
     first, *others = deployment.domains
@@ -283,8 +285,8 @@
 
 def fit_slope(rows: Iterable[dict[str, float]], x: str, y: str) -> tuple[float, float]:
     """Return the intercept and the slope of `y` over `x` by least squares."""
-    kept = list(rows)
-    xs, ys = [row[x] for row in kept], [row[y] for row in kept]
+    points = list(rows)
+    xs, ys = [row[x] for row in points], [row[y] for row in points]
     slope, intercept = np.polyfit(xs, ys, 1)
     return float(intercept), float(slope)
 
--- a/bench/cost.py
+++ b/bench/cost.py
@@ -146,8 +146,8 @@
 
     Notes
     -----
-    The owners of a domain of 2,000 workers together start 773 tasks per second. An owner
-    has one state per rack, so the need follows from the cost at the size of a rack.
+    The owners of a domain of 2,000 workers together start 773 tasks per second. An
+    owner has one state per rack, so the need follows from the cost at a rack's size.
     """
     points = [measure_point(size) for size in sizes]
     table = np.array([[p.workers, p.start_us, p.tick_us] for p in points])
--- a/bench/idle.py
+++ b/bench/idle.py
@@ -1,8 +1,8 @@
-"""What an instance costs that owns nothing: ``python -m bench idle``.
+"""Cost of an instance that owns no unit: ``python -m bench idle``.
 
-The program runs as it does on a site, several times, beside a stand-in store and a
-stand-in owner of all units. Nothing is handed in; a balancer asks each instance whether
-it is ready. The tool tells processor time, wake-ups and calls of one instance.
+Several instances of the program run as in production, with a stand-in store and a
+stand-in owner of all units. No jobs are submitted; a load balancer polls the readiness
+of each instance. The tool prints processor time, wake-ups and calls of one instance.
 """
 
 import contextlib
@@ -40,15 +40,15 @@
 
 PARTITIONS = 12
 READY_PORT, CALLER_PORT, PEER_PORT, METRICS_PORT = 18167, 18161, 17720, 17735
-READY_EVERY_S = 1.0
-PATIENCE_S = 30.0
+READY_INTERVAL_S = 1.0
+TIMEOUT_S = 30.0
 WARM_UP_S = 4.0
 SHOWN_FUNCTIONS = 40
 
-WEAK, STRONG = (0.516, 20.0), (2.151, 200.0)
-"""Cores and megabits a second of the two kinds of machine of the largest site."""
+WEAK_MACHINE, STRONG_MACHINE = (0.516, 20.0), (2.151, 200.0)
+"""Cores and megabits per second of the two machine types of the largest site."""
 
-RUN_PROFILED = "--profiled"
+PROFILED_FLAG = "--profiled"
 NO_BYTECODE = "PYTHONDONTWRITEBYTECODE"
 
 SETTINGS = """
@@ -70,18 +70,18 @@
 
 
 class Figures(NamedTuple):
-    """What one instance has used since it started.
+    """Resource use of one instance since its start.
 
     Attributes
     ----------
     processor_s : float
-        Processor time.
+        Processor time in seconds.
     wake_ups : int
-        Times that one of its threads waited and went on.
+        Number of times that one of its threads waited and was resumed.
     calls : Counter
-        Calls to the store and to others, by step.
+        Calls to the store and to peers, by step.
     read_at : float
-        When this was read.
+        Time of the reading.
     """
 
     processor_s: float
@@ -90,29 +90,29 @@
     read_at: float
 
 
-class Running(NamedTuple):
-    """A process of the program and its address."""
+class RunningInstance(NamedTuple):
+    """Process of an instance, and its IP address."""
 
     process: subprocess.Popen[bytes]
     ip: str
 
 
-def _answer_for_owners(_: WSGIEnvironment, start: StartResponse) -> Iterable[bytes]:
-    """Answer as an owner does that is asked whether it is there."""
+def _serve_owner_status(_: WSGIEnvironment, start: StartResponse) -> Iterable[bytes]:
+    """Respond to a status request as an owner does."""
     body = json.dumps({"owner": [1, 0.2, False, False]}).encode()
     start("200 OK", [("Content-Length", str(len(body)))])
     return [body]
 
 
 def _serve_site(units: int, pipe: Connection) -> None:
-    """Serve the stand-ins until the other end of the pipe says so."""
-    # Members that come are dealt nothing: all partitions have members already.
+    """Serve the stand-ins until the parent process sends a message."""
+    # New members are assigned no partitions, because all of them have owners already.
     store = StoreState(parts=0)
     store.put("keyed.op", "config", make_configuration(1))
     store.put(LAYOUT, UNITS_KEY, json.dumps({"units": units}).encode())
     holders = {part: f"edge-{part}/0a1b2c3d" for part in range(PARTITIONS)}
     store.groups[GROUP] = Group(PROGRESS, owners=holders)
-    peers = serve_app(_answer_for_owners, "127.0.0.1:0", 8, 500, 10_000)
+    peers = serve_app(_serve_owner_status, "127.0.0.1:0", 8, 500, 10_000)
     with peers as address, serve_platform(store, []) as servers:
         for unit in range(units):
             value = json.dumps({"epoch": 1, "address": address}).encode()
@@ -123,10 +123,10 @@
 
 @contextlib.contextmanager
 def _open_site(units: int) -> Iterator[str]:
-    """Run the stand-ins in a process of their own; yield the store's address."""
-    spawning = multiprocessing.get_context("spawn")
-    here, there = spawning.Pipe()
-    process = spawning.Process(target=_serve_site, args=(units, there), daemon=True)
+    """Run the stand-ins in a separate process; yield the store's address."""
+    context = multiprocessing.get_context("spawn")
+    here, there = context.Pipe()
+    process = context.Process(target=_serve_site, args=(units, there), daemon=True)
     process.start()
     try:
         yield here.recv()
@@ -138,9 +138,9 @@
 @contextlib.contextmanager
 def _open_instance(
     folder: Path, store: str, number: int, strong: bool, profiled: bool
-) -> Iterator[Running]:
+) -> Iterator[RunningInstance]:
     ip = f"127.0.0.{number + 2}"
-    cores, link = STRONG if strong else WEAK
+    cores, link = STRONG_MACHINE if strong else WEAK_MACHINE
     path = folder / f"settings-{number}.toml"
     text = SETTINGS.format(
         name=f"edge-{number}",
@@ -155,22 +155,22 @@
         parts=PARTITIONS,
     )
     path.write_text(text)
-    module = ["bench.idle", RUN_PROFILED] if profiled else ["plantainyard.entry"]
+    module = ["bench.idle", PROFILED_FLAG] if profiled else ["plantainyard.entry"]
     command = [sys.executable, "-m", *module]
-    # Bytecode is kept as on a site, where only the first start compiles.
-    kept = {SETTINGS_VARIABLE: str(path), "PYTHONPYCACHEPREFIX": str(folder)}
-    environment = {k: v for k, v in os.environ.items() if k != NO_BYTECODE} | kept
+    # Bytecode is cached as in production, where only the first start compiles.
+    variables = {SETTINGS_VARIABLE: str(path), "PYTHONPYCACHEPREFIX": str(folder)}
+    environment = {k: v for k, v in os.environ.items() if k != NO_BYTECODE} | variables
     output = None if profiled else subprocess.DEVNULL
     process = subprocess.Popen(command, env=environment, stdout=output)
     try:
-        yield Running(process, ip)
+        yield RunningInstance(process, ip)
     finally:
         process.terminate()
-        process.wait(PATIENCE_S)
+        process.wait(TIMEOUT_S)
 
 
 def _fetch(ip: str, port: int, path: str) -> tuple[int, str]:
-    connection = http.client.HTTPConnection(ip, port, timeout=PATIENCE_S)
+    connection = http.client.HTTPConnection(ip, port, timeout=TIMEOUT_S)
     with contextlib.closing(connection):
         connection.request("GET", path)
         answer = connection.getresponse()
@@ -184,19 +184,21 @@
         return False
 
 
-def _ask_ready(instances: list[Running], ending: threading.Event) -> None:
-    """Ask each instance again and again whether it is ready, as a balancer does."""
-    while not ending.wait(READY_EVERY_S):
+def _poll_readiness(
+    instances: list[RunningInstance], stopping: threading.Event
+) -> None:
+    """Poll the readiness of all instances periodically, as a load balancer does."""
+    while not stopping.wait(READY_INTERVAL_S):
         for instance in instances:
             _is_ready(instance.ip)
 
 
 def _read_processor_s(pid: int) -> float:
-    # The kernel's number for the processor clock of another process.
+    # On Linux, this is the id of another process's CPU-time clock.
     return time.clock_gettime((~pid << 3) | 2)
 
 
-def _read_figures(instance: Running) -> Figures:
+def _read_figures(instance: RunningInstance) -> Figures:
     pid = instance.process.pid
     wake_ups = 0
     for status in Path(f"/proc/{pid}/task").glob("*/status"):
@@ -211,12 +213,14 @@
     return Figures(processor_s, wake_ups, calls, read_clock())
 
 
-def _wait_until_ready(instance: Running) -> float:
-    """Return the processor time that an instance took until it was ready."""
-    until = read_clock() + PATIENCE_S
+def _wait_until_ready(instance: RunningInstance) -> float:
+    """Wait for an instance; return the processor time that it used until ready."""
+    until = read_clock() + TIMEOUT_S
     while not _is_ready(instance.ip):
         if read_clock() > until or instance.process.poll() is not None:
-            raise RuntimeError(f"{instance.ip} doesn't become ready")
+            raise RuntimeError(
+                f"instance {instance.ip} exited or was not ready within {TIMEOUT_S} s"
+            )
         time.sleep(0.1)
     return _read_processor_s(instance.process.pid)
 
@@ -224,7 +228,7 @@
 def _describe(
     starts: list[float], before: list[Figures], after: list[Figures]
 ) -> list[tuple[str, str]]:
-    """Return the rows of the table: what one instance takes, on the mean of all."""
+    """Return the rows of the table: resource use, as the mean of all instances."""
     spans = list(zip(before, after, strict=True))
     elapsed_s = sum(new.read_at - old.read_at for old, new in spans)
     processor_s = sum(new.processor_s - old.processor_s for old, new in spans)
@@ -244,7 +248,7 @@
 
 
 def _run_profiled() -> None:
-    """Run the program, and tell what its functions took when it is stopped."""
+    """Run the program, and print the processor time by function when it stops."""
     yappi.set_clock_type("cpu")
     threading.Timer(WARM_UP_S, yappi.start).start()
     run_entry()
@@ -267,7 +271,7 @@
     flags.DEFINE_bool("strong", False, "Let them be in the group.", flag_values=values)
     flags.DEFINE_bool("profile", False, "Tell the functions.", flag_values=values)
     values(argv)
-    ending = threading.Event()
+    stopping = threading.Event()
     with contextlib.ExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
         store = stack.enter_context(_open_site(values.units))
@@ -280,10 +284,10 @@
         )
         instances = [stack.enter_context(opening) for opening in openings]
         starts = [_wait_until_ready(instance) for instance in instances]
-        asking = threading.Thread(target=_ask_ready, args=(instances, ending))
-        asking.start()
-        stack.callback(asking.join)
-        stack.callback(ending.set)
+        poller = threading.Thread(target=_poll_readiness, args=(instances, stopping))
+        poller.start()
+        stack.callback(poller.join)
+        stack.callback(stopping.set)
         time.sleep(WARM_UP_S)
         before = [_read_figures(instance) for instance in instances]
         time.sleep(values.seconds)
@@ -293,7 +297,7 @@
 
 
 if __name__ == "__main__":
-    if RUN_PROFILED in sys.argv:
+    if PROFILED_FLAG in sys.argv:
         _run_profiled()
     else:
         sys.exit(run_idle(sys.argv))
--- a/bench/owner.py
+++ b/bench/owner.py
@@ -1,8 +1,8 @@
-"""What an owner's processor time goes to: ``python -m bench owner``.
+"""Profile of an owner's processor time: ``python -m bench owner``.
 
-One instance of the program owns a unit whose runners, and the store, are stand-ins in
-another process. Callers hand in jobs at a steady rate. The tool tells the owner's
-processor time for each look at a runner and each start, and by function.
+One instance of the program owns a unit; the unit's runners and the store are stand-ins
+in another process. Callers submit jobs at a constant rate. The tool prints the owner's
+processor time per report request and start, and by function.
 """
 
 import contextlib
@@ -43,36 +43,36 @@
 SHOWN_FUNCTIONS = 40
 
 STARTS_PER_RUNNER_S = 1.9
-"""Starts that the sheet of the largest published site comes to, by runner."""
+"""Starts per second and runner that result from the largest published site's sheet."""
 
-SHORT_TASKS, LONG_TASKS, LASTING_TASKS = 9, 39, 24
+SHORT_TASKS, LONG_TASKS, LONG_RUNNING_TASKS = 9, 39, 24
 DURATIONS_S = {"a": 0.64, "b": 2.2, "c": 0.0}
-"""Run times by the first letter of a task's job; zero for tasks that last."""
+"""Run times by the first letter of the job's id; zero for long-running tasks."""
 
 
 class Figures(NamedTuple):
-    """What was measured.
+    """Measurements of one owner.
 
     Attributes
     ----------
     processor_s, elapsed_s : float
-        Processor time of the owner's process, and the time that it took.
+        Processor time of the owner's process, and elapsed time.
     wake_ups : int
-        Times that a thread waited and went on.
-    looks, starts, commits : int
-        Calls in that time.
+        Number of times that a thread waited and was resumed.
+    report_requests, starts, commits : int
+        Number of calls in the elapsed time.
     """
 
     processor_s: float
     elapsed_s: float
     wake_ups: int
-    looks: int
+    report_requests: int
     starts: int
     commits: int
 
 
 def _serve_site(runners: int, pipe: Connection) -> None:
-    """Serve the stand-ins until the other end of the pipe says so."""
+    """Serve the stand-ins until the parent process sends a message."""
     store = StoreState()
     store.put("keyed.op", "config", make_configuration(1))
     store.put(LAYOUT, UNITS_KEY, b'{"units": 1}')
@@ -84,10 +84,10 @@
 
 @contextlib.contextmanager
 def _open_site(runners: int) -> Iterator[str]:
-    """Run the stand-ins in a process of their own; yield the store's address."""
-    spawning = multiprocessing.get_context("spawn")
-    here, there = spawning.Pipe()
-    process = spawning.Process(target=_serve_site, args=(runners, there), daemon=True)
+    """Run the stand-ins in a separate process; yield the store's address."""
+    context = multiprocessing.get_context("spawn")
+    here, there = context.Pipe()
+    process = context.Process(target=_serve_site, args=(runners, there), daemon=True)
     process.start()
     try:
         yield here.recv()
@@ -126,24 +126,29 @@
     serve_request(instance, environ)
 
 
-def _hand_in(instance: Instance, runners: int, ending: threading.Event) -> None:
-    """Hand jobs in at a steady rate until `ending` is set."""
-    lasting = {"count": LASTING_TASKS, "cpu": 2_000, "memMb": 10, "longRunning": True}
-    for number in range(runners // LASTING_TASKS):
-        serving = {**lasting, "image": f"s{number}", "targetMs": 500}
+def _submit_jobs(instance: Instance, runners: int, stopping: threading.Event) -> None:
+    """Submit jobs at a constant rate until `stopping` is set."""
+    long_running = {
+        "count": LONG_RUNNING_TASKS,
+        "cpu": 2_000,
+        "memMb": 10,
+        "longRunning": True,
+    }
+    for number in range(runners // LONG_RUNNING_TASKS):
+        serving = {**long_running, "image": f"s{number}", "targetMs": 500}
         _submit(instance, f"c{number:015x}", serving)
     short = {"count": SHORT_TASKS, "cpu": 21_000, "memMb": 10, "estimateMs": 640}
     long = {"count": LONG_TASKS, "cpu": 7_000, "memMb": 10, "estimateMs": 2_200}
     pause_s = (SHORT_TASKS + LONG_TASKS) / (STARTS_PER_RUNNER_S * runners)
     for number in count():
-        if ending.wait(pause_s):
+        if stopping.wait(pause_s):
             return
         _submit(instance, f"a{number:015x}", short)
         _submit(instance, f"b{number:015x}", {**long, "image": f"f{number % 9}"})
 
 
 def _count_calls(instance: Instance, step: str) -> int:
-    """Return how many calls of a step the instance's meters have counted."""
+    """Return the number of calls of a step from the instance's metrics."""
     samples = (s for family in instance.meters.calls.collect() for s in family.samples)
     return sum(
         int(sample.value)
@@ -170,18 +175,21 @@
 
 def _describe(figures: Figures) -> list[tuple[str, str]]:
     per_s = 1 / figures.elapsed_s
-    calls = figures.looks + figures.starts
+    calls = figures.report_requests + figures.starts
     return [
         ("share of a core", f"{figures.processor_s * per_s:.3f}"),
         ("wake-ups a second", f"{figures.wake_ups * per_s:.0f}"),
-        ("looks a second", f"{figures.looks * per_s:.0f}"),
+        ("looks a second", f"{figures.report_requests * per_s:.0f}"),
         ("starts a second", f"{figures.starts * per_s:.0f}"),
         ("appends a second", f"{figures.commits * per_s:.0f}"),
-        ("ms of processor time a look or start", f"{1000 * _divide(figures, calls)}"),
+        (
+            "ms of processor time a look or start",
+            f"{1000 * _compute_time_per_call(figures, calls)}",
+        ),
     ]
 
 
-def _divide(figures: Figures, calls: int) -> float:
+def _compute_time_per_call(figures: Figures, calls: int) -> float:
     return round(figures.processor_s / max(1, calls), 6)
 
 
@@ -192,17 +200,17 @@
     flags.DEFINE_float("seconds", 15.0, "Time to measure.", flag_values=values)
     flags.DEFINE_bool("profile", False, "Tell the functions.", flag_values=values)
     values(argv)
-    ending = threading.Event()
+    stopping = threading.Event()
     with _open_site(values.runners) as store, _open_owner(store) as instance:
-        arguments = (instance, values.runners, ending)
-        threading.Thread(target=_hand_in, args=arguments, daemon=True).start()
+        arguments = (instance, values.runners, stopping)
+        threading.Thread(target=_submit_jobs, args=arguments, daemon=True).start()
         time.sleep(WARM_UP_S)
         if values.profile:
             yappi.set_clock_type("cpu")
             yappi.start()
         figures = _measure(instance, values.seconds)
         yappi.stop()
-        ending.set()
+        stopping.set()
     print(tabulate(_describe(figures)))
     if values.profile:
         stats = yappi.get_func_stats().sort("tsub")
--- a/bench/requests.py
+++ b/bench/requests.py
@@ -18,7 +18,7 @@
     LOADS,
     UNEVEN,
     Scenario,
-    Ways,
+    SharingMethods,
     run_scenario,
 )
 
@@ -42,25 +42,27 @@
         slots at the first wait and at the first refusal, and ``overload`` has the
         goodput by load.
     """
-    ways = (Ways.FIXED, Ways.LEASED, Ways.SINGLE)
+    ways = (SharingMethods.FIXED, SharingMethods.LEASED, SharingMethods.SINGLE)
     return {
         "seed": seed,
         "capacity_per_s": CAPACITY,
         "ways": [
-            {**run_scenario(Scenario(way, load, length_s=length_s), seed)}
-            for way in ways
+            {**run_scenario(Scenario(method, load, length_s=length_s), seed)}
+            for method in ways
             for load in (0.5, 0.8, 0.95)
         ],
         "ramps": [
             {
                 "spread": label,
-                **run_scenario(Scenario(way, 1.3, 0.0, length_s, True, weights), seed),
+                **run_scenario(
+                    Scenario(method, 1.3, 0.0, length_s, True, weights), seed
+                ),
             }
             for label, weights in (("even", EVEN), ("uneven", UNEVEN))
-            for way in ways
+            for method in ways
         ],
         "overload": [
-            run_scenario(Scenario(Ways.LEASED, load, failing, length_s), seed)
+            run_scenario(Scenario(SharingMethods.LEASED, load, failing, length_s), seed)
             for failing in FAILING
             for load in LOADS
         ],
