--- a/plantainyard/operators/configurations.py
+++ b/plantainyard/operators/configurations.py
@@ -86,7 +86,7 @@
 def _build_conflict_error(version: int) -> ApiError:
     return ApiError(
         ErrorCode.CONFLICT,
-        "a key was changed after the base version",
+        "a key was changed since",
         "base_version",
         0.0,
         version,
--- a/plantainyard/operators/creation.py
+++ b/plantainyard/operators/creation.py
@@ -169,7 +169,7 @@
 
 
 def _build_unread_list_error() -> ApiError:
-    detail = "the platform's list of workers has not been read yet"
+    detail = "the platform's list is not read yet"
     return ApiError(ErrorCode.REFUSED, detail, retry_after_s=_RETRY_AFTER_S)
 
 
--- a/plantainyard/operators/explanation.py
+++ b/plantainyard/operators/explanation.py
@@ -37,7 +37,7 @@
     if domain != node.settings.instance.domain:
         peer = find_peer(node, domain)
         if peer is None:
-            detail = f"no live instance of {domain or 'the home domain'}"
+            detail = f"{domain or 'the home domain'} is not heard from"
             return Err(
                 ApiError(ErrorCode.REFUSED, detail, retry_after_s=_RETRY_AFTER_S)
             )
--- a/plantainyard/operators/node.py
+++ b/plantainyard/operators/node.py
@@ -130,7 +130,7 @@
 def build_unreachable_error(node: Node, domain: str) -> ApiError:
     """Return the error for a call to a domain without a live instance."""
     if any(instance.domain == domain for instance in list_instances(node)):
-        detail = f"no live instance of {domain}"
+        detail = f"no instance of {domain} is heard from"
         return ApiError(ErrorCode.REFUSED, detail, retry_after_s=_RETRY_AFTER_S)
     return ApiError(ErrorCode.NOT_FOUND, f"no failure domain {domain!r}", "job_id")
 
@@ -178,7 +178,7 @@
         case log_state.AppendStatus.VOID:
             return ApiError(
                 ErrorCode.CONFLICT,
-                "another change was accepted first",
+                "another change came first",
                 winning_version=report.offset,
             )
         case log_state.AppendStatus.NOT_RUN:
@@ -188,14 +188,14 @@
             )
     return ApiError(
         ErrorCode.UNKNOWN,
-        "the log has not confirmed the record yet",
+        "the log has not said yet",
         retry_after_s=_RETRY_AFTER_S,
     )
 
 
 def _describe_refusal(report: log_state.AppendReport) -> str:
     if report.result is None:
-        return "the log did not accept the record"
+        return "the log took no record"
     return report.result.detail or report.result.reason or "abandoned"
 
 
--- a/plantainyard/protocol/codec.py
+++ b/plantainyard/protocol/codec.py
@@ -146,5 +146,5 @@
     if type_ is float and not math.isfinite(value):
         raise _FieldError(f"{path}: not finite")
     if type_ is int and value < -1:
-        raise _FieldError(f"{path}: less than -1")
+        raise _FieldError(f"{path}: negative")
     return value
--- a/plantainyard/routing/arbitration.py
+++ b/plantainyard/routing/arbitration.py
@@ -111,7 +111,7 @@
     domains = sorted({owner.domain for owner in owners.values()})
     home = find_home_domain(request.id, domains)
     if not home:
-        return _build_unknown(settings, "home domain of the id is unknown")
+        return _build_unknown(settings, "the home domain isn't known")
     rack = find_arbiter_rack(
         request.id, [r for r, o in owners.items() if o.domain == home]
     )
@@ -125,8 +125,8 @@
         return _apply_result(arbitration, rack, request, result, settings)
     owner = owners[rack].instance
     if not owner or owner == arbitration.instance:
-        return _build_unknown(settings, f"no arbiter for rack {rack}")
-    return Admission(f"decided by the arbiter of rack {rack}", owner=owner)
+        return _build_unknown(settings, f"{rack} has no arbiter now")
+    return Admission(f"arbiter of {rack}", owner=owner)
 
 
 def complete_id(
@@ -158,20 +158,20 @@
     match result.decision:
         case IdDecision.RUN:
             arbitration.running_racks[request.key] = rack
-            return Admission("first arrival, may run")
+            return Admission("first sight, may run")
         case IdDecision.JOIN if result.key in arbitration.running_racks:
             arbitration.joined_keys.setdefault(result.key, []).append(request.key)
-            return Admission(f"joins request {result.key}", joined=True)
+            return Admission(f"joins {result.key}", joined=True)
         case IdDecision.REPEAT:
-            return Admission(f"repeat of request {result.key}", result.answer)
+            return Admission(f"repeat of {result.key}", result.answer)
         case IdDecision.REUSED:
             answer = FinalAnswer(Outcome.REFUSED, Reason.ID_REUSED)
-            return Admission("id was used for another request", answer)
+            return Admission("id used for another request", answer)
         case IdDecision.AHEAD:
             answer = FinalAnswer(Outcome.UNKNOWN, Reason.ID_AHEAD, settings.id_skew_s)
             return Admission("id was issued ahead of the clock", answer)
         case IdDecision.MALFORMED:
             answer = FinalAnswer(Outcome.REFUSED, Reason.MALFORMED)
-            return Admission("id has no issue time", answer)
+            return Admission("id has no time of issue", answer)
     answer = FinalAnswer(Outcome.UNKNOWN, Reason.ID_EXPIRED)
-    return Admission("id is older than the id history", answer)
+    return Admission("older than the history", answer)
--- a/plantainyard/routing/gateway.py
+++ b/plantainyard/routing/gateway.py
@@ -126,10 +126,10 @@
         case events.CreditAnswerReceived(answer):
             apply_credit_answer(state, answer)
             for runner_id in answer.leaving:
-                mark_leaving(state.health, runner_id, "reported by the rack's owner")
+                mark_leaving(state.health, runner_id, "its rack's owner")
         case events.RunnersChanged(leaving, terminated):
             for runner_id in leaving:
-                mark_leaving(state.health, runner_id, "platform list")
+                mark_leaving(state.health, runner_id, "list")
             for runner_id in terminated:
                 drop_runner(state.credits, runner_id)
             retain_runners(state.health, {*state.credits.runners, *leaving})
--- a/plantainyard/routing/health.py
+++ b/plantainyard/routing/health.py
@@ -95,7 +95,7 @@
     health.consecutive_failures += 1
     if was_probe or health.consecutive_failures >= settings.ejection_failures:
         _eject(
-            health, f"{health.consecutive_failures} consecutive failures", settings, now
+            health, f"{health.consecutive_failures} failures in a row", settings, now
         )
 
 
@@ -185,7 +185,7 @@
     if not health.is_ejected:
         return "healthy"
     remaining_s = max(0.0, health.ejected_until - now)
-    return f"ejected for another {remaining_s:.1f} s ({health.reason})"
+    return f"set aside for {remaining_s:.1f} s more ({health.reason})"
 
 
 def _record_success(
@@ -205,7 +205,7 @@
     weight = _SMOOTHING if health.samples > 1 and not was_probe else 1.0
     health.latency_s += weight * (latency_s - health.latency_s)
     if _is_slow(state, health, settings):
-        _eject(health, f"slow: latency {health.latency_s:.3f} s", settings, now)
+        _eject(health, f"slow, {health.latency_s:.3f} s", settings, now)
         health.samples = 0
         return
     health.is_ejected = False
--- a/plantainyard/routing/lifecycle.py
+++ b/plantainyard/routing/lifecycle.py
@@ -128,7 +128,7 @@
     actions = _try_forward(state, item.request, now)
     if actions:
         return actions
-    record_decision(state, item.request, f"rejected by the queue: {item.reason}", now)
+    record_decision(state, item.request, f"given up: {item.reason}", now)
     answer = FinalAnswer(Outcome.REFUSED, item.reason, item.retry_after_s)
     return finish_request(state, item.request.key, answer)
 
@@ -187,7 +187,7 @@
         state.health, runner_id, event.result, event.latency_s, state.settings, now
     )
     if event.leaving:
-        mark_leaving(state.health, runner_id, "reported by the runner")
+        mark_leaving(state.health, runner_id, "its own word")
     if event.result == SendResult.ANSWERED:
         record_service_time(state.queue, event.latency_s)
         answer = FinalAnswer(Outcome.DONE, response=event.response)
@@ -213,7 +213,7 @@
         state.settings,
         now,
     )
-    record_decision(state, request, f"{event.result}: retry={decision.retry}", now)
+    record_decision(state, request, f"{event.result}: again={decision.retry}", now)
     if decision.retry:
         return _enqueue(state, request, now)
     wait = max(_MIN_RETRY_AFTER_S, event.retry_after_s, state.queue.service_time_s)
--- a/plantainyard/state/checks.py
+++ b/plantainyard/state/checks.py
@@ -82,7 +82,7 @@
 
 def _check_types(data: Mapping[str, Any], **kinds: type) -> str:
     wrong = (name for name, kind in kinds.items() if type(data.get(name)) is not kind)
-    return "".join(f"invalid {name}; " for name in wrong)
+    return "".join(f"bad {name}; " for name in wrong)
 
 
 def _check_abandon(data: Mapping[str, Any]) -> str:
@@ -95,11 +95,11 @@
         return fault
     job = decode_job(data["job"])
     if not isinstance(job.id, str) or not job.id or not _is_number(job.task_count, 1):
-        return "invalid job id or task count"
+        return "bad job id or task count"
     counts = data["allotment"].values()
     if not all(_is_number(count, 0) for count in counts):
-        return "invalid count in the allotment"
-    return "" if sum(counts) == job.task_count else "allotment sum is not task_count"
+        return "bad count in the allotment"
+    return "" if sum(counts) == job.task_count else "allotment is not the task count"
 
 
 def _check_cancel(data: Mapping[str, Any]) -> str:
@@ -108,7 +108,7 @@
 
 
 def _check_strings(values: list[Any]) -> str:
-    return "" if all(isinstance(v, str) for v in values) else "not only strings"
+    return "" if all(isinstance(v, str) for v in values) else "not all strings"
 
 
 def _check_claim(data: Mapping[str, Any]) -> str:
@@ -116,7 +116,7 @@
     workers = data.get("workers", [])
     established = isinstance(data.get("established", False), bool)
     if not fault and not (isinstance(workers, list) and established):
-        return "workers or established has the wrong type"
+        return "workers or established of a wrong type"
     return fault or _check_strings(workers)
 
 
@@ -130,13 +130,13 @@
     parse_task(text)
     good = _is_number(attempt, 1) and isinstance(worker, str) and bool(worker)
     known = all(map(_is_number, rest[:1]))
-    return "" if good and known else "invalid assign item"
+    return "" if good and known else "bad assign item"
 
 
 def _check_results(data: Mapping[str, Any]) -> str:
     fault = _check_types(data, rack=str, items=list)
     if not _is_number(data.get("term", -1)):
-        return "invalid term"
+        return "bad term"
     return fault or next(filter(None, map(_check_result_item, data["items"])), "")
 
 
@@ -144,13 +144,13 @@
     text, attempt, outcome, detail = item
     parse_task(text)
     good = _is_number(attempt, 1) and outcome in _OUTCOMES and isinstance(detail, str)
-    return "" if good else "invalid results item"
+    return "" if good else "bad results item"
 
 
 def _check_move(data: Mapping[str, Any]) -> str:
     fault = _check_types(data, rack=str, term=int, tasks=list, to_rack=str)
     if fault or not data["to_rack"]:
-        return fault or "to_rack is empty"
+        return fault or "no receiving rack"
     for text in data["tasks"]:
         parse_task(text)
     return ""
--- a/plantainyard/transport.py
+++ b/plantainyard/transport.py
@@ -314,7 +314,7 @@
         )
     if len(body) > peer.body_limit:
         response.close()
-        detail = f"response body exceeds {peer.body_limit} bytes"
+        detail = f"answer is longer than {peer.body_limit} bytes"
         return Err(CallError(ErrorKind.MALFORMED, step, peer.address, detail))
     response.release_conn()
     return Ok(HttpResponse(response.status, response.headers, body))
@@ -329,7 +329,7 @@
         # The socket's timeout restarts with each packet, so a peer that keeps sending
         # single bytes would block the caller for ever without this check.
         if read_clock() > deadline:
-            raise TimeoutError("response incomplete at the deadline")
+            raise TimeoutError("answer not complete at the deadline")
     return bytes(body)
 
 
