--- a/plantainyard/node/domain.py
+++ b/plantainyard/node/domain.py
@@ -325,7 +325,7 @@
                     record_acceptance(term.authority, worker, sent_at, now)
                 case execution.Superseded(worker, newer, holder):
                     _logger.warning(
-                        "superseded by owner %s with epoch %d",
+                        "superseded by %s with epoch %d",
                         holder,
                         newer,
                         extra={"step": "worker.commands", "peer": worker},
@@ -353,7 +353,7 @@
     def _cancel_job(self, abandoned: placement.GiveUp, now: float) -> None:
         request_id = f"give-up.{abandoned.job}"
         _logger.warning(
-            "cancelling job that failed too often: %s",
+            "job given up: %s",
             abandoned.error,
             extra={"step": "placement"},
         )
--- a/plantainyard/node/racks.py
+++ b/plantainyard/node/racks.py
@@ -172,7 +172,7 @@
     set_policy_inputs(term, node.weights, node.shares, now)
     node.terms[rack] = term
     _logger.info(
-        "started term for rack",
+        "rack owned",
         extra={"step": "ownership", "rack": rack, "epoch": began.epoch},
     )
 
@@ -184,7 +184,7 @@
     # Waits until the lender and the arbiter of request ids have stopped, because a
     # successor to which the rack is handed over acts at once.
     node.notify_lender(RackAuthority(rack, 0, 0.0))
-    _logger.info("ended term for rack", extra={"step": "ownership", "rack": rack})
+    _logger.info("rack given up", extra={"step": "ownership", "rack": rack})
 
 
 def publish_runners(node: DomainNode, rack: str, term: Term, now: float) -> None:
--- a/plantainyard/node/streams.py
+++ b/plantainyard/node/streams.py
@@ -244,14 +244,14 @@
                 _restore(stream, io, record, now)
             case log_state.ReadRestarted(wanted, first):
                 _logger.warning(
-                    "records %d to %d are no longer retained; restarting the read",
+                    "records %d to %d are no longer kept; reading starts over",
                     wanted,
                     first - 1,
                     extra={"step": "log.read", "peer": stream.name},
                 )
             case log_state.LogRegressed(wanted, end):
                 _logger.error(
-                    "log ends at offset %d, before offset %d that was already read",
+                    "the log ends at %d, below %d, which was read from it",
                     end,
                     wanted,
                     extra={"step": "log.read", "peer": stream.name},
