--- a/bench/control.py
+++ b/bench/control.py
@@ -109,10 +109,10 @@
 
 def _count_appends(site: Site, tasks: int) -> dict[str, float]:
     before = read_json(site.log, "/counts")
-    began = read_clock()
+    started_s = read_clock()
     job = create_job(site, tasks, 0.05, site.deployment.domains[0].name).unwrap()
     wait_job(site, job, tasks, _TIMEOUT_S)
-    seconds = read_clock() - began
+    seconds = read_clock() - started_s
     after = read_json(site.log, "/counts")
     appends = after["appends"] - before["appends"]
     return {
@@ -130,9 +130,9 @@
     with _start_ready(_set_instances(SMALL, instances)) as site:
         wait_until(lambda: _try_create_service(site), "a service accepted", _TIMEOUT_S)
         wait_runners(site)
-        before, began = _read_use(site), read_clock()
+        before, started_s = _read_use(site), read_clock()
         time.sleep(_IDLE_S)
-        after, seconds = _read_use(site), read_clock() - began
+        after, seconds = _read_use(site), read_clock() - started_s
     return {
         "instances": instances,
         "core_share": (after.cpu_s - before.cpu_s) / seconds / instances,
@@ -186,9 +186,9 @@
     with _start_ready(SMALL._replace(domains=domains, rack_size=workers)) as site:
         owner = wait_until(lambda: _find_owner(site, first.name), "owner", _TIMEOUT_S)
         pid = site.entries[owner].child.pid
-        used, began = _read_cpu(pid), read_clock()
+        used, started_s = _read_cpu(pid), read_clock()
         time.sleep(_IDLE_S)
-        seconds = read_clock() - began
+        seconds = read_clock() - started_s
         return {
             "workers": workers,
             "core_share": (_read_cpu(pid) - used) / seconds,
@@ -201,10 +201,10 @@
     with _start_ready(_set_instances(SMALL, 8)) as site:
         domain = site.deployment.domains[0].name
         owner = wait_until(lambda: _find_owner(site, domain), "owner", _TIMEOUT_S)
-        began = read_clock()
+        started_s = read_clock()
         kill_entry(site, owner)
         wait_until(lambda: _find_owner(site, domain), "successor", _TIMEOUT_S)
-        return read_clock() - began
+        return read_clock() - started_s
 
 
 def _find_owner(site: Site, domain: str) -> str:
@@ -232,7 +232,7 @@
 
 
 def _time_change(site: Site, number: int) -> Iterator[float]:
-    began = read_clock()
+    started_s = read_clock()
     version = apply_configuration(site, {"weights.tail": 1.0 + number}).unwrap()
     waiting = set(list_controls(site))
     while waiting:
@@ -240,7 +240,7 @@
             status = _read_status(site, control)
             if int(status.get("configuration_version", -1)) >= version:
                 waiting.discard(control)
-                yield read_clock() - began
+                yield read_clock() - started_s
         time.sleep(_POLL_S)
 
 
@@ -259,10 +259,10 @@
             kill_entry(site, name)
         for _ in names:
             add_entry(site, domain)
-        began = read_clock()
+        started_s = read_clock()
         wait_until(lambda: _find_owner(site, domain), "authority", _TIMEOUT_S)
         wait_until(lambda: _count_assigned(site, domain) >= tasks, "state", _TIMEOUT_S)
-        return {"tasks": tasks, "seconds": read_clock() - began}
+        return {"tasks": tasks, "seconds": read_clock() - started_s}
 
 
 def _enlarge_domain(deployment: Deployment, tasks: int) -> Deployment:
--- a/bench/cost.py
+++ b/bench/cost.py
@@ -92,18 +92,18 @@
     state = _create_busy_state(workers, source)
     now = 500.0
     running = sum(len(worker.placed) for worker in state.active_workers)
-    begun = time.process_time()
+    started_s = time.process_time()
     for _ in range(rounds):
         step(state, Tick(), now)
         now += 0.2
-    tick = (time.process_time() - begun) / rounds
+    tick = (time.process_time() - started_s) / rounds
     report = _measure_reports(state, now, source)
     starts = 0
-    begun = time.process_time()
+    started_s = time.process_time()
     for number in range(rounds):
         starts += _churn(state, now, number, source)
         now += 0.5
-    spent = time.process_time() - begun - rounds * tick
+    spent = time.process_time() - started_s - rounds * tick
     return CostPoint(
         workers, running, 1e6 * spent / max(starts, 1), 1e6 * tick, 1e6 * report
     )
@@ -112,12 +112,12 @@
 def _measure_reports(state: PlacementState, now: float, source: random.Random) -> float:
     placements = [p for worker in state.active_workers for p in worker.placed.values()]
     chosen = source.sample(placements, min(300, len(placements)))
-    begun = time.process_time()
+    started_s = time.process_time()
     for p in chosen:
         latency = 10.0 if p.job_state.job.latency_critical else 0.0
         event = UsageReported(p.worker, p.key, now - 3.0, 6.0, 12.0, latency)
         step(state, event, now)
-    return (time.process_time() - begun) / len(chosen)
+    return (time.process_time() - started_s) / len(chosen)
 
 
 def _churn(
--- a/bench/dispatch/customers.py
+++ b/bench/dispatch/customers.py
@@ -86,7 +86,7 @@
         Number of different images; zero if there is no interference.
     idle_tail_ms, target_ratio : float
         Tail latency without load, and the target as a multiple of it.
-    load, swing, swing_s : float
+    load, load_amplitude, load_period_s : float
         Mean load of a task, and relative amplitude and period of its oscillation.
     """
 
@@ -102,8 +102,8 @@
     idle_tail_ms: float
     target_ratio: float
     load: float
-    swing: float
-    swing_s: float
+    load_amplitude: float
+    load_period_s: float
 
 
 class Customer(NamedTuple):
@@ -197,8 +197,8 @@
     idle_tail_ms=10.0,
     target_ratio=5.0,
     load=0.45,
-    swing=0.5,
-    swing_s=14.0,
+    load_amplitude=0.5,
+    load_period_s=14.0,
 )
 
 _LANTERNS = Customer(
@@ -301,7 +301,7 @@
             images=source.randint(2, 8),
             target_ratio=source.uniform(3.5, 8.0),
             load=load,
-            swing=source.uniform(0.1, 0.6),
-            swing_s=source.uniform(7.0, 25.0),
+            load_amplitude=source.uniform(0.1, 0.6),
+            load_period_s=source.uniform(7.0, 25.0),
         ),
     )
--- a/bench/dispatch/experiment.py
+++ b/bench/dispatch/experiment.py
@@ -94,7 +94,7 @@
 
 
 def _limit_fault(fault: Fault) -> Fault:
-    """Return `fault` within bounds: bursts up to a factor of 2.6, no owner for 2 s."""
+    """Return a fault that a day can sustain: bursts up to 2.6 times, no owner 2 s."""
     if fault.kind == "burst":
         return fault._replace(factor=min(fault.factor, 2.6))
     if fault.kind == "store_slow":
--- a/bench/dispatch/tests/test_recorded.py
+++ b/bench/dispatch/tests/test_recorded.py
@@ -8,10 +8,10 @@
 from bench.dispatch.patterns import load_pattern
 from bench.dispatch.play import simulate_day
 
-SHORT = sorted(p for p in RECORDED_DIR.glob("*.jsonl") if p.stem != "calm")
+PATHS = sorted(p for p in RECORDED_DIR.glob("*.jsonl") if p.stem != "calm")
 
 
-@pytest.mark.parametrize("path", SHORT, ids=lambda path: path.stem)
+@pytest.mark.parametrize("path", PATHS, ids=lambda path: path.stem)
 def test_recorded_pattern_reaches_its_outcome(path):
     # Guards against lost or endlessly waiting work under a burst, jobs that always
     # fail, cancellations, faulty runners, or an unavailable store or owner. No task may
@@ -20,6 +20,6 @@
     pattern = load_pattern(path)
     day = simulate_day(CUSTOMERS[pattern.customer], pattern, seed=1)
     assert day.site.violations == []
-    found = measure_day(day)._asdict()
-    short = {n: found[n] for n, least in pattern.outcome.items() if found[n] < least}
-    assert short == {}
+    scores = measure_day(day)._asdict()
+    below = {n: scores[n] for n, low in pattern.outcome.items() if scores[n] < low}
+    assert below == {}
--- a/bench/dispatch/workers.py
+++ b/bench/dispatch/workers.py
@@ -193,8 +193,8 @@
 
 def _find_load(site: Site, run: Run, at: float) -> float:
     serving = site.customer.serving
-    angle = 2 * math.pi * at / serving.swing_s + run.behavior.load_phase
-    return serving.load * (1 + serving.swing * math.sin(angle))
+    angle = 2 * math.pi * at / serving.load_period_s + run.behavior.load_phase
+    return serving.load * (1 + serving.load_amplitude * math.sin(angle))
 
 
 def _update_tails(
--- a/bench/dispatch/workload.py
+++ b/bench/dispatch/workload.py
@@ -26,7 +26,7 @@
 RUN_TIME_SPREAD = 0.15
 """Maximum relative deviation of run times among the tasks of a step."""
 
-TRAFFIC_SWING, TRAFFIC_SWING_S = 0.15, 11.0
+TRAFFIC_AMPLITUDE, TRAFFIC_PERIOD_S = 0.15, 11.0
 """Relative amplitude of the traffic's oscillation, and its period in seconds."""
 
 INITIAL_ARRIVALS_S = 3.0
@@ -102,7 +102,7 @@
 def _draw_kind(
     customer: Customer, kind: JobKind, pattern: Pattern, source: random.Random
 ) -> Iterator[Arrival]:
-    max_rate = kind.arrivals_per_s * (1 + TRAFFIC_SWING)
+    max_rate = kind.arrivals_per_s * (1 + TRAFFIC_AMPLITUDE)
     max_rate *= max(
         [f.factor for f in pattern.faults if f.kind == "burst"], default=1.0
     )
@@ -112,7 +112,7 @@
         if at >= pattern.seconds:
             return
         rate = kind.arrivals_per_s * (
-            1 + TRAFFIC_SWING * math.sin(2 * math.pi * at / TRAFFIC_SWING_S)
+            1 + TRAFFIC_AMPLITUDE * math.sin(2 * math.pi * at / TRAFFIC_PERIOD_S)
         )
         if kind.backfill:
             rate *= _find_factor(pattern, "burst", at)
--- a/bench/folding.py
+++ b/bench/folding.py
@@ -42,12 +42,12 @@
 
 
 def _measure(tasks: int) -> dict[str, float]:
-    begin = list(_make_begin(tasks))
+    initial = list(_make_initial_records(tasks))
     assign = list(_make_assigns(tasks))
     end = list(_make_ends(tasks))
-    memory = _trace_memory([*begin, *assign])
+    memory = _trace_memory([*initial, *assign])
     state = DomainState()
-    _fold(state, begin)
+    _fold(state, initial)
     assign_s = _fold(state, assign)
     snapshot = len(json.dumps(encode_domain(state)))
     end_s = _fold(state, end)
@@ -72,12 +72,12 @@
 
 
 def _fold(state: DomainState, records: list[Any]) -> float:
-    began = time.perf_counter()
+    started_s = time.perf_counter()
     for record in records:
         change = apply_record(state, state.next_offset, record)
         if not change.applied:
             raise RuntimeError(f"record was not applied: {change.reason}")
-    return time.perf_counter() - began
+    return time.perf_counter() - started_s
 
 
 def _iter_tasks(tasks: int) -> Iterator[TaskKey]:
@@ -91,7 +91,7 @@
         yield group
 
 
-def _make_begin(tasks: int) -> Iterator[Any]:
+def _make_initial_records(tasks: int) -> Iterator[Any]:
     yield make_claim(_RACK, "instance", -1, ("w1",))
     for start in range(0, tasks, _JOB_TASKS):
         count = min(_JOB_TASKS, tasks - start)
--- a/bench/gateways.py
+++ b/bench/gateways.py
@@ -256,12 +256,12 @@
             event = ForwardEnded(key, SendResult.ANSWERED, action.answer)
             self.schedule(delay_s, lambda: self.deliver(sender, event))
             return
-        begun = self.arrived.pop(action.key)
-        if begun < WARM_UP_S:
+        arrived_s = self.arrived.pop(action.key)
+        if arrived_s < WARM_UP_S:
             return
         self.outcomes[action.answer.outcome] += 1
         if action.answer.outcome == Outcome.DONE:
-            self.latencies.append(self.now - begun + 2 * CLIENT_DELAY_S)
+            self.latencies.append(self.now - arrived_s + 2 * CLIENT_DELAY_S)
         refused = action.answer.outcome == Outcome.REFUSED
         if refused and math.isnan(self.first_refusal):
             self.first_refusal = self.measure_utilization()
--- a/bench/generator.py
+++ b/bench/generator.py
@@ -113,7 +113,7 @@
     urgent: float = 0.05
     gang: float = 0.05
     prefix: str = "b"
-    begin: float = 0.0
+    start: float = 0.0
     end: float = HORIZON_S
     workload: str = ""
 
@@ -125,8 +125,8 @@
     total_cores = site.workers * site.capacity.cores
     service = sum(count * size.cores for _, count, size, *_ in site.services)
     rate = batch.load * (total_cores - service)
-    now, number = batch.begin, 0
-    backlog = rate * 30.0 if batch.begin == 0.0 else 0.0
+    now, number = batch.start, 0
+    backlog = rate * 30.0 if batch.start == 0.0 else 0.0
     while now < batch.end:
         job, behavior = _draw_job(site, source, batch, number)
         number += 1
@@ -195,7 +195,7 @@
 
 def _generate_noisy(site: Deployment, source: random.Random) -> Iterator[Record]:
     yield from _make_batch(site, source, _Batch(load=0.8))
-    for wave, begin in enumerate((90.0, 210.0, 330.0)):
+    for wave, start in enumerate((90.0, 210.0, 330.0)):
         workload = source.choice(site.batch)
         yield from _make_batch(
             site,
@@ -203,8 +203,8 @@
             _Batch(
                 load=1.2,
                 prefix=f"wave{wave}-",
-                begin=begin,
-                end=begin + 40.0,
+                start=start,
+                end=start + 40.0,
                 run_s=(15.0, 40.0),
                 workload=workload,
             ),
@@ -257,7 +257,7 @@
         site,
         source,
         _Batch(
-            load=1.2, prefix="wave-", begin=150.0, end=190.0, workload=site.batch[0]
+            load=1.2, prefix="wave-", start=150.0, end=190.0, workload=site.batch[0]
         ),
     )
     workers = [worker.id for worker in _list_workers(site)]
--- a/bench/owner.py
+++ b/bench/owner.py
@@ -161,10 +161,10 @@
     steps = ("runner.hold", "runner.run-start", "store.append")
     before = [_count_calls(instance, step) for step in steps]
     wake_ups = _count_wake_ups()
-    processor, began = time.process_time(), read_clock()
+    processor, started_s = time.process_time(), read_clock()
     time.sleep(seconds)
     processor = time.process_time() - processor
-    elapsed = read_clock() - began
+    elapsed = read_clock() - started_s
     calls = [_count_calls(instance, s) - n for s, n in zip(steps, before, strict=True)]
     return Figures(processor, elapsed, _count_wake_ups() - wake_ups, *calls)
 
--- a/bench/proofs.py
+++ b/bench/proofs.py
@@ -46,30 +46,30 @@
     ----------
     factor : int
         Factor on each test's number of cases.
-    drawn : bool
+    reseeded : bool
         Whether cases are generated from another seed than the fixed ones.
     """
 
-    def __init__(self, factor: int, drawn: bool) -> None:
+    def __init__(self, factor: int, reseeded: bool) -> None:
         self.factor = factor
-        self.drawn = drawn
+        self.reseeded = reseeded
         self.results: dict[str, bool] = {}
         self.cases: dict[str, int] = {}
 
     def pytest_collection_modifyitems(self, items: list[Any]) -> None:
         """Scale the settings of each property test once."""
-        if self.factor == 1 and not self.drawn:
+        if self.factor == 1 and not self.reseeded:
             return
-        holders = {id(h): h for item in items if (h := _find_holder(item))}
+        holders = {id(h): h for item in items if (h := _find_settings_holder(item))}
         for holder, name in holders.values():
-            widened = self._widen(getattr(holder, name))
-            setattr(holder, name, widened)
+            scaled = self._scale_settings(getattr(holder, name))
+            setattr(holder, name, scaled)
 
-    def _widen(self, present: hypothesis_settings) -> hypothesis_settings:
+    def _scale_settings(self, current: hypothesis_settings) -> hypothesis_settings:
         return hypothesis_settings(
-            present,
-            max_examples=present.max_examples * self.factor,
-            derandomize=present.derandomize and not self.drawn,
+            current,
+            max_examples=current.max_examples * self.factor,
+            derandomize=current.derandomize and not self.reseeded,
         )
 
     def pytest_runtest_logreport(self, report: Any) -> None:
@@ -85,7 +85,7 @@
         self.cases[item.nodeid] = passing or 1
 
 
-def _find_holder(item: Any) -> tuple[Any, str] | None:
+def _find_settings_holder(item: Any) -> tuple[Any, str] | None:
     """Return the object and attribute that hold a property test's settings."""
     machine = getattr(item, "cls", None)
     if machine is not None and isinstance(
@@ -115,11 +115,11 @@
     status = pytest.main(arguments, plugins=[recorder])
     print()
     for promise in PROMISES:
-        print(_format_line(promise, _count(recorder, promise.tests)))
+        print(_format_line(promise, _count_results(recorder, promise.tests)))
     return _FAILED if status else 0
 
 
-def _count(recorder: _Recorder, tests: Iterable[str]) -> _Count:
+def _count_results(recorder: _Recorder, tests: Iterable[str]) -> _Count:
     prefixes = tuple(tests)
     names = [name for name in recorder.results if name.startswith(prefixes)]
     return _Count(
@@ -130,8 +130,8 @@
 
 
 def _format_line(promise: Promise, count: _Count) -> str:
-    verdict = "NOT RUN" if not count.tests else f"{count.failed} violated"
+    outcome = "NOT RUN" if not count.tests else f"{count.failed} violated"
     return (
         f"{promise.name}\n    faults: {promise.faults}\n"
-        f"    {count.tests} tests, {count.cases} cases, {verdict}"
+        f"    {count.tests} tests, {count.cases} cases, {outcome}"
     )
--- a/bench/requests.py
+++ b/bench/requests.py
@@ -72,7 +72,7 @@
 def main(argv: list[str]) -> int:
     """Print the tables and return 0; ``argv[1]``, if given, is the seed."""
     seed = int(argv[1]) if len(argv) > 1 else 1
-    begun = time.perf_counter()
+    started_s = time.perf_counter()
     figures = run_requests(seed)
     print(f"seed {seed}, capacity {figures['capacity_per_s']:.0f} requests/s")
     columns = {
@@ -95,5 +95,5 @@
     for table, names in columns.items():
         rows = [[row[name] for name in names] for row in figures[table]]
         print(f"\n{tabulate(rows, names, tablefmt='github', floatfmt='.3g')}")
-    print(f"\n{time.perf_counter() - begun:.0f} s")
+    print(f"\n{time.perf_counter() - started_s:.0f} s")
     return 0
