--- a/bench/dispatch/accounts.py
+++ b/bench/dispatch/accounts.py
@@ -22,7 +22,7 @@
 """Length of a window, in seconds."""
 
 WORST_WINDOWS = 2
-"""Number of windows whose mean score is the score of the worst windows."""
+"""Number of worst windows whose scores are averaged."""
 
 MEAN_WEIGHT, WINDOW_WEIGHT, KIND_WEIGHT = 0.35, 0.5, 0.15
 """Weights of the whole day, its worst windows and its worst kind of jobs."""
@@ -80,7 +80,7 @@
 
     at: float
     kind: str
-    owed: float
+    possible: float
     earned: float
 
 
@@ -109,7 +109,7 @@
         by_kind["batch"],
         by_kind["lasting"],
         sum(waits) / max(1, len(waits)),
-        sum(e.earned >= e.owed for e in batch) / max(1, len(batch)),
+        sum(e.earned >= e.possible for e in batch) / max(1, len(batch)),
         day.site.over_own,
         day.site.over_others,
         day.site.wasted,
@@ -127,8 +127,8 @@
 
 
 def _compute_credit_share(entries: list[_CreditEntry]) -> float:
-    owed = sum(entry.owed for entry in entries)
-    return sum(entry.earned for entry in entries) / owed if owed else 1.0
+    possible = sum(entry.possible for entry in entries)
+    return sum(entry.earned for entry in entries) / possible if possible else 1.0
 
 
 def _find_worst_windows(entries: list[_CreditEntry]) -> float:
