--- a/bench/cost.py
+++ b/bench/cost.py
@@ -1,4 +1,4 @@
-"""Processor time of deciding, against workers and running tasks."""
+"""Processor time of placement decisions by number of workers and running tasks."""
 
 import random
 import time
@@ -35,12 +35,12 @@
     Attributes
     ----------
     workers, running : int
-        Workers of the state and tasks running on them.
+        Number of workers in the state, and of tasks running on them.
     start_us : float
-        One start with all that belongs to it: its job's arrival, its decision, the word
-        that it started and the word that it ended.
+        One start, including the arrival of its job, the decision, and the events that
+        it has started and ended.
     tick_us : float
-        One tick that finds nothing to do.
+        One tick without any decision.
     report_us : float
         One usage report.
     """
@@ -87,23 +87,23 @@
 
 
 def measure_point(workers: int, seed: int = 1, rounds: int = 6) -> CostPoint:
-    """Return the cost of deciding for `workers` busy workers under one owner."""
+    """Return the cost of decisions for `workers` busy workers under one owner."""
     source = random.Random(seed)
     state = _create_busy_state(workers, source)
     now = 500.0
     running = sum(len(worker.placed) for worker in state.active_workers)
-    begun = time.process_time()
+    started_s = time.process_time()
     for _ in range(rounds):
         step(state, Tick(), now)
         now += 0.2
-    tick = (time.process_time() - begun) / rounds
+    tick = (time.process_time() - started_s) / rounds
     report = _measure_reports(state, now, source)
     starts = 0
-    begun = time.process_time()
+    started_s = time.process_time()
     for number in range(rounds):
         starts += _churn(state, now, number, source)
         now += 0.5
-    spent = time.process_time() - begun - rounds * tick
+    spent = time.process_time() - started_s - rounds * tick
     return CostPoint(
         workers, running, 1e6 * spent / max(starts, 1), 1e6 * tick, 1e6 * report
     )
@@ -112,18 +112,18 @@
 def _measure_reports(state: PlacementState, now: float, source: random.Random) -> float:
     placements = [p for worker in state.active_workers for p in worker.placed.values()]
     chosen = source.sample(placements, min(300, len(placements)))
-    begun = time.process_time()
+    started_s = time.process_time()
     for p in chosen:
         latency = 10.0 if p.job_state.job.latency_critical else 0.0
         event = UsageReported(p.worker, p.key, now - 3.0, 6.0, 12.0, latency)
         step(state, event, now)
-    return (time.process_time() - begun) / len(chosen)
+    return (time.process_time() - started_s) / len(chosen)
 
 
 def _churn(
     state: PlacementState, now: float, number: int, source: random.Random
 ) -> int:
-    """End a share of the tasks, let as many jobs arrive, and decide."""
+    """End a share of the tasks, submit as many new ones, and start waiting tasks."""
     count = max(4, len(state.active_workers) // 5)
     batch = [
         (p.key, p.attempt, p.worker)
@@ -142,12 +142,12 @@
 def measure_cost(
     sizes: tuple[int, ...] = (10, 30, 100, 300, 1000, 2000),
 ) -> dict[str, Any]:
-    """Return the cost at several sizes, its slope and what a domain needs.
+    """Return the cost at several sizes, its slope, and the need of a domain.
 
     Notes
     -----
-    The owners of a domain of 2,000 workers together start 773 tasks a second. An owner
-    has a state for each rack, so what counts is the cost at the size of a rack.
+    The owners of a domain of 2,000 workers together start 773 tasks per second. An
+    owner has one state per rack, so the need follows from the cost at a rack's size.
     """
     points = [measure_point(size) for size in sizes]
     table = np.array([[p.workers, p.start_us, p.tick_us] for p in points])
--- a/bench/proofs.py
+++ b/bench/proofs.py
@@ -1,7 +1,7 @@
-"""Runs the tests that prove the promises, and prints a line for each promise.
+"""Run of the tests that verify the promises, with a summary of each promise.
 
 ``python -m bench proofs`` runs them as CI does. ``--factor=N`` multiplies the number of
-drawn cases, and ``--seed=N`` draws other ones than the fixed seeds of CI.
+generated cases, and ``--seed=N`` generates other cases than the fixed seeds of CI.
 """
 
 import re
@@ -32,7 +32,7 @@
 
 
 class _Count(NamedTuple):
-    """Tests and drawn cases that ran, and tests that failed."""
+    """Numbers of tests and generated cases that ran, and of tests that failed."""
 
     tests: int
     cases: int
@@ -40,52 +40,52 @@
 
 
 class _Recorder:
-    """A pytest plugin that widens the drawing and keeps what ran.
+    """Pytest plugin that scales the number of generated cases and records results.
 
     Parameters
     ----------
     factor : int
-        Multiplies each test's number of cases.
-    drawn : bool
-        Whether cases are drawn anew instead of from the fixed seeds.
+        Factor on each test's number of cases.
+    reseeded : bool
+        Whether cases are generated from another seed than the fixed ones.
     """
 
-    def __init__(self, factor: int, drawn: bool) -> None:
+    def __init__(self, factor: int, reseeded: bool) -> None:
         self.factor = factor
-        self.drawn = drawn
+        self.reseeded = reseeded
         self.results: dict[str, bool] = {}
         self.cases: dict[str, int] = {}
 
     def pytest_collection_modifyitems(self, items: list[Any]) -> None:
-        """Widen the settings of each property test once."""
-        if self.factor == 1 and not self.drawn:
+        """Scale the settings of each property test once."""
+        if self.factor == 1 and not self.reseeded:
             return
-        holders = {id(h): h for item in items if (h := _find_holder(item))}
+        holders = {id(h): h for item in items if (h := _find_settings_holder(item))}
         for holder, name in holders.values():
-            widened = self._widen(getattr(holder, name))
-            setattr(holder, name, widened)
+            scaled = self._scale_settings(getattr(holder, name))
+            setattr(holder, name, scaled)
 
-    def _widen(self, present: hypothesis_settings) -> hypothesis_settings:
+    def _scale_settings(self, current: hypothesis_settings) -> hypothesis_settings:
         return hypothesis_settings(
-            present,
-            max_examples=present.max_examples * self.factor,
-            derandomize=present.derandomize and not self.drawn,
+            current,
+            max_examples=current.max_examples * self.factor,
+            derandomize=current.derandomize and not self.reseeded,
         )
 
     def pytest_runtest_logreport(self, report: Any) -> None:
-        """Keep a test's verdict; one that could not be set up has failed."""
+        """Record the result of a test; a test with a failing set-up has failed."""
         if report.when == "call" or report.failed:
             self.results[report.nodeid] = not report.failed
 
     @pytest.hookimpl(trylast=True)
     def pytest_runtest_teardown(self, item: Any) -> None:
-        """Keep the number of cases that a property test tried."""
+        """Record the number of cases that a property test ran."""
         shown = getattr(item, "hypothesis_statistics", "")
         passing = sum(int(number) for number in _PASSING.findall(shown))
         self.cases[item.nodeid] = passing or 1
 
 
-def _find_holder(item: Any) -> tuple[Any, str] | None:
+def _find_settings_holder(item: Any) -> tuple[Any, str] | None:
     """Return the object and attribute that hold a property test's settings."""
     machine = getattr(item, "cls", None)
     if machine is not None and isinstance(
@@ -115,11 +115,11 @@
     status = pytest.main(arguments, plugins=[recorder])
     print()
     for promise in PROMISES:
-        print(_format_line(promise, _count(recorder, promise.tests)))
+        print(_format_line(promise, _count_results(recorder, promise.tests)))
     return _FAILED if status else 0
 
 
-def _count(recorder: _Recorder, tests: Iterable[str]) -> _Count:
+def _count_results(recorder: _Recorder, tests: Iterable[str]) -> _Count:
     prefixes = tuple(tests)
     names = [name for name in recorder.results if name.startswith(prefixes)]
     return _Count(
@@ -130,8 +130,8 @@
 
 
 def _format_line(promise: Promise, count: _Count) -> str:
-    verdict = "NOT RUN" if not count.tests else f"{count.failed} violated"
+    outcome = "NOT RUN" if not count.tests else f"{count.failed} violated"
     return (
         f"{promise.name}\n    faults: {promise.faults}\n"
-        f"    {count.tests} tests, {count.cases} cases, {verdict}"
+        f"    {count.tests} tests, {count.cases} cases, {outcome}"
     )
--- a/bench/requests.py
+++ b/bench/requests.py
@@ -1,8 +1,9 @@
-"""Measurement of routing: ways of sharing slots, and goodput under overload.
+"""Measurements of routing: methods of sharing slots, and goodput under overload.
 
-The daemon's own deciding parts run here under an event clock: delays and service times
-are drawn, nothing waits. Processor time of the decisions is therefore not part of any
-figure. Runners count their requests in progress; a run stops if one exceeds its slots.
+The daemon's decision functions run in a discrete-event simulation: delays and service
+times are drawn at random, and no real time passes. The processor time of decisions is
+therefore not part of any figure. Runners count their requests in progress; a run fails
+if a runner exceeds its slots.
 """
 
 import time
@@ -17,7 +18,7 @@
     LOADS,
     UNEVEN,
     Scenario,
-    Ways,
+    SharingMethods,
     run_scenario,
 )
 
@@ -37,28 +38,31 @@
     Returns
     -------
     dict
-        ``ways`` compares the ways of sharing slots, ``ramps`` their use of slots
-        before the first wait and refusal, ``overload`` is goodput over load.
+        ``ways`` compares the methods of sharing slots, ``ramps`` their utilization of
+        slots at the first wait and at the first refusal, and ``overload`` has the
+        goodput by load.
     """
-    ways = (Ways.FIXED, Ways.LEASED, Ways.SINGLE)
+    ways = (SharingMethods.FIXED, SharingMethods.LEASED, SharingMethods.SINGLE)
     return {
         "seed": seed,
         "capacity_per_s": CAPACITY,
         "ways": [
-            {**run_scenario(Scenario(way, load, length_s=length_s), seed)}
-            for way in ways
+            {**run_scenario(Scenario(method, load, length_s=length_s), seed)}
+            for method in ways
             for load in (0.5, 0.8, 0.95)
         ],
         "ramps": [
             {
                 "spread": label,
-                **run_scenario(Scenario(way, 1.3, 0.0, length_s, True, weights), seed),
+                **run_scenario(
+                    Scenario(method, 1.3, 0.0, length_s, True, weights), seed
+                ),
             }
             for label, weights in (("even", EVEN), ("uneven", UNEVEN))
-            for way in ways
+            for method in ways
         ],
         "overload": [
-            run_scenario(Scenario(Ways.LEASED, load, failing, length_s), seed)
+            run_scenario(Scenario(SharingMethods.LEASED, load, failing, length_s), seed)
             for failing in FAILING
             for load in LOADS
         ],
@@ -66,9 +70,9 @@
 
 
 def main(argv: list[str]) -> int:
-    """Print the tables; ``argv[1]``, if given, is the seed."""
+    """Print the tables and return 0; ``argv[1]``, if given, is the seed."""
     seed = int(argv[1]) if len(argv) > 1 else 1
-    begun = time.perf_counter()
+    started_s = time.perf_counter()
     figures = run_requests(seed)
     print(f"seed {seed}, capacity {figures['capacity_per_s']:.0f} requests/s")
     columns = {
@@ -91,5 +95,5 @@
     for table, names in columns.items():
         rows = [[row[name] for name in names] for row in figures[table]]
         print(f"\n{tabulate(rows, names, tablefmt='github', floatfmt='.3g')}")
-    print(f"\n{time.perf_counter() - begun:.0f} s")
+    print(f"\n{time.perf_counter() - started_s:.0f} s")
     return 0
--- a/plantainyard/api/__init__.py
+++ b/plantainyard/api/__init__.py
@@ -1,17 +1,17 @@
-"""Operators' calls: the published schema, its generated code and their serving."""
+"""The operators' API: the published schema, its generated code and the server side."""
 
 from plantainyard.api.app import Probes, create_app, has_token, read_body
 from plantainyard.api.calls import (
     METHODS,
     SERVICE,
-    Answer,
+    CallResponse,
     Handler,
     Handlers,
-    answer_error,
+    build_error_response,
     serve_call,
 )
 from plantainyard.api.convert import (
-    iter_service_parts,
+    iter_service_jobs,
     read_changes,
     read_constraints,
     read_job,
@@ -33,19 +33,19 @@
 __all__ = [
     "METHODS",
     "SERVICE",
-    "Answer",
     "ApiError",
+    "CallResponse",
     "ErrorCode",
     "Handler",
     "Handlers",
     "Probes",
-    "answer_error",
     "build_api_error",
+    "build_error_response",
     "create_app",
     "decode_error",
     "encode_error",
     "has_token",
-    "iter_service_parts",
+    "iter_service_jobs",
     "read_body",
     "read_changes",
     "read_constraints",
--- a/plantainyard/api/calls.py
+++ b/plantainyard/api/calls.py
@@ -1,4 +1,4 @@
-"""Operators' calls: from a method's name and a body to an answer."""
+"""Serving of operators' calls, from a method name and a body to a response."""
 
 import logging
 import math
@@ -24,39 +24,40 @@
 __all__ = [
     "METHODS",
     "SERVICE",
-    "Answer",
+    "CallResponse",
     "Handler",
     "Handlers",
     "Method",
-    "answer_error",
+    "build_error_response",
     "serve_call",
 ]
 
 STATUS_OK = 200
 REQUEST_ID = "request_id"
+"""Field that every request of a mutating method has."""
 
 Handler = Callable[[Any], Result[Message, ApiError]]
 Handlers = Mapping[str, Handler]
 
 
 class Method(NamedTuple):
-    """A method of the schema.
+    """A method of the schema's service.
 
     Attributes
     ----------
     request, response : type
-        Generated message classes.
-    changes : bool
-        Whether a call changes something, and so carries a request id.
+        Generated classes of its messages.
+    is_mutating : bool
+        Whether a call changes state and therefore has a request id.
     """
 
     request: type[Message]
     response: type[Message]
-    changes: bool
+    is_mutating: bool
 
 
-class Answer(NamedTuple):
-    """An HTTP answer."""
+class CallResponse(NamedTuple):
+    """The HTTP response to a call."""
 
     status: int
     body: bytes
@@ -79,51 +80,57 @@
 
 def serve_call(
     handlers: Handlers, method_name: str, content_type: str, body: bytes
-) -> Answer:
-    """Decode, check, hand over and encode one call.
+) -> CallResponse:
+    """Decode, check and handle one call, and return its encoded response.
 
     Parameters
     ----------
     handlers : mapping
-        Method name to the function that answers it. A handler must itself be safe
-        to repeat with the same request id.
+        Function that handles each method, by method name. A handler must be
+        idempotent for calls with the same request id.
     method_name : str
-        Last part of the path.
+        Last segment of the path.
     content_type : str
-        The request's header.
+        Content-Type header of the request.
     body : bytes
-        The request's body.
+        Body of the request.
 
     Returns
     -------
-    Answer
-        In the form of the request; errors are always JSON.
+    CallResponse
+        Encoded like the request, except that errors are always JSON.
     """
     method = METHODS.get(method_name)
     if method is None or method_name not in handlers:
         detail = f"no such method; known are {', '.join(METHODS)}"
-        return answer_error(ApiError(ErrorCode.NOT_FOUND, detail, "method"))
-    form = parse_content_type(content_type)
-    if form is None:
+        return build_error_response(ApiError(ErrorCode.NOT_FOUND, detail, "method"))
+    encoding = parse_content_type(content_type)
+    if encoding is None:
         detail = f"expected {JSON} or {BINARY}"
-        return answer_error(ApiError(ErrorCode.MALFORMED, detail, "Content-Type"))
-    decoded = decode_message(method.request, form, body)
+        return build_error_response(
+            ApiError(ErrorCode.MALFORMED, detail, "Content-Type")
+        )
+    decoded = decode_message(method.request, encoding, body)
     if isinstance(decoded, Err):
-        return answer_error(decoded.err_value)
-    bad = check_request(decoded.ok_value)
-    if bad is not None:
-        detail = f"expected {bad.expected}"
-        return answer_error(ApiError(ErrorCode.MALFORMED, detail, bad.path))
-    handled = _handle(method_name, method, handlers[method_name], decoded.ok_value)
-    if isinstance(handled, Ok):
-        return Answer(STATUS_OK, encode_message(handled.ok_value, form), form)
-    return answer_error(handled.err_value)
-
-
-def answer_error(error: ApiError) -> Answer:
-    """Return the HTTP answer that tells of `error`."""
+        return build_error_response(decoded.err_value)
+    invalid = check_request(decoded.ok_value)
+    if invalid is not None:
+        detail = f"expected {invalid.expected}"
+        return build_error_response(ApiError(ErrorCode.MALFORMED, detail, invalid.path))
+    result = _handle(method_name, method, handlers[method_name], decoded.ok_value)
+    if isinstance(result, Ok):
+        return CallResponse(
+            STATUS_OK, encode_message(result.ok_value, encoding), encoding
+        )
+    return build_error_response(result.err_value)
+
+
+def build_error_response(error: ApiError) -> CallResponse:
+    """Return the HTTP response that reports `error`."""
     status = STATUS_OF_CODE[error.code]
-    return Answer(status, encode_error(error), JSON, math.ceil(error.retry_after_s))
+    return CallResponse(
+        status, encode_error(error), JSON, math.ceil(error.retry_after_s)
+    )
 
 
 def _handle(
@@ -131,18 +138,19 @@
 ) -> Result[Message, ApiError]:
     request_id = getattr(request, REQUEST_ID, "")
     step = f"api.{name}"
-    # A fault of the handler may come after the record was appended. Told as a plain
-    # failure, the operator would send the work again under a new id and it would run
-    # twice; told as unknown, the repeat carries the same id and is recognised.
+    # The handler may fail after the record was appended. If that were reported as a
+    # plain failure, the operator would submit the work again with a new id and it would
+    # run twice. After "unknown", the operator repeats the call with the same id, which
+    # is recognized.
     try:
-        handled = handler(request)
+        result = handler(request)
     except Exception:
         _logger.exception(
             "handler failed", extra={"step": step, "request_id": request_id}
         )
-        code = ErrorCode.UNKNOWN if method.changes else ErrorCode.INTERNAL
+        code = ErrorCode.UNKNOWN if method.is_mutating else ErrorCode.INTERNAL
         return Err(ApiError(code, "a fault of the daemon; see its log", step=step))
-    if method.changes:
-        outcome = handled.err_value.code if isinstance(handled, Err) else "accepted"
+    if method.is_mutating:
+        outcome = result.err_value.code if isinstance(result, Err) else "accepted"
         log_step(_logger, logging.INFO, outcome, step, request_id=request_id)
-    return handled
+    return result
--- a/plantainyard/commands/configurations.py
+++ b/plantainyard/commands/configurations.py
@@ -1,4 +1,4 @@
-"""Subcommands for configuration."""
+"""Subcommands that show and change the configuration."""
 
 import json
 import tomllib
@@ -9,36 +9,37 @@
 
 from plantainyard.api import operators_pb2 as schema
 from plantainyard.api import write_value
-from plantainyard.commands.caller import Failure
+from plantainyard.commands.calls import Failure
 from plantainyard.commands.command import (
     Command,
     Invocation,
     UsageError,
-    ask,
-    define_nothing,
-    define_request_id,
+    call_method,
+    define_no_flags,
+    define_request_id_flag,
     format_table,
     pick_request_id,
     report_failure,
     run_call,
 )
-from plantainyard.commands.declare import read_text
-from plantainyard.commands.exits import ExitCode
-from plantainyard.commands.render import format_age, format_value, write_json
+from plantainyard.commands.exit_codes import ExitCode
+from plantainyard.commands.rendering import format_age, format_json, format_value
+from plantainyard.commands.work_flags import read_text
 from plantainyard.configuration import flatten_changes
 
-__all__ = ["COMMANDS", "change_configuration", "define_change"]
+__all__ = ["COMMANDS", "change_configuration", "define_change_flags"]
 
-UNREAD = -2
+READ_NEWEST = -2
+"""Base version that stands for the newest one, read just before the change."""
 JSON_SUFFIX = ".json"
 
 
-def define_change(values: flags.FlagValues) -> None:
-    """Define the flags of a change of the configuration."""
-    define_request_id(values)
+def define_change_flags(values: flags.FlagValues) -> None:
+    """Define the flags of a configuration change."""
+    define_request_id_flag(values)
     flags.DEFINE_integer(
         "base_version",
-        UNREAD,
+        READ_NEWEST,
         "Version that the change builds on; by default the newest, read just before.",
         flag_values=values,
     )
@@ -48,7 +49,7 @@
 
 
 def _define_apply(values: flags.FlagValues) -> None:
-    define_change(values)
+    define_change_flags(values)
     flags.DEFINE_multi_string(
         "set", [], "KEY=VALUE, the value in JSON; may be repeated.", flag_values=values
     )
@@ -92,8 +93,8 @@
 
 
 def change_configuration(invocation: Invocation, changes: dict[str, Any]) -> ExitCode:
-    """Apply changes on top of the base version that the flags choose."""
-    base = _find_base(invocation)
+    """Apply changes on top of the base version selected by the flags."""
+    base = _find_base_version(invocation)
     if isinstance(base, Err):
         return report_failure(invocation, base.err_value)
     try:
@@ -109,32 +110,38 @@
     return run_call(invocation, "ApplyConfiguration", request, _format_applied)
 
 
-def _find_base(invocation: Invocation) -> Result[int, Failure]:
+def _find_base_version(invocation: Invocation) -> Result[int, Failure]:
     given = invocation.flags.base_version
-    if given != UNREAD:
+    if given != READ_NEWEST:
         return Ok(given)
-    # A repeat by hand after a lost answer must build on the version of the first
-    # sending: the newest may by now be that change itself.
+    # A manual retry after a lost response must build on the base version of the first
+    # request, because the newest version may now be that change itself.
     if invocation.flags.request_id:
         raise UsageError("--request_id: expected --base_version of the first try too")
-    answer = ask(invocation, "GetConfiguration", schema.GetConfigurationRequest())
-    if isinstance(answer, Err):
-        return answer
-    version: int = answer.ok_value.version
-    print(f"building on version {version} (--base_version)", file=invocation.world.err)
+    response = call_method(
+        invocation, "GetConfiguration", schema.GetConfigurationRequest()
+    )
+    if isinstance(response, Err):
+        return response
+    version: int = response.ok_value.version
+    print(
+        f"building on version {version} (--base_version)", file=invocation.context.err
+    )
     return Ok(version)
 
 
-def _format_applied(answer: schema.ApplyConfigurationResponse) -> str:
+def _format_applied(response: schema.ApplyConfigurationResponse) -> str:
     rows = (
         (c.key, format_value(c, "before"), format_value(c, "after"))
-        for c in answer.changes
+        for c in response.changes
     )
     table = format_table(("key", "before", "after"), rows)
-    if not answer.instances:
-        return f"{table}\nnothing is changed; version {answer.version} is in force"
-    force = f"in force on {answer.in_force_on} of {answer.instances} instances by now"
-    return f"{table}\nversion {answer.version}, {force}"
+    if not response.instances:
+        return f"{table}\nnothing is changed; version {response.version} is in force"
+    force = (
+        f"in force on {response.in_force_on} of {response.instances} instances by now"
+    )
+    return f"{table}\nversion {response.version}, {force}"
 
 
 def _define_show(values: flags.FlagValues) -> None:
@@ -146,11 +153,11 @@
     return run_call(invocation, "GetConfiguration", request, _format_configuration)
 
 
-def _format_configuration(answer: schema.GetConfigurationResponse) -> str:
-    rows = ((key, write_json(answer.values[key])) for key in sorted(answer.values))
+def _format_configuration(response: schema.GetConfigurationResponse) -> str:
+    rows = ((key, format_json(response.values[key])) for key in sorted(response.values))
     table = format_table(("key", "value"), rows)
-    age = format_age(answer.age_s)
-    return f"{table}\nversion {answer.version}, known current {age}"
+    age = format_age(response.age_s)
+    return f"{table}\nversion {response.version}, known current {age}"
 
 
 def _define_history(values: flags.FlagValues) -> None:
@@ -168,28 +175,28 @@
     return run_call(invocation, "GetConfigurationHistory", request, _format_history)
 
 
-def _format_history(answer: schema.GetConfigurationHistoryResponse) -> str:
+def _format_history(response: schema.GetConfigurationHistoryResponse) -> str:
     rows = (
         (
             change.version,
             change.base_version if change.HasField("base_version") else "-",
             key,
-            write_json(change.changes[key]),
+            format_json(change.changes[key]),
         )
-        for change in answer.changes
+        for change in response.changes
         for key in sorted(change.changes)
     )
     table = format_table(("version", "built on", "key", "new value"), rows)
-    return f"{table}\nolder ones: --before_version" if answer.more else table
+    return f"{table}\nolder ones: --before_version" if response.more else table
 
 
-def _tell_status(invocation: Invocation) -> ExitCode:
+def _show_status(invocation: Invocation) -> ExitCode:
     request = schema.GetConfigurationStatusRequest()
     return run_call(invocation, "GetConfigurationStatus", request, _format_status)
 
 
-def _format_status(answer: schema.GetConfigurationStatusResponse) -> str:
-    newest = answer.newest_version
+def _format_status(response: schema.GetConfigurationStatusResponse) -> str:
+    newest = response.newest_version
     rows = [
         (
             i.instance,
@@ -199,7 +206,7 @@
             format_age(i.age_s),
             format_age(i.report_age_s),
         )
-        for i in answer.instances
+        for i in response.instances
     ]
     headers = (
         "instance",
@@ -209,7 +216,7 @@
         "known current",
         "heard from",
     )
-    count = sum(i.version >= newest for i in answer.instances)
+    count = sum(i.version >= newest for i in response.instances)
     summary = f"version {newest} in force on {count} of {len(rows)} instances"
     return f"{format_table(headers, rows)}\n{summary}"
 
@@ -257,7 +264,7 @@
         "Tell on which instances the newest version is in force.",
         "An instance that is cut off may hold an older one; the table says since when.",
         ("plantainyard config status",),
-        define_nothing,
-        _tell_status,
+        define_no_flags,
+        _show_status,
     ),
 )
--- a/plantainyard/commands/world.py
+++ b/plantainyard/commands/context.py
@@ -1,4 +1,4 @@
-"""What a command has of the outside, passed in so that tests can replace it."""
+"""Access of a command to its surroundings, passed in so that tests can replace it."""
 
 import os
 import sys
@@ -13,28 +13,29 @@
 from plantainyard.errors import CallError
 from plantainyard.transport import HttpResponse, build_peer, build_pool, send_request
 
-__all__ = ["Send", "World", "create_world"]
+__all__ = ["Send", "Context", "create_context"]
 
 Send = Callable[
     [str, str, bytes, Mapping[str, str], float], Result[HttpResponse, CallError]
 ]
 
 
-class World(NamedTuple):
-    """The outside of a command.
+class Context(NamedTuple):
+    """Environment, streams, network and clock of a command.
 
     Attributes
     ----------
     environ : mapping
-        The environment's variables.
+        Environment variables.
     out, err : file
-        Results go to `out`; progress and errors to `err`.
+        Results are printed to `out`, progress and errors to `err`.
     send : callable
-        ``send(address, path, body, headers, timeout_s)`` posts one request, once.
+        ``send(address, path, body, headers, timeout_s)`` posts a request without
+        retries.
     sleep : callable
-        Waits for some seconds.
+        Waits for a number of seconds.
     clock : callable
-        Returns seconds.
+        Returns the time in seconds.
     create_id : callable
         Returns a new request id.
     """
@@ -48,8 +49,8 @@
     create_id: Callable[[], str]
 
 
-def create_world() -> World:
-    """Return the real one."""
+def create_context() -> Context:
+    """Return the context of this process."""
     pool = build_pool()
 
     def send(
@@ -62,7 +63,7 @@
         peer = build_peer(address, pool, timeout_s)
         return send_request(peer, path, "POST", path, body, headers)
 
-    return World(
+    return Context(
         os.environ,
         sys.stdout,
         sys.stderr,
--- a/plantainyard/commands/jobs.py
+++ b/plantainyard/commands/jobs.py
@@ -1,4 +1,4 @@
-"""Subcommands for batch jobs."""
+"""Subcommands that create, list, explain, cancel and wait for batch jobs."""
 
 from absl import flags
 from result import Err
@@ -8,41 +8,41 @@
     Command,
     Invocation,
     UsageError,
-    ask,
-    define_nothing,
-    define_request_id,
+    call_method,
+    define_no_flags,
+    define_request_id_flag,
     format_table,
     pick_request_id,
+    print_message,
     report_failure,
     run_call,
-    show,
 )
-from plantainyard.commands.declare import (
-    define_work,
-    read_declared_file,
-    read_text,
-    read_work,
-)
-from plantainyard.commands.exits import ExitCode
-from plantainyard.commands.render import (
+from plantainyard.commands.exit_codes import ExitCode
+from plantainyard.commands.rendering import (
     STATE_PREFIX,
     format_explanation,
     format_job,
     format_jobs,
 )
 from plantainyard.commands.waiting import wait_for_job
+from plantainyard.commands.work_flags import (
+    define_work_flags,
+    read_request_file,
+    read_text,
+    read_work_flags,
+)
 
 __all__ = [
     "COMMANDS",
     "cancel_jobs",
-    "define_filters",
+    "define_filter_flags",
     "describe_job",
     "format_cancelled",
     "list_jobs",
 ]
 
-PAGE = 1_000
-MAX_NUMBER = 2**31 - 1
+MAX_PAGE_SIZE = 1_000
+MAX_TASK_NUMBER = 2**31 - 1
 UNSPECIFIED = "unspecified"
 STATES = [
     name.removeprefix(STATE_PREFIX).lower()
@@ -52,7 +52,7 @@
 
 
 def _define_create(values: flags.FlagValues) -> None:
-    define_work(values)
+    define_work_flags(values)
     flags.DEFINE_integer("tasks", 1, "Number of tasks.", flag_values=values)
     flags.DEFINE_float(
         "run_s", 0.0, "Declared run time of one task in seconds.", flag_values=values
@@ -64,10 +64,10 @@
 def _create(invocation: Invocation) -> ExitCode:
     values = invocation.flags
     if values.file:
-        request = read_declared_file(invocation, schema.CreateJobRequest)
+        request = read_request_file(invocation, schema.CreateJobRequest)
     else:
         request = schema.CreateJobRequest(
-            **read_work(invocation),
+            **read_work_flags(invocation),
             task_count=values.tasks,
             run_s=values.run_s,
             urgent=values.urgent,
@@ -76,14 +76,14 @@
     return run_call(invocation, "CreateJob", request, _format_created)
 
 
-def _format_created(answer: schema.CreateJobResponse) -> str:
-    if not answer.job.job_id:
-        return f"would be accepted, with home domain {answer.job.domain}"
-    return f"{answer.job.job_id} accepted, with home domain {answer.job.domain}"
+def _format_created(response: schema.CreateJobResponse) -> str:
+    if not response.job.job_id:
+        return f"would be accepted, with home domain {response.job.domain}"
+    return f"{response.job.job_id} accepted, with home domain {response.job.domain}"
 
 
-def define_filters(values: flags.FlagValues) -> None:
-    """Define the flags that choose what is listed."""
+def define_filter_flags(values: flags.FlagValues) -> None:
+    """Define the flags that filter a list of jobs."""
     flags.DEFINE_string("team", "", "Only this team's.", flag_values=values)
     flags.DEFINE_enum("state", None, STATES, "Only in this state.", flag_values=values)
     flags.DEFINE_string("domain", "", "Only with this home domain.", flag_values=values)
@@ -94,7 +94,7 @@
 
 
 def list_jobs(invocation: Invocation, kind: "schema.JobKind") -> ExitCode:
-    """List work of one kind, page by page up to the limit."""
+    """Print the jobs of one kind, read page by page up to the limit."""
     values = invocation.flags
     state = (values.state or UNSPECIFIED).upper()
     request = schema.ListJobsRequest(
@@ -104,21 +104,21 @@
         domain=values.domain,
         name_prefix=values.name,
     )
-    whole = schema.ListJobsResponse()
+    merged = schema.ListJobsResponse()
     while True:
-        request.page_size = min(PAGE, values.limit - len(whole.jobs))
-        answer = ask(invocation, "ListJobs", request)
-        if isinstance(answer, Err):
-            return report_failure(invocation, answer.err_value)
-        page: schema.ListJobsResponse = answer.ok_value
-        del whole.ages[:]
-        whole.MergeFrom(page)
-        whole.next_page_token = request.page_token = page.next_page_token
-        if not page.next_page_token or len(whole.jobs) >= values.limit:
+        request.page_size = min(MAX_PAGE_SIZE, values.limit - len(merged.jobs))
+        response = call_method(invocation, "ListJobs", request)
+        if isinstance(response, Err):
+            return report_failure(invocation, response.err_value)
+        page: schema.ListJobsResponse = response.ok_value
+        del merged.ages[:]
+        merged.MergeFrom(page)
+        merged.next_page_token = request.page_token = page.next_page_token
+        if not page.next_page_token or len(merged.jobs) >= values.limit:
             break
-    show(invocation, whole, format_jobs)
-    if whole.next_page_token:
-        print("There are more; raise --limit.", file=invocation.world.err)
+    print_message(invocation, merged, format_jobs)
+    if merged.next_page_token:
+        print("There are more; raise --limit.", file=invocation.context.err)
     return ExitCode.OK
 
 
@@ -133,7 +133,7 @@
 
 
 def describe_job(invocation: Invocation) -> ExitCode:
-    """Show one job."""
+    """Print one job."""
     request = schema.DescribeJobRequest(
         job_id=invocation.arguments[0], tasks_limit=invocation.flags.places
     )
@@ -142,32 +142,32 @@
 
 def _explain(invocation: Invocation) -> ExitCode:
     job_id, number = invocation.arguments
-    if not number.isdecimal() or int(number) > MAX_NUMBER:
+    if not number.isdecimal() or int(number) > MAX_TASK_NUMBER:
         raise UsageError(f"expected the number of a task, got {number!r}")
     request = schema.ExplainTaskRequest(job_id=job_id, number=int(number))
     return run_call(invocation, "ExplainTask", request, format_explanation)
 
 
 def _define_cancel(values: flags.FlagValues) -> None:
-    define_request_id(values)
+    define_request_id_flag(values)
     flags.DEFINE_string(
         "ids_file", "", "File with a job id on each line.", flag_values=values
     )
 
 
 def cancel_jobs(invocation: Invocation, job_ids: list[str]) -> ExitCode:
-    """Cancel jobs in one call."""
+    """Cancel jobs in one call and print the outcome of each."""
     request = schema.CancelJobsRequest(
         request_id=pick_request_id(invocation), job_ids=job_ids
     )
     return run_call(invocation, "CancelJobs", request, format_cancelled)
 
 
-def format_cancelled(answer: schema.CancelJobsResponse) -> str:
-    """Return what became of each job."""
+def format_cancelled(response: schema.CancelJobsResponse) -> str:
+    """Return a table with the outcome for each job."""
     rows = (
         (j.job_id, j.domain, "was over before" if j.was_over else "cancelled")
-        for j in answer.jobs
+        for j in response.jobs
     )
     return format_table(("job", "domain", "outcome"), rows)
 
@@ -215,7 +215,7 @@
             "plantainyard jobs list --team=billing --state=waiting",
             "plantainyard jobs list --output=json --limit=5000",
         ),
-        define_filters,
+        define_filter_flags,
         _list,
     ),
     Command(
@@ -237,7 +237,7 @@
         "off it now, or what it would cost there, by the parts of the cost. Costs have "
         "no unit; less is better.",
         ("plantainyard jobs explain 5b0c7a9e1f23.addis-kality 0",),
-        define_nothing,
+        define_no_flags,
         _explain,
         2,
         2,
--- a/plantainyard/commands/teams.py
+++ b/plantainyard/commands/teams.py
@@ -1,4 +1,4 @@
-"""Subcommands for teams and their quotas."""
+"""Subcommands that list teams and set their quotas."""
 
 from absl import flags
 
@@ -7,13 +7,16 @@
     Command,
     Invocation,
     UsageError,
-    define_nothing,
+    define_no_flags,
     format_table,
     run_call,
 )
-from plantainyard.commands.configurations import change_configuration, define_change
-from plantainyard.commands.exits import ExitCode
-from plantainyard.commands.render import format_ages, format_size
+from plantainyard.commands.configurations import (
+    change_configuration,
+    define_change_flags,
+)
+from plantainyard.commands.exit_codes import ExitCode
+from plantainyard.commands.rendering import format_ages, format_size
 from plantainyard.configuration import build_quota_key
 from plantainyard.work import Size
 
@@ -31,7 +34,7 @@
     return ", ".join(f"{name} {value:g}" for name, value in limited)
 
 
-def _format_teams(answer: schema.ListTeamsResponse) -> str:
+def _format_teams(response: schema.ListTeamsResponse) -> str:
     rows = (
         (
             team.name,
@@ -40,15 +43,15 @@
             team.tasks_assigned,
             team.tasks_waiting,
         )
-        for team in answer.teams
+        for team in response.teams
     )
     headers = ("team", "quota", "used", "tasks assigned", "tasks waiting")
-    lines = [format_table(headers, rows), f"version {answer.version}"]
-    return "\n".join([*lines, *format_ages(answer.ages)])
+    lines = [format_table(headers, rows), f"version {response.version}"]
+    return "\n".join([*lines, *format_ages(response.ages)])
 
 
 def _define_set_team(values: flags.FlagValues) -> None:
-    define_change(values)
+    define_change_flags(values)
     flags.DEFINE_float("cores", None, "Cores at one time.", flag_values=values)
     flags.DEFINE_float("memory_gb", None, "Memory at one time.", flag_values=values)
     flags.DEFINE_integer(
@@ -64,8 +67,8 @@
     if values.unlimited == bool(given):
         expected = ", ".join(f"--{name}" for name in Size._fields)
         raise UsageError(f"expected some of {expected}, or --unlimited")
-    chosen = given or amounts
-    changes = {build_quota_key(team, name): value for name, value in chosen.items()}
+    selected = given or amounts
+    changes = {build_quota_key(team, name): value for name, value in selected.items()}
     return change_configuration(invocation, changes)
 
 
@@ -78,7 +81,7 @@
         "teams.<name>.cores and so on. What is used is told for the failure domain of "
         "the answering instance; name one with --address.",
         ("plantainyard teams list",),
-        define_nothing,
+        define_no_flags,
         _list_teams,
     ),
     Command(
--- a/plantainyard/execution/__init__.py
+++ b/plantainyard/execution/__init__.py
@@ -1,10 +1,10 @@
-"""Running a rack's tasks on its workers under leases."""
+"""Execution of a rack's tasks on its workers under leases."""
 
 from .commands import (
     LeaseTerms,
     build_commands,
     keep_only_renewals,
-    note_sent,
+    record_sent_leases,
     withhold_leases,
 )
 from .events import (
@@ -23,23 +23,23 @@
     Decision,
     PlanState,
     Recording,
+    create_plan,
     decide,
-    learn_rack,
-    learn_record,
-    learn_usage,
-    learn_workers,
-    start_plan,
-    withdraw,
+    load_rack,
+    process_record,
+    process_usage,
+    update_workers,
+    withdraw_placements,
 )
-from .rack import RackState, forget_reports, step
+from .rack import RackState, step, unmark_reported
 from .views import (
     AttemptKey,
     WorkerView,
-    absorb_state,
     estimate_clock,
-    forget_incarnation,
     has_lapsed,
-    note_until,
+    record_lease_end,
+    reset_incarnation,
+    update_view,
 )
 
 __all__ = [
@@ -60,22 +60,22 @@
     "WorkerAnswered",
     "WorkerView",
     "WorkersListed",
-    "absorb_state",
+    "update_view",
     "build_commands",
     "decide",
     "estimate_clock",
-    "forget_incarnation",
-    "forget_reports",
+    "reset_incarnation",
+    "unmark_reported",
     "has_lapsed",
     "keep_only_renewals",
-    "learn_rack",
-    "learn_record",
-    "learn_usage",
-    "learn_workers",
-    "note_sent",
-    "note_until",
-    "start_plan",
+    "load_rack",
+    "process_record",
+    "process_usage",
+    "update_workers",
+    "record_sent_leases",
+    "record_lease_end",
+    "create_plan",
     "step",
-    "withdraw",
+    "withdraw_placements",
     "withhold_leases",
 ]
--- a/plantainyard/execution/planning.py
+++ b/plantainyard/execution/planning.py
@@ -1,9 +1,9 @@
-"""Keeps a rack's placement policy in step with the log and the workers.
+"""Synchronization of a rack's placement policy with the log and the workers.
 
-The policy decides from events. Here the folded records of the log and the answers
-of the workers become those events, and the policy's actions become items for the
-log and wishes for the workers. A new owner feeds the whole rack with `learn_rack`
-and then each record with `learn_record`.
+The policy decides from events. This module translates folded records of the log and
+responses of the workers into these events, and the policy's actions into items for the
+log and requests to the workers. A new owner passes the state of the whole rack to the
+policy with `load_rack` and then each record with `process_record`.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -36,44 +36,54 @@
     "Decision",
     "PlanState",
     "Recording",
-    "start_plan",
+    "create_plan",
     "decide",
-    "learn_rack",
-    "learn_record",
-    "learn_usage",
-    "learn_workers",
-    "withdraw",
+    "load_rack",
+    "process_record",
+    "process_usage",
+    "update_workers",
+    "withdraw_placements",
 ]
 
-_SUSPECT_AFTER = 2
+_SUSPECT_FAILURES = 2
+"""Consecutive failed calls after which a worker is reported as suspect."""
 
 
 class Decision(NamedTuple):
-    """What one round of the policy asks of the log.
+    """Records that one round of the policy requests in the log.
 
     Attributes
     ----------
     assign : tuple of AssignItem
-        Attempts to be written down, then started.
-    give_up : tuple of placement.GiveUp
-        Jobs that failed everywhere; they are to be cancelled.
-    notes : tuple
-        Other actions of the policy, for the logs.
+        Attempts to be recorded in the log and then started.
+    abandoned : tuple of placement.GiveUp
+        Jobs that failed on every worker tried and are to be cancelled.
+    other_actions : tuple
+        Other actions of the policy, which are only logged.
     """
 
     assign: tuple[AssignItem, ...] = ()
-    give_up: tuple[placement.GiveUp, ...] = ()
-    notes: tuple[placement.Action, ...] = ()
+    abandoned: tuple[placement.GiveUp, ...] = ()
+    other_actions: tuple[placement.Action, ...] = ()
 
 
 class Recording:
-    """The deciding events of a term, as lines that replay to the same decisions.
+    """A term's policy events, as lines whose replay gives the same decisions.
 
     Parameters
     ----------
     limit_bytes : int
-        Bound on the lines together; past it the recording ends, since one without its
-        beginning replays to nothing.
+        Maximum total size of the lines. At this size the recording ends instead of
+        dropping its oldest lines, because it can't be replayed without its beginning.
+
+    Attributes
+    ----------
+    lines : list of str
+        Recorded lines.
+    size : int
+        Total length of the lines.
+    complete : bool
+        Whether no line has been left out.
     """
 
     def __init__(self, limit_bytes: int) -> None:
@@ -84,7 +94,7 @@
 
 
 def record_line(recording: Recording, line: str) -> None:
-    """Keep a line of a recording, as long as there is room."""
+    """Append a line to the recording unless that exceeds its size limit."""
     if not recording.complete or recording.size + len(line) > recording.limit_bytes:
         recording.complete = False
         return
@@ -92,8 +102,8 @@
     recording.size += len(line)
 
 
-def start_plan(record_bytes: int) -> "PlanState":
-    """Return a fresh plan, recorded where `record_bytes` is above zero."""
+def create_plan(record_bytes: int) -> "PlanState":
+    """Return a new plan, with a recording if `record_bytes` is above zero."""
     if not record_bytes:
         return PlanState(placement.create_state())
     recording = Recording(record_bytes)
@@ -106,22 +116,24 @@
 
 
 class PlanState:
-    """The policy of one rack under one term.
+    """The placement policy of one rack during one term.
 
     Attributes
     ----------
     policy : placement.PlacementState
         The policy's own state.
     step : callable
-        Advances the policy, and records it where that is wanted.
+        Advances the policy, and records the event if there is a recording.
     recording : Recording or None
-        What was recorded since the term began.
+        Recording of the events since the term began.
     pending : dict of TaskKey to AssignItem
         Placements whose record is not folded yet.
     suspects : set of str
-        Workers that the policy was told not to use.
-    reasons : dict of str to placement.HoldBack
-        For each job, why its next task waits.
+        Workers that were reported to the policy as suspect.
+    wait_reasons : dict of str to placement.HoldBack
+        For each job, why its next task is waiting.
+    workers : tuple of WorkerInfo
+        Workers that were last reported to the policy.
     """
 
     def __init__(
@@ -135,12 +147,12 @@
         self.recording = recording
         self.pending: dict[TaskKey, AssignItem] = {}
         self.suspects: set[str] = set()
-        self.reasons: dict[str, placement.HoldBack] = {}
+        self.wait_reasons: dict[str, placement.HoldBack] = {}
         self.workers: tuple[WorkerInfo, ...] = ()
 
 
-def learn_rack(plan: PlanState, domain: DomainState, rack: str, now: float) -> None:
-    """Feed the policy with all that the log says of `rack`.
+def load_rack(plan: PlanState, domain: DomainState, rack: str, now: float) -> None:
+    """Pass the state of `rack` in the log to the policy.
 
     Notes
     -----
@@ -149,7 +161,7 @@
     assigned = get_assigned(domain, rack)
     for entry in list_jobs(domain):
         if not entry.cancelled:
-            _learn_waiting(plan, entry, rack, now)
+            _add_waiting(plan, entry, rack, now)
     for task, assignment in assigned.items():
         job = domain.jobs.get(task.job)
         if job is not None:
@@ -160,9 +172,9 @@
     plan.step(plan.policy, placement.Cancelled(tuple(domain.cancelled)), now)
 
 
-def _learn_waiting(plan: PlanState, entry: JobState, rack: str, now: float) -> None:
-    fresh = entry.unattempted.get(rack)
-    for first, stop in list_ranges(fresh) if fresh else ():
+def _add_waiting(plan: PlanState, entry: JobState, rack: str, now: float) -> None:
+    unattempted = entry.unattempted.get(rack)
+    for first, stop in list_ranges(unattempted) if unattempted else ():
         waiting = placement.TasksWaiting(entry.job, first, stop, 1, now)
         plan.step(plan.policy, waiting, now)
     for number, retry in entry.retries.get(rack, {}).items():
@@ -178,7 +190,7 @@
         plan.step(plan.policy, again, now)
 
 
-def learn_record(
+def process_record(
     plan: PlanState,
     domain: DomainState,
     rack: str,
@@ -186,7 +198,7 @@
     change: FoldResult,
     now: float,
 ) -> None:
-    """Feed the policy with one record that was just folded into `domain`.
+    """Pass one record that was just folded into `domain` to the policy.
 
     Parameters
     ----------
@@ -199,33 +211,33 @@
     data : Mapping
         The record.
     change : FoldResult
-        Its verdict.
+        Result of folding the record.
     now : float
         Owner's clock in seconds.
     """
     if change.parts:
-        for part, verdict in zip(data["records"], change.parts, strict=True):
-            learn_record(plan, domain, rack, part, verdict, now)
+        for part, part_change in zip(data["records"], change.parts, strict=True):
+            process_record(plan, domain, rack, part, part_change, now)
         return
     if change.type == RecordType.ASSIGN and data.get("rack") == rack:
-        _learn_assign(plan, domain, data, change, now)
+        _process_assign(plan, domain, data, change, now)
     elif not change.applied:
         return
     elif change.type == RecordType.ACCEPT:
         entry = domain.jobs.get(data["job"]["id"])
         if entry is not None:
-            _learn_waiting(plan, entry, rack, now)
+            _add_waiting(plan, entry, rack, now)
     elif change.type == RecordType.RESULTS and data["rack"] == rack:
-        _learn_results(plan, domain, data, change, now)
+        _process_results(plan, domain, data, change, now)
     elif change.type == RecordType.CANCEL:
         plan.step(plan.policy, placement.Cancelled(tuple(data["jobs"])), now)
         for job in data["jobs"]:
-            plan.reasons.pop(job, None)
+            plan.wait_reasons.pop(job, None)
     elif change.type == RecordType.MOVE:
-        _learn_move(plan, domain, rack, data, now)
+        _process_move(plan, domain, rack, data, now)
 
 
-def _learn_assign(
+def _process_assign(
     plan: PlanState,
     domain: DomainState,
     data: Mapping[str, Any],
@@ -240,13 +252,15 @@
         del plan.pending[task]
         entry = domain.jobs.get(task.job)
         if AttemptKey(task, attempt) in void or not change.applied or entry is None:
-            _end(plan, task, attempt, worker, placement.Outcome.UNPLACED, "", now)
+            _report_end(
+                plan, task, attempt, worker, placement.Outcome.UNPLACED, "", now
+            )
         else:
             started = placement.TaskStarted(entry.job, task.number, attempt, worker)
             plan.step(plan.policy, started, now)
 
 
-def _learn_results(
+def _process_results(
     plan: PlanState,
     domain: DomainState,
     data: Mapping[str, Any],
@@ -262,10 +276,10 @@
         cancelled = entry is None or entry.cancelled
         if cancelled and outcome != placement.Outcome.DONE:
             outcome = placement.Outcome.CANCELLED
-        _end(plan, task, attempt, "", outcome, detail, now)
+        _report_end(plan, task, attempt, "", outcome, detail, now)
 
 
-def _learn_move(
+def _process_move(
     plan: PlanState,
     domain: DomainState,
     rack: str,
@@ -279,10 +293,10 @@
             plan.step(plan.policy, gone, now)
     elif data["to_rack"] == rack:
         for job in {task.job for task in tasks} & domain.jobs.keys():
-            _learn_waiting(plan, domain.jobs[job], rack, now)
+            _add_waiting(plan, domain.jobs[job], rack, now)
 
 
-def _end(
+def _report_end(
     plan: PlanState,
     task: TaskKey,
     attempt: int,
@@ -295,12 +309,12 @@
     plan.step(plan.policy, ended, now)
 
 
-def learn_workers(plan: PlanState, rack: RackState, now: float) -> None:
-    """Tell the policy which workers may take tasks, and which are in doubt."""
+def update_workers(plan: PlanState, rack: RackState, now: float) -> None:
+    """Report to the policy which workers may take tasks and which are suspect."""
     workers = tuple(
         view.info
         for view in rack.views.values()
-        if not view.gone and not view.info.leaving
+        if not view.terminated and not view.info.leaving
     )
     if workers != plan.workers:
         plan.workers = workers
@@ -314,13 +328,13 @@
 
 
 def _is_trusted(view: WorkerView) -> bool:
-    return view.fenced and view.failures < _SUSPECT_AFTER
+    return view.fenced and view.failures < _SUSPECT_FAILURES
 
 
-def learn_usage(
+def process_usage(
     plan: PlanState, view: WorkerView, usage: Iterable[Usage], now: float
 ) -> None:
-    """Feed a worker's late reports to the policy, at the times they are about."""
+    """Pass a worker's delayed usage reports to the policy, with the times measured."""
     shift = view.heard_at - view.clock_s
     for report in usage:
         event = placement.UsageReported(
@@ -335,12 +349,12 @@
 
 
 def decide(plan: PlanState, rack: RackState, now: float) -> Decision:
-    """Let the policy decide, and note what it wants of running tasks.
+    """Run one round of the policy and record its requests for running tasks.
 
     Returns
     -------
     Decision
-        What has to be written to the log.
+        Records to be appended to the log.
     """
     actions = plan.step(plan.policy, placement.Tick(), now)
     assign = tuple(
@@ -350,29 +364,31 @@
     )
     plan.pending.update({item.task: item for item in assign})
     for action in actions:
-        _note_wish(plan, rack, action)
-    known = (placement.Place, placement.HoldBack, placement.GiveUp)
+        _record_action(plan, rack, action)
+    handled = (placement.Place, placement.HoldBack, placement.GiveUp)
     return Decision(
         assign,
         tuple(a for a in actions if isinstance(a, placement.GiveUp)),
-        tuple(a for a in actions if not isinstance(a, known)),
+        tuple(a for a in actions if not isinstance(a, handled)),
     )
 
 
-def withdraw(plan: PlanState, items: Iterable[AssignItem], now: float) -> None:
-    """Let the policy place `items` anew, whose record never gets into the log.
+def withdraw_placements(
+    plan: PlanState, items: Iterable[AssignItem], now: float
+) -> None:
+    """Let the policy place `items` again, whose record was not appended to the log.
 
     Notes
     -----
-    Guards against tasks that wait for ever: in a long outage the backlog of appends is
-    full, the record is refused, and the policy goes on waiting for its verdict.
+    Guards against tasks that wait forever: in a long outage the backlog of appends is
+    full, the record is rejected, and the policy would keep waiting for its result.
     """
     for item in items:
         if plan.pending.pop(item.task, None) is not None:
-            _end(plan, *item[:3], placement.Outcome.UNPLACED, "", now)
+            _report_end(plan, *item[:3], placement.Outcome.UNPLACED, "", now)
 
 
-def _note_wish(plan: PlanState, rack: RackState, action: placement.Action) -> None:
+def _record_action(plan: PlanState, rack: RackState, action: placement.Action) -> None:
     match action:
         case placement.Throttle(task, attempt, worker, share):
             if worker in rack.views:
@@ -381,6 +397,6 @@
             if worker in rack.views:
                 rack.views[worker].evictions.add(AttemptKey(task, attempt))
         case placement.Place(task, _, _, _):
-            plan.reasons.pop(task.job, None)
+            plan.wait_reasons.pop(task.job, None)
         case placement.HoldBack(task, _, _):
-            plan.reasons[task.job] = action
+            plan.wait_reasons[task.job] = action
--- a/plantainyard/execution/rack.py
+++ b/plantainyard/execution/rack.py
@@ -1,14 +1,14 @@
-"""Runs the tasks of one rack on its workers, under one term of ownership.
+"""Execution of the tasks of one rack on its workers, under one term of ownership.
 
-`step` is the entry point. What should run is what the log assigns; what runs is
-what the workers say. The step compares the two and closes the difference: it
-starts, renews, stops and acknowledges, and reports ended attempts to the log.
+`step` is the entry point. It compares the assignments in the log (the desired state)
+with the lists that the workers report (the actual state) and reconciles them: it
+starts, renews, stops and acknowledges attempts, and reports ended ones to the log.
 """
 
 import itertools
 from collections.abc import Callable, Iterable, Mapping, Set
 
-from plantainyard.clients import Commands, WorkerAnswer
+from plantainyard.clients import Commands, WorkerResponse
 from plantainyard.state import (
     Assignment,
     DomainState,
@@ -24,10 +24,9 @@
     LeaseTerms,
     build_commands,
     keep_only_renewals,
-    note_sent,
+    record_sent_leases,
     withhold_leases,
 )
-from .ends import judge_end
 from .events import (
     Action,
     AppendResults,
@@ -40,40 +39,59 @@
     WorkerAnswered,
     WorkersListed,
 )
-from .views import AttemptKey, WorkerView, absorb_state
+from .results import find_result
+from .views import AttemptKey, WorkerView, update_view
 
-__all__ = ["RackState", "forget_reports", "step"]
+__all__ = ["RackState", "unmark_reported", "step"]
 
 _RESEND_S = 0.5
-_SILENT_AFTER = 3
+"""Longest interval in seconds between calls while a worker has requests pending."""
+
+_SILENT_FAILURES = 3
+"""Consecutive failed calls after which a worker counts as silent."""
+
 _RETRY_S = 0.5
-_MARGIN_S = 0.02
-_SHORTEST_S = 0.1
+"""Backoff in seconds that doubles with each consecutive failed call."""
+
+_END_MARGIN_S = 0.02
+"""Seconds between a task's expected end and the call that reads its result."""
+
+_MIN_END_DELAY_S = 0.1
+"""Shortest delay in seconds of a call that reads the result of a short task."""
+
 _RETRY_MAX_S = 4.0
+"""Upper bound in seconds of the backoff after failed calls."""
 
 
 class RackState:
-    """One term of one rack at its owner.
+    """State of one rack during one term of its owner.
 
     Attributes
     ----------
     rack, holder : str
-        The rack and this instance.
+        The rack, and the name of this process.
     epoch : int
-        Fence of this term.
+        Fencing token of this term.
+    terms : LeaseTerms
+        Lengths of leases and commands.
+    sync_s : float
+        Regular interval in seconds between calls to a worker.
     caretaker : bool
-        True while this instance only keeps a silent owner's work alive: it renews
-        and stops, and starts nothing.
+        Whether this instance is a caretaker, which stands in for an owner that became
+        silent while the log is out: it renews the leases of that owner's tasks, and
+        starts and stops nothing.
     views : dict
-        What is known of each worker.
+        View of each worker, by its id.
     confirmed_at : float
-        Owner's clock; a majority of the workers accepted its epoch since.
+        Latest time on the owner's clock at which a majority of the workers is known to
+        have accepted its epoch.
     has_majority : bool
-        Whether a majority ever accepted it.
+        Whether a majority has ever accepted the epoch.
     reported : set of AttemptKey
-        Attempts whose end is on its way to the log.
-    spared : frozenset of TaskKey
-        Runners of cancelled services that still have requests; not yet stopped.
+        Attempts whose result has been submitted to the log but is not folded yet.
+    draining_runners : frozenset of TaskKey
+        Runners of cancelled services that may still serve requests and are not stopped
+        yet.
     """
 
     def __init__(
@@ -95,7 +113,7 @@
         self.reported: set[AttemptKey] = set()
         self.confirmed_at = float("-inf")
         self.has_majority = False
-        self.spared: frozenset[TaskKey] = frozenset()
+        self.draining_runners: frozenset[TaskKey] = frozenset()
 
 
 def step(
@@ -108,60 +126,60 @@
     state : RackState
         Changed in place.
     domain : DomainState
-        The folded stream of the failure domain, read only. It must include the
-        record that began this term.
+        The folded stream of the failure domain, which is not changed. It must include
+        the record that began this term.
     event : Event
-        What happened.
+        The event.
     now : float
         Owner's clock in seconds.
 
     Returns
     -------
     list of Action
-        To be carried out in order.
+        Actions to be carried out in this order.
 
     Notes
     -----
     Cost: linear in the rack's workers and assigned tasks.
     """
     match event:
-        case WorkersListed(workers, gone):
-            return _take_list(state, workers, gone)
+        case WorkersListed(workers, terminated):
+            return _update_worker_list(state, workers, terminated)
         case WorkerAnswered(worker, answer, sent_at, fencing):
-            return _take_answer(state, worker, answer, sent_at, fencing, now)
+            return _process_answer(state, worker, answer, sent_at, fencing, now)
         case CallFailed(worker, _):
-            return _take_failure(state, worker, now)
+            return _record_failure(state, worker, now)
         case Tick():
-            return _close_difference(state, domain, now)
+            return _reconcile(state, domain, now)
 
 
-def forget_reports(state: RackState, items: Iterable[ResultItem]) -> None:
-    """Let ended attempts be told again, whose record never gets into the log.
+def unmark_reported(state: RackState, items: Iterable[ResultItem]) -> None:
+    """Allow results to be reported again whose record was not appended to the log.
 
     Notes
     -----
     Guards against results that are lost in a long outage of the log: the backlog of
-    appends is full and refuses them, while workers keep them until acknowledged.
+    appends is full and rejects them, while workers keep them until acknowledged.
     """
     state.reported -= {AttemptKey(item.task, item.attempt) for item in items}
 
 
-def _take_list(
-    state: RackState, workers: tuple[WorkerInfo, ...], gone: frozenset[str]
+def _update_worker_list(
+    state: RackState, workers: tuple[WorkerInfo, ...], terminated: frozenset[str]
 ) -> list[Action]:
     for info in workers:
         view = state.views.setdefault(info.id, WorkerView(info))
         view.info = info
-        view.gone = info.id in gone
-    for worker in gone & state.views.keys():
-        state.views[worker].gone = True
+        view.terminated = info.id in terminated
+    for worker in terminated & state.views.keys():
+        state.views[worker].terminated = True
     return []
 
 
-def _take_answer(
+def _process_answer(
     state: RackState,
     worker: str,
-    answer: WorkerAnswer,
+    answer: WorkerResponse,
     sent_at: float,
     fencing: bool,
     now: float,
@@ -169,37 +187,37 @@
     view = state.views.get(worker)
     if view is None:
         return []
-    view.calling = False
+    view.call_in_flight = False
     view.failures = 0
-    absorb_state(view, answer.state, now)
-    fence = (answer.state.epoch, answer.state.holder)
+    update_view(view, answer.state, now)
+    worker_fence = (answer.state.epoch, answer.state.holder)
     if answer.accepted and fencing:
         view.fenced = True
         view.accepted_at = sent_at
         return [Fenced(worker, sent_at)]
     if answer.state.epoch > state.epoch or (
-        fence[0] == state.epoch and fence[1] != state.holder
+        worker_fence[0] == state.epoch and worker_fence[1] != state.holder
     ):
         view.fenced = False
-        return [Superseded(worker, *fence)]
+        return [Superseded(worker, *worker_fence)]
     return []
 
 
-def _take_failure(state: RackState, worker: str, now: float) -> list[Action]:
+def _record_failure(state: RackState, worker: str, now: float) -> list[Action]:
     view = state.views.get(worker)
     if view is None:
         return []
-    view.calling = False
+    view.call_in_flight = False
     view.failures += 1
     view.next_call_at = now + min(_RETRY_S * 2**view.failures, _RETRY_MAX_S)
     return []
 
 
-def _close_difference(
-    state: RackState, domain: DomainState, now: float
-) -> list[Action]:
+def _reconcile(state: RackState, domain: DomainState, now: float) -> list[Action]:
     assigned = get_assigned(domain, state.rack)
-    cancelled = frozenset(list_cancelled_running(domain, state.rack)) - state.spared
+    cancelled = (
+        frozenset(list_cancelled_running(domain, state.rack)) - state.draining_runners
+    )
     by_worker = _group_by_worker(assigned)
 
     def find_job(job: str) -> Job | None:
@@ -238,15 +256,15 @@
 ) -> list[Action]:
     open_keys = {AttemptKey(task, a.attempt): a for task, a in assigned.items()}
     state.reported &= open_keys.keys()
-    for known in state.views.values():
-        _prune_view(known, open_keys.keys())
+    for worker_view in state.views.values():
+        _prune_view(worker_view, open_keys.keys())
     items = [
         item
         for key, assignment in open_keys.items()
         if key not in state.reported
         and (view := state.views.get(assignment.worker)) is not None
         and (
-            item := judge_end(
+            item := find_result(
                 view, key, assignment, state.confirmed_at, state.terms.drift
             )
         )
@@ -257,9 +275,9 @@
 
 
 def _prune_view(view: WorkerView, open_keys: Set[AttemptKey]) -> None:
-    view.seen &= open_keys
+    view.seen_attempts &= open_keys
     view.evictions &= open_keys
-    view.untils = {k: v for k, v in view.untils.items() if k in open_keys}
+    view.lease_ends = {k: v for k, v in view.lease_ends.items() if k in open_keys}
     view.throttles = {k: v for k, v in view.throttles.items() if k in open_keys}
 
 
@@ -268,21 +286,21 @@
     view: WorkerView,
     assigned: Mapping[TaskKey, Assignment],
     cancelled: frozenset[TaskKey],
-    look_up: Callable[[str], Job | None],
+    find_job: Callable[[str], Job | None],
     now: float,
 ) -> Call | None:
-    if view.calling or view.gone:
+    if view.call_in_flight or view.terminated:
         return None
     if view.failures and now < view.next_call_at:
         return None
-    if not view.known:
-        view.calling = True
+    if not view.has_answered:
+        view.call_in_flight = True
         return Call(view.info.id, view.info.address, None)
     commands = build_commands(
         view,
         assigned,
         cancelled,
-        look_up,
+        find_job,
         state.epoch,
         state.holder,
         state.terms,
@@ -291,39 +309,42 @@
     if state.caretaker:
         commands = keep_only_renewals(commands)
     if state.caretaker and not state.has_majority:
-        # The owner may still be accepted elsewhere and count a lease as over.
+        # Other workers may still accept the owner, which may consider a lease expired.
         commands = withhold_leases(commands)
-    if view.failures >= _SILENT_AFTER:
+    if view.failures >= _SILENT_FAILURES:
         commands = withhold_leases(commands)
-    work = _summarize_work(commands)
-    is_new = bool(work) and work != view.last_work
-    if not is_new and view.fenced and now < _pick_next_call(state, view, work):
+    changes = _summarize_changes(commands)
+    is_new = bool(changes) and changes != view.last_changes
+    if not is_new and view.fenced and now < _find_next_call_time(state, view, changes):
         return None
-    view.calling = True
-    view.last_work = work
+    view.call_in_flight = True
+    view.last_changes = changes
     view.called_at = now
-    view.expects_at = _expect_end(commands, now)
-    note_sent(view, commands)
+    view.expected_end_at = _estimate_first_end(commands, now)
+    record_sent_leases(view, commands)
     return Call(view.info.id, view.info.address, commands)
 
 
-def _pick_next_call(
-    state: RackState, view: WorkerView, work: frozenset[object]
+def _find_next_call_time(
+    state: RackState, view: WorkerView, changes: frozenset[object]
 ) -> float:
-    pause_s = min(_RESEND_S, state.sync_s) if work else state.sync_s
-    return min(view.called_at + pause_s, view.expects_at)
+    pause_s = min(_RESEND_S, state.sync_s) if changes else state.sync_s
+    return min(view.called_at + pause_s, view.expected_end_at)
 
 
-def _expect_end(commands: Commands, now: float) -> float:
+def _estimate_first_end(commands: Commands, now: float) -> float:
     """Return when the first of the tasks just started should have ended.
 
-    A rack of short tasks would otherwise stand idle until the next regular call.
+    The worker is called again at that time: a rack of short tasks would otherwise be
+    idle until the next regular call.
     """
     runs = [s.run_s for s in commands.start if not s.latency_critical]
-    return now + max(min(runs) + _MARGIN_S, _SHORTEST_S) if runs else float("inf")
+    return (
+        now + max(min(runs) + _END_MARGIN_S, _MIN_END_DELAY_S) if runs else float("inf")
+    )
 
 
-def _summarize_work(commands: Commands) -> frozenset[object]:
+def _summarize_changes(commands: Commands) -> frozenset[object]:
     return frozenset(
         itertools.chain(
             (("start", s.task, s.attempt) for s in commands.start),
--- a/plantainyard/gateway/__init__.py
+++ b/plantainyard/gateway/__init__.py
@@ -1,26 +1,26 @@
-"""The callers' side of an instance: its HTTP server and the actor behind it."""
+"""The gateway of an instance: the HTTP server for callers and its actor."""
 
 from plantainyard.gateway.actor import (
     Gateway,
     describe_gateway,
     drain_gateway,
     is_alive,
-    read_room,
+    post_event,
+    read_free_credits,
     run_gateway,
-    tell_event,
 )
-from plantainyard.gateway.peers import ask_owner, call_peer
+from plantainyard.gateway.peers import call_peer, send_credit_request
 from plantainyard.gateway.server import serve_gateway
 
 __all__ = [
     "Gateway",
-    "ask_owner",
     "call_peer",
     "describe_gateway",
     "drain_gateway",
     "is_alive",
-    "read_room",
+    "post_event",
+    "read_free_credits",
     "run_gateway",
+    "send_credit_request",
     "serve_gateway",
-    "tell_event",
 ]
--- a/plantainyard/node/__init__.py
+++ b/plantainyard/node/__init__.py
@@ -1,4 +1,8 @@
-"""The actors and threads of one process, around the deciding modules."""
+"""The actors and threads of one process.
+
+They carry out the actions of the modules that decide: membership, placement, execution,
+routing and state.
+"""
 
 from .configuration import (
     CONFIG_STREAM,
@@ -12,19 +16,19 @@
 from .lending import DumpLenders, LenderActor, RackAuthority, RackRunners
 from .messages import (
     ConfigChanged,
-    ConfigKnown,
+    ConfigConfirmed,
     InstancesListed,
-    PeersHeard,
+    LivePeers,
     Query,
-    RackReply,
     Stop,
     SubmitRecord,
     Tick,
+    WorkerReply,
 )
-from .peer_calls import HeartbeatHeard
+from .peer_calls import HeartbeatReceived
 from .peers import PeersActor, PeerView, read_peers
 from .racks import DomainNode
-from .reports import count_epochs, dump_domain, find_untils, list_racks
+from .reports import dump_domain, find_authority_ends, list_epochs, list_racks
 from .streams import StreamEvent, StreamIO, StreamRole, StreamState
 from .threads import run_every, run_forever
 from .workers import WorkerCaller, start_call
@@ -33,20 +37,20 @@
     "CONFIG_STREAM",
     "ConfigActor",
     "ConfigChanged",
-    "ConfigKnown",
+    "ConfigConfirmed",
     "ConfigView",
     "DomainActor",
     "DomainNode",
     "DumpLenders",
-    "HeartbeatHeard",
+    "HeartbeatReceived",
     "InstancesListed",
     "LenderActor",
     "PeerView",
     "PeersActor",
-    "PeersHeard",
+    "LivePeers",
     "Query",
     "RackAuthority",
-    "RackReply",
+    "WorkerReply",
     "RackRunners",
     "ReadConfig",
     "Stop",
@@ -58,9 +62,9 @@
     "Tick",
     "WorkerCaller",
     "build_peer_app",
-    "count_epochs",
+    "list_epochs",
     "dump_domain",
-    "find_untils",
+    "find_authority_ends",
     "knows_newest",
     "list_racks",
     "name_stream",
--- a/plantainyard/node/streams.py
+++ b/plantainyard/node/streams.py
@@ -1,7 +1,7 @@
-"""Reading and appending of one stream, at the actor that folds it.
+"""Reads and appends of one stream, on behalf of the actor that folds it.
 
-The deciding modules of `plantainyard.state` say what to read and append; here the
-calls are made on other threads and come back to the actor as messages.
+`plantainyard.state` decides what to read and append. This module makes the calls on
+other threads and sends their results to the actor as messages.
 """
 
 import logging
@@ -14,7 +14,7 @@
 from result import Err
 
 from plantainyard import state as log_state
-from plantainyard.clients import LogClient, append, read
+from plantainyard.clients import LogClient, append_record, read_records
 from plantainyard.clock import read_clock
 from plantainyard.errors import ErrorKind, describe_error
 from plantainyard.protocol import RecordsAnswer, RelayedRecord
@@ -24,45 +24,48 @@
     "StreamIO",
     "StreamRole",
     "StreamState",
-    "handle_stream",
+    "handle_stream_event",
     "submit_record",
-    "take_role",
+    "set_role",
     "tick_stream",
     "write_due_snapshot",
 ]
 
-_SLOW_S = 4.0
+_RELAYED_READ_PAUSE_S = 4.0
+"""Pause in seconds between reads of the log by an instance that a relay serves."""
+
 _WAKE_S = 0.1
+"""Delay in seconds after which the appender checks its backlog again."""
 
 _logger = logging.getLogger(__name__)
 
 
 class StreamEvent(NamedTuple):
-    """What came back from the log for one stream; `asked_at` is when it was asked."""
+    """The result of a call to the log for one stream, requested at `requested_at`."""
 
     stream: str
     event: log_state.ReadEvent | log_state.AppendEvent
-    asked_at: float
+    requested_at: float
 
 
 class StreamRole(NamedTuple):
-    """Part of an instance in the reading of a stream.
+    """Role of an instance in the distribution of a stream's records.
 
     Attributes
     ----------
-    reads : bool
-        Whether it reads the log as records appear; if not, a relay hands them on and
-        the log is only asked now and then.
+    reads_log : bool
+        Whether the instance reads the log as records appear. If not, a relay passes
+        them on and the instance reads the log only occasionally.
     targets : tuple of str
-        Control URLs of the instances to which it hands new records on.
+        Control URLs of the instances to which it passes on new records.
     """
 
-    reads: bool = True
+    reads_log: bool = True
     targets: tuple[str, ...] = ()
 
 
 class StreamIO(NamedTuple):
-    """How one stream is reached.
+    """Resources for reading, appending to and relaying one stream.
 
     Attributes
     ----------
@@ -71,22 +74,22 @@
     executor : Executor
         Threads on which calls wait.
     deliver : callable
-        Hands a `StreamEvent` to the folding actor.
-    hand_on : callable
+        Sends a `StreamEvent` to the actor that folds the stream.
+    relay_records : callable
         Sends records to the instance at a control URL, without waiting.
     wait_s : float
-        How long a read at the end of the stream waits for a record.
+        Seconds for which a read at the end of the stream waits for a record.
     """
 
     log: LogClient
     executor: Executor
     deliver: Callable[[StreamEvent], object]
-    hand_on: Callable[[str, RecordsAnswer], object]
+    relay_records: Callable[[str, RecordsAnswer], object]
     wait_s: float
 
 
 class StreamState:
-    """One stream as its folding actor keeps it.
+    """State of one stream, kept by the actor that folds it.
 
     Attributes
     ----------
@@ -94,15 +97,17 @@
         Name of the stream.
     fold, restore, encode : callable
         Fold a record into the actor's state, replace that state by a snapshot, and
-        encode it for one.
+        encode it for a snapshot.
     role : StreamRole
-        Whether it is read from the log, and who is told.
-    folded : list of LogRecord
-        Records folded in the present step, to be handed on.
-    waking : bool
-        Whether a wake-up for the backlog is under way.
-    waiters : dict
-        For each submission's key, who is told what became of it.
+        Whether this instance reads the log, and to which instances it relays records.
+    to_relay : list of LogRecord
+        Records folded in the present step, to be passed on.
+    wake_pending : bool
+        Whether a wake-up for the backlog is scheduled.
+    callbacks : dict
+        For each submission's key, the function that is called with its reports.
+    appends : int
+        Number of append calls so far.
     """
 
     def __init__(
@@ -124,17 +129,17 @@
         self.appender = log_state.AppenderState(
             log_state.AppenderSettings(), writer, rng
         )
-        self.watch = log_state.SnapshotSchedule(snapshot_settings, rng)
+        self.snapshot_schedule = log_state.SnapshotSchedule(snapshot_settings, rng)
         self.snapshot_type = reader_settings.snapshot_type
-        self.waiters: dict[str, Callable[[log_state.AppendReport], None]] = {}
+        self.callbacks: dict[str, Callable[[log_state.AppendReport], None]] = {}
         self.appends = 0
-        self.waking = False
+        self.wake_pending = False
         self.role = StreamRole()
-        self.folded: list[log_state.LogRecord] = []
+        self.to_relay: list[log_state.LogRecord] = []
 
 
 def tick_stream(stream: StreamState, io: StreamIO, now: float) -> None:
-    """Let reading, appending and snapshots go on."""
+    """Start the reads, appends and snapshots that are due."""
     _act_on_read(
         stream, io, log_state.step_reader(stream.reader, log_state.ReadTick(), now), now
     )
@@ -142,51 +147,53 @@
     write_due_snapshot(stream, io, now)
 
 
-def handle_stream(
+def handle_stream_event(
     stream: StreamState, io: StreamIO, message: StreamEvent, now: float
 ) -> None:
-    """Take in what came back from the log."""
+    """Process the result of a call to the log, or records from a relay."""
     event = message.event
     if isinstance(event, log_state.Relayed):
         _act_on_read(stream, io, log_state.step_reader(stream.reader, event, now), now)
-        _hurry_when_behind(stream)
+        _read_soon_if_behind(stream)
         tick_stream(stream, io, now)
-        _hand_on(stream, io)
+        _relay_records(stream, io)
         return
     if isinstance(event, log_state.Fetched | log_state.FetchFailed):
-        # The end of the stream was read at some time after the asking; counting from
-        # the asking keeps the age of the knowledge an upper bound.
-        at = message.asked_at if isinstance(event, log_state.Fetched) else now
+        # The end of the stream was read some time after the request. Counting from the
+        # request keeps the staleness an upper bound.
+        at = message.requested_at if isinstance(event, log_state.Fetched) else now
         actions = log_state.step_reader(stream.reader, event, at)
         _act_on_read(stream, io, actions, now)
         _advance_appender(stream, io, log_state.AppendTick(), now)
-        _hand_on(stream, io)
+        _relay_records(stream, io)
         return
-    stream.waking = stream.waking and not isinstance(event, log_state.AppendTick)
+    stream.wake_pending = stream.wake_pending and not isinstance(
+        event, log_state.AppendTick
+    )
     _advance_appender(stream, io, event, now)  # type: ignore[arg-type]
 
 
-def take_role(stream: StreamState, role: StreamRole) -> None:
-    """Read the log as records appear, or leave that to a relay."""
-    if role.reads != stream.role.reads:
-        pause_s = 0.0 if role.reads else _SLOW_S
+def set_role(stream: StreamState, role: StreamRole) -> None:
+    """Start reading the log as records appear, or leave that to a relay."""
+    if role.reads_log != stream.role.reads_log:
+        pause_s = 0.0 if role.reads_log else _RELAYED_READ_PAUSE_S
         stream.reader.settings = stream.reader.settings._replace(pause_s=pause_s)
         stream.reader.fetch_at = float("-inf")
     stream.role = role
 
 
-def _hurry_when_behind(stream: StreamState) -> None:
-    """Ask the log at once where a relay's records left a gap.
+def _read_soon_if_behind(stream: StreamState) -> None:
+    """Schedule a read of the log at once if a relay's records left a gap.
 
-    A hand-on that was lost would otherwise leave this instance behind until the next
-    slow question.
+    After a lost message from the relay, this instance would otherwise stay behind until
+    its next occasional read.
     """
     if not log_state.is_current(stream.reader):
         stream.reader.fetch_at = float("-inf")
 
 
-def _hand_on(stream: StreamState, io: StreamIO) -> None:
-    records, stream.folded = stream.folded, []
+def _relay_records(stream: StreamState, io: StreamIO) -> None:
+    records, stream.to_relay = stream.to_relay, []
     if not records or not stream.role.targets:
         return
     message = RecordsAnswer(
@@ -196,7 +203,7 @@
         tuple(RelayedRecord(*record) for record in records),
     )
     for target in stream.role.targets:
-        io.hand_on(target, message)
+        io.relay_records(target, message)
 
 
 def submit_record(
@@ -206,19 +213,19 @@
     on_report: Callable[[log_state.AppendReport], None],
     now: float,
 ) -> None:
-    """Append a record and have `on_report` told what became of it."""
-    stream.waiters[submit.key] = on_report
+    """Append a record; `on_report` is called with each report of its status."""
+    stream.callbacks[submit.key] = on_report
     _advance_appender(stream, io, submit, now)
 
 
 def write_due_snapshot(stream: StreamState, io: StreamIO, now: float) -> None:
-    """Write a snapshot where one is due and this instance is current."""
+    """Append a snapshot if one is due and this instance is current."""
     covers = stream.reader.next_offset - 1
     if covers < 0 or not log_state.is_current(stream.reader):
         return
-    if not log_state.is_snapshot_due(stream.watch, covers + 1, now):
+    if not log_state.is_snapshot_due(stream.snapshot_schedule, covers + 1, now):
         return
-    log_state.record_snapshot_attempt(stream.watch, now)
+    log_state.record_snapshot_attempt(stream.snapshot_schedule, now)
     record = log_state.make_snapshot(covers, stream.encode(), stream.snapshot_type)
     _advance_appender(stream, io, log_state.Submit(record, "snapshot"), now)
 
@@ -250,7 +257,7 @@
                     extra={"step": "log.read", "peer": stream.name},
                 )
             case log_state.Fetch():
-                wait_s = io.wait_s if stream.role.reads else 0.0
+                wait_s = io.wait_s if stream.role.reads_log else 0.0
                 io.executor.submit(_fetch, stream.name, io, action, wait_s)
 
 
@@ -258,12 +265,12 @@
     stream: StreamState, io: StreamIO, record: log_state.LogRecord, now: float
 ) -> None:
     change = stream.fold(record)
-    stream.folded.append(record)
+    stream.to_relay.append(record)
     if change.type == stream.snapshot_type:
         covers = int(record.data.get("covers", -1))
-        log_state.observe_snapshot(stream.watch, covers, record.time_s, now)
+        log_state.observe_snapshot(stream.snapshot_schedule, covers, record.time_s, now)
     else:
-        log_state.observe_record(stream.watch, record.time_s, now)
+        log_state.observe_record(stream.snapshot_schedule, record.time_s, now)
     _advance_appender(
         stream, io, log_state.RecordRead(record.offset, record.data, change), now
     )
@@ -274,7 +281,7 @@
 ) -> None:
     stream.restore(record)
     log_state.observe_snapshot(
-        stream.watch, int(record.data["covers"]), record.time_s, now
+        stream.snapshot_schedule, int(record.data["covers"]), record.time_s, now
     )
     _advance_appender(
         stream, io, log_state.RecordsSkipped(int(record.data["covers"]) + 1), now
@@ -294,10 +301,10 @@
 
 
 def _wake_for_backlog(stream: StreamState, io: StreamIO) -> None:
-    """Come back when the pace allows the next append, without waiting for a tick."""
-    if stream.waking or not log_state.count_backlog(stream.appender):
+    """Schedule an event that appends from the backlog before the next tick."""
+    if stream.wake_pending or not log_state.count_backlog(stream.appender):
         return
-    stream.waking = True
+    stream.wake_pending = True
     io.executor.submit(_wake, stream.name, io)
 
 
@@ -307,17 +314,17 @@
 
 
 def _report(stream: StreamState, report: log_state.AppendReport) -> None:
-    waiter = stream.waiters.get(report.key)
-    if waiter is None:
+    on_report = stream.callbacks.get(report.key)
+    if on_report is None:
         return
     if report.status != log_state.AppendStatus.UNKNOWN:
-        del stream.waiters[report.key]
-    waiter(report)
+        del stream.callbacks[report.key]
+    on_report(report)
 
 
 def _fetch(name: str, io: StreamIO, action: log_state.Fetch, wait_s: float) -> None:
-    asked_at = read_clock()
-    answer = read(io.log, name, action.offset, action.limit, wait_s)
+    requested_at = read_clock()
+    answer = read_records(io.log, name, action.offset, action.limit, wait_s)
     event: log_state.ReadEvent
     if isinstance(answer, Err):
         error = answer.err_value
@@ -327,12 +334,12 @@
         page = answer.ok_value
         records = [log_state.LogRecord(*record) for record in page.records]
         event = log_state.Fetched(page.first, page.next, records)
-    io.deliver(StreamEvent(name, event, asked_at))
+    io.deliver(StreamEvent(name, event, requested_at))
 
 
 def _append(name: str, io: StreamIO, record: dict[str, Any]) -> None:
-    asked_at = read_clock()
-    answer = append(io.log, name, record)
+    requested_at = read_clock()
+    answer = append_record(io.log, name, record)
     event: log_state.AppendEvent
     if not isinstance(answer, Err):
         event = log_state.AppendSucceeded(answer.ok_value)
@@ -340,4 +347,4 @@
         event = log_state.AppendRefused(answer.err_value.retry_after_s)
     else:
         event = log_state.AppendUnconfirmed()
-    io.deliver(StreamEvent(name, event, asked_at))
+    io.deliver(StreamEvent(name, event, requested_at))
--- a/plantainyard/node/tests/world.py
+++ b/plantainyard/node/tests/world.py
@@ -1,7 +1,7 @@
-"""A failure domain for tests: log, workers and instances, all without threads.
+"""A simulated failure domain: log, workers and instances, all without threads.
 
-Calls to the log and to workers are kept and carried out, held back or lost as the test
-wants.
+Calls to the log and to workers are queued, and carried out, delayed or lost as the test
+specifies.
 """
 
 import itertools
@@ -15,7 +15,7 @@
     Instance,
     InstanceKind,
     InstanceState,
-    WorkerAnswer,
+    WorkerResponse,
 )
 from plantainyard.clients.worker import encode_commands, parse_state
 from plantainyard.errors import CallError, ErrorKind
@@ -23,7 +23,7 @@
 from plantainyard.membership import has_authority
 from plantainyard.node import domain as node_domain
 from plantainyard.node.domain import DomainActor
-from plantainyard.node.messages import ConfigKnown, InstancesListed, PeersHeard
+from plantainyard.node.messages import ConfigConfirmed, InstancesListed, LivePeers
 from plantainyard.node.messages import Tick as TickMessage
 from plantainyard.node.streams import StreamEvent, StreamIO
 from plantainyard.settings import Settings
@@ -58,7 +58,7 @@
 
 
 class Process:
-    """One start of an instance, and its messages under way."""
+    """One start of an instance, with its queued calls and messages."""
 
     def __init__(self, world: "World", instance: str, start: int) -> None:
         self.name = f"{instance}.{start}"
@@ -84,7 +84,7 @@
         self.tell(InstancesListed(tuple(map(_list_worker, WORKERS))))
 
     def submit(self, *call: Any) -> None:
-        """Keep a call that the actor hands to its executor."""
+        """Queue a call that the actor submits to its executor."""
         self.calls.append(call[1:])
 
     def tell(self, message: Any) -> None:
@@ -105,7 +105,7 @@
 
 
 class World:
-    """The platform and the instances, on one clock."""
+    """The platform and the instances, with one simulated clock."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -137,21 +137,21 @@
             for process in self.processes:
                 if process.paused:
                     continue
-                process.tell(ConfigKnown(self.now))
-                process.tell(PeersHeard(*self.list_live(process)))
+                process.tell(ConfigConfirmed(self.now))
+                process.tell(LivePeers(*self.list_live(process)))
                 process.tell(TickMessage())
                 for _ in range(3):
                     self.carry_out(process)
             self.check()
 
     def list_live(self, process: Process) -> tuple[frozenset[str], frozenset[str]]:
-        heard = [
+        heartbeats = [
             p
             for p in self.processes
             if not (p.paused or p.cut_peers or process.cut_peers)
         ]
-        draining = frozenset(p.name for p in heard if p.actor.node.stopping)
-        live = frozenset(p.name for p in heard) - draining | {process.name}
+        draining = frozenset(p.name for p in heartbeats if p.actor.node.stopping)
+        live = frozenset(p.name for p in heartbeats) - draining | {process.name}
         return live, draining - {process.name}
 
     def carry_out(self, process: Process) -> None:
@@ -188,7 +188,7 @@
             )
             return
         if self.lose():
-            # Half of the lost ones reach the log, some of them much later.
+            # Two thirds of the unconfirmed records reach the log, half of those later.
             late = self.rng.choice([None, self.held.append, lambda put: put()])
             if late is not None:
                 late(lambda: self.write(wire))
@@ -223,13 +223,13 @@
             error = CallError(ErrorKind.UNREACHABLE, "", "")
             deliver(CallFailed(call.worker, error))
         elif call.worker in self.frozen:
-            # The request sits in the frozen worker's socket; the caller gave up.
+            # The request waits in the frozen worker's socket; the caller timed out.
             self.held.append(lambda: self.ask(call) and None)
             deliver(CallFailed(call.worker, CallError(ErrorKind.LOST, "", "")))
         else:
             reach()
 
-    def ask(self, call: Any) -> WorkerAnswer:
+    def ask(self, call: Any) -> WorkerResponse:
         machine = self.machines[call.worker]
         status, refused = 200, list[Any]()
         if call.commands is None:
@@ -238,7 +238,7 @@
             wire = json.loads(json.dumps(encode_commands(call.commands)))
             status, refused = apply_commands(machine, wire, self.now)
         body = json.loads(json.dumps(describe_machine(machine, refused, self.now)))
-        return WorkerAnswer(status == 200, status == 410, parse_state(body))
+        return WorkerResponse(status == 200, status == 410, parse_state(body))
 
     def deliver_held(self) -> None:
         held, self.held = self.held, []
@@ -255,7 +255,7 @@
     def check(self) -> None:
         for machine in self.machines.values():
             advance_machine(machine, self.now)
-            assert not machine.overcommitted, "a worker got more than it can hold"
+            assert not machine.overcommitted, "a worker exceeds its capacity"
         owners = [
             process.name
             for process in self.processes
@@ -264,11 +264,11 @@
         ]
         assert len(owners) <= 1, f"two instances hold authority: {owners}"
         running = [key[0] for m in self.machines.values() for key in m.running]
-        assert len(running) == len(set(running)), f"in two places: {running}"
+        assert len(running) == len(set(running)), f"task runs in two places: {running}"
         resumed = [run.checkpoint for run in self.list_runs() if run.checkpoint]
         assert len(resumed) == len(set(resumed)), "a checkpoint was resumed twice"
-        # What finished at a worker that was cut off may be run again, for nobody can
-        # know that it did; nothing else may.
+        # Only a task that finished on a worker that was cut off may run again, because
+        # the owner can't know that it finished.
         lapsed = self.lapsed
         done = [r.task for r in self.list_runs() if r.outcome == "done"]
         once = [task for task in done if task not in lapsed]
--- a/plantainyard/node/workers.py
+++ b/plantainyard/node/workers.py
@@ -1,6 +1,6 @@
-"""Calls to workers, made outside the deciding actor.
+"""Calls to workers, made outside the actor that decides.
 
-A worker may be slow or frozen; its calls run on a pool of threads and come back to
+A worker may be slow or frozen. Calls run on a thread pool and their results are sent to
 the actor as messages, so that no decision waits for a worker.
 """
 
@@ -12,7 +12,7 @@
 from result import Err, Result
 
 from plantainyard.clients import (
-    WorkerAnswer,
+    WorkerResponse,
     build_worker_client,
     read_state,
     send_commands,
@@ -25,7 +25,7 @@
 
 
 class WorkerCaller(NamedTuple):
-    """What a call to a worker needs.
+    """Resources for calls to workers.
 
     Attributes
     ----------
@@ -47,7 +47,7 @@
     call: Call,
     deliver: Callable[[WorkerAnswered | CallFailed], object],
 ) -> None:
-    """Make `call` on another thread and hand what comes back to `deliver`."""
+    """Make `call` on another thread and pass its result to `deliver`."""
     caller.executor.submit(_make_call, caller, call, deliver)
 
 
@@ -65,8 +65,8 @@
     deliver(WorkerAnswered(call.worker, answer.ok_value, sent_at, fencing))
 
 
-def _ask_worker(caller: WorkerCaller, call: Call) -> Result[WorkerAnswer, CallError]:
+def _ask_worker(caller: WorkerCaller, call: Call) -> Result[WorkerResponse, CallError]:
     client = build_worker_client(call.address, caller.pool, caller.timeout_s)
     if call.commands is None:
-        return read_state(client).map(lambda state: WorkerAnswer(True, False, state))
+        return read_state(client).map(lambda state: WorkerResponse(True, False, state))
     return send_commands(client, call.commands)
--- a/plantainyard/operators/configurations.py
+++ b/plantainyard/operators/configurations.py
@@ -1,4 +1,4 @@
-"""Calls about the configuration."""
+"""Handlers of calls that read or change the configuration."""
 
 from itertools import islice
 from typing import Any
@@ -17,7 +17,7 @@
 
 from .node import (
     Node,
-    explain_report,
+    build_append_error,
     list_peers,
     read_config,
     submit_and_wait,
@@ -31,25 +31,30 @@
     "get_configuration_status",
 ]
 
-_DEFAULT_HISTORY = 50
+_DEFAULT_HISTORY_LIMIT = 50
 
 
 def apply_configuration(
     node: Node, request: schema.ApplyConfigurationRequest
 ) -> Result[schema.ApplyConfigurationResponse, ApiError]:
-    """Change the configuration on top of the version that the operator read."""
+    """Append a configuration change that builds on the request's base version.
+
+    A dry run only checks that no key was changed after the base version.
+    """
     view = read_config(node)
     changes = read_changes(request)
     shown = [
         schema.ConfigurationChange(
-            key=key, before=_write_optional(view.values.get(key)), after=write_value(v)
+            key=key,
+            before=_write_optional_value(view.values.get(key)),
+            after=write_value(v),
         )
         for key, v in sorted(changes.items())
     ]
     if request.dry_run:
         newer = [view.versions.get(key, -1) for key in changes]
         if max(newer, default=-1) > request.base_version:
-            return Err(_conflict(max(newer)))
+            return Err(_build_conflict_error(max(newer)))
         return Ok(
             schema.ApplyConfigurationResponse(
                 version=request.base_version, changes=shown
@@ -74,17 +79,21 @@
 ) -> Result[int, ApiError]:
     record = log_state.make_config(request_id, base, changes)
     report = submit_and_wait(node.config, record)
-    error = explain_report(report)
+    error = build_append_error(report)
     return Ok(report.offset) if error is None else Err(error)
 
 
-def _conflict(version: int) -> ApiError:
+def _build_conflict_error(version: int) -> ApiError:
     return ApiError(
-        ErrorCode.CONFLICT, "a key was changed since", "base_version", 0.0, version
+        ErrorCode.CONFLICT,
+        "a key was changed since",
+        "base_version",
+        0.0,
+        version,
     )
 
 
-def _write_optional(value: Any) -> Value | None:
+def _write_optional_value(value: Any) -> Value | None:
     return None if value is None else write_value(value)
 
 
@@ -96,7 +105,7 @@
 def get_configuration(
     node: Node, request: schema.GetConfigurationRequest
 ) -> Result[schema.GetConfigurationResponse, ApiError]:
-    """Return the values in force here."""
+    """Return the values in force on this instance whose keys have the prefix."""
     view = read_config(node)
     response = schema.GetConfigurationResponse(version=view.version, age_s=view.age_s)
     for key, value in view.values.items():
@@ -108,7 +117,7 @@
 def get_configuration_history(
     node: Node, request: schema.GetConfigurationHistoryRequest
 ) -> Result[schema.GetConfigurationHistoryResponse, ApiError]:
-    """Return accepted changes, newest first."""
+    """Return accepted changes, newest first, up to the requested limit."""
     view = read_config(node)
     has_bound = request.HasField("before_version")
     older = [
@@ -116,7 +125,7 @@
         for entry in reversed(view.history)
         if not has_bound or entry.version < request.before_version
     ]
-    limit = request.limit or _DEFAULT_HISTORY
+    limit = request.limit or _DEFAULT_HISTORY_LIMIT
     changes = [_write_entry(entry) for entry in islice(older, limit)]
     return Ok(
         schema.GetConfigurationHistoryResponse(changes=changes, more=len(older) > limit)
@@ -133,9 +142,9 @@
 def get_configuration_status(
     node: Node, request: schema.GetConfigurationStatusRequest
 ) -> Result[schema.GetConfigurationStatusResponse, ApiError]:
-    """Tell where each instance stands, by its newest report."""
+    """Return the configuration version of each instance, from its latest heartbeat."""
     view = read_config(node)
-    instances = [_write_own(node, view), *_write_peers(node)]
+    instances = [_write_own_status(node, view), *_write_peers(node)]
     newest = max(instance.version for instance in instances)
     return Ok(
         schema.GetConfigurationStatusResponse(
@@ -144,7 +153,7 @@
     )
 
 
-def _write_own(node: Node, view: ConfigView) -> schema.InstanceConfiguration:
+def _write_own_status(node: Node, view: ConfigView) -> schema.InstanceConfiguration:
     instance = node.settings.instance
     return schema.InstanceConfiguration(
         instance=instance.id,
@@ -173,7 +182,7 @@
 def drain(
     node: Node, request: schema.DrainRequest
 ) -> Result[schema.DrainResponse, ApiError]:
-    """Empty an instance or a worker ahead of a planned stop, or take it back."""
+    """Start or undo the draining of an instance or a worker, by configuration."""
     if request.WhichOneof("target") == "instance":
         key = build_instance_draining_key(request.instance)
     else:
--- a/plantainyard/operators/node.py
+++ b/plantainyard/operators/node.py
@@ -1,4 +1,4 @@
-"""What the handlers of operators' calls reach in their process."""
+"""Access of the handlers of operators' calls to the actors and peers of a process."""
 
 import concurrent.futures
 import uuid
@@ -37,9 +37,9 @@
 __all__ = [
     "Node",
     "ask_actor",
-    "call_operator",
-    "explain_report",
-    "explain_silence",
+    "forward_call",
+    "build_append_error",
+    "build_unreachable_error",
     "find_peer",
     "list_instances",
     "list_peers",
@@ -49,11 +49,11 @@
     "submit_and_wait",
 ]
 
-_QUERY_S = 5.0
-_SETTLE_S = 5.0
-_GIVE_UP_S = 8.0
-_RETRY_S = 2.0
-_OK = 200
+_QUERY_TIMEOUT_S = 5.0
+_APPEND_TIMEOUT_S = 5.0
+_REPORT_TIMEOUT_S = 8.0
+_RETRY_AFTER_S = 2.0
+_STATUS_OK = 200
 
 
 class Node(NamedTuple):
@@ -66,15 +66,16 @@
     name : str
         Name of this process in claims.
     domain, config, peers, lender : pykka.ActorRef
-        The actors.
+        Actors of the domain's stream, the configuration, the peers and the lending of
+        slots.
     gateway : Gateway
-        The callers' side.
+        Serves callers' requests.
     pool : urllib3.PoolManager
-        Shared connections.
+        Shared connection pool.
     meter : Meter
-        Metrics.
+        Records metrics.
     started_at : float
-        Clock at the start.
+        Reading of `read_clock` when the process started, in seconds.
     """
 
     settings: Settings
@@ -90,84 +91,87 @@
 
 
 def ask_actor(ref: pykka.ActorRef[Any], message: Any) -> Any:
-    """Return an actor's answer to `message`."""
-    return ref.ask(message, timeout=_QUERY_S)
+    """Return an actor's reply to `message`."""
+    return ref.ask(message, timeout=_QUERY_TIMEOUT_S)
 
 
 def query(ref: pykka.ActorRef[Any], read: Any) -> Any:
-    """Run `read` on an actor's state and return its plain values."""
+    """Return the result of `read`, called in an actor with the actor and its clock.
+
+    It must hold plain values only, and nothing that the actor goes on changing.
+    """
     return ask_actor(ref, Query(read))
 
 
 def read_config(node: Node) -> ConfigView:
-    """Return the configuration in force here."""
-    view: Any = node.config.ask(ReadConfig(), timeout=_QUERY_S)
+    """Return the configuration in force on this instance."""
+    view: Any = node.config.ask(ReadConfig(), timeout=_QUERY_TIMEOUT_S)
     return cast(ConfigView, view)
 
 
 def list_peers(node: Node) -> tuple[PeerView, ...]:
-    """Return what is known of the other instances."""
+    """Return the current view of each other instance."""
     views: tuple[PeerView, ...] = query(node.peers, read_peers)
     return views
 
 
 def list_instances(node: Node) -> tuple[Instance, ...]:
-    """Return the platform's list as it was last read."""
+    """Return the platform's list of instances as last read."""
     instances: tuple[Instance, ...] = query(node.peers, lambda a, _: a.instances)
     return instances
 
 
 def find_peer(node: Node, domain: str) -> PeerView | None:
-    """Return an instance of `domain` to pass a call on to, the last heard first."""
+    """Return the live instance of `domain` with the latest heartbeat, or None."""
     peers = [p for p in list_peers(node) if p.domain == domain and p.is_live]
     return max(peers, key=lambda peer: peer.heard_at, default=None)
 
 
-def explain_silence(node: Node, domain: str) -> ApiError:
-    """Return the error for a domain of which no instance is heard from."""
+def build_unreachable_error(node: Node, domain: str) -> ApiError:
+    """Return the error for a call to a domain without a live instance."""
     if any(instance.domain == domain for instance in list_instances(node)):
         detail = f"no instance of {domain} is heard from"
-        return ApiError(ErrorCode.REFUSED, detail, retry_after_s=_RETRY_S)
+        return ApiError(ErrorCode.REFUSED, detail, retry_after_s=_RETRY_AFTER_S)
     return ApiError(ErrorCode.NOT_FOUND, f"no failure domain {domain!r}", "job_id")
 
 
 def make_url(address: str) -> str:
-    """Return `address` as a URL."""
+    """Return `address` as a URL, with the scheme ``http`` unless it has one."""
     return address if "://" in address else f"http://{address}"
 
 
 def submit_and_wait(
     ref: pykka.ActorRef[Any], record: Mapping[str, Any]
 ) -> log_state.AppendReport:
-    """Append `record` and wait for what becomes of it.
+    """Append `record` to the actor's log and wait for the outcome.
 
     Returns
     -------
     AppendReport
-        Of status ``unknown`` where that isn't settled in time. Nothing is said to be
-        "not run" that may still take effect.
+        Its status is ``unknown`` if the outcome isn't known in time. A record that may
+        still take effect is never reported as ``not_run``.
     """
     settled: concurrent.futures.Future[log_state.AppendReport] = (
         concurrent.futures.Future()
     )
 
-    def take(report: log_state.AppendReport) -> None:
+    def settle(report: log_state.AppendReport) -> None:
         final = report.status != log_state.AppendStatus.UNKNOWN
         if final and not settled.done():
             settled.set_result(report)
 
     key = uuid.uuid4().hex
-    expires_at = read_clock() + _SETTLE_S
+    expires_at = read_clock() + _APPEND_TIMEOUT_S
     submit = log_state.Submit(record, key, expires_at)
-    ref.tell(SubmitRecord(submit, take))
+    ref.tell(SubmitRecord(submit, settle))
     try:
-        return settled.result(_GIVE_UP_S)
+        return settled.result(_REPORT_TIMEOUT_S)
     except concurrent.futures.TimeoutError:
         return log_state.AppendReport(key, log_state.AppendStatus.UNKNOWN)
 
 
-def explain_report(report: log_state.AppendReport) -> ApiError | None:
-    """Return the error that an append's report means, None where it took effect."""
+def build_append_error(report: log_state.AppendReport) -> ApiError | None:
+    """Return the error for an append's report, or None if the record took effect."""
     match report.status:
         case log_state.AppendStatus.APPLIED:
             return None
@@ -178,38 +182,44 @@
                 winning_version=report.offset,
             )
         case log_state.AppendStatus.NOT_RUN:
-            pause = report.retry_after_s or _RETRY_S
-            return ApiError(ErrorCode.REFUSED, _explain(report), retry_after_s=pause)
+            pause = report.retry_after_s or _RETRY_AFTER_S
+            return ApiError(
+                ErrorCode.REFUSED, _describe_refusal(report), retry_after_s=pause
+            )
     return ApiError(
-        ErrorCode.UNKNOWN, "the log has not said yet", retry_after_s=_RETRY_S
+        ErrorCode.UNKNOWN,
+        "the log has not said yet",
+        retry_after_s=_RETRY_AFTER_S,
     )
 
 
-def _explain(report: log_state.AppendReport) -> str:
+def _describe_refusal(report: log_state.AppendReport) -> str:
     if report.result is None:
         return "the log took no record"
     return report.result.detail or report.result.reason or "abandoned"
 
 
-def call_operator(
+def forward_call(
     node: Node, peer: PeerView, method: str, request: Message, response: Message
 ) -> Result[Any, ApiError]:
-    """Pass an operator's call on to another instance, once.
+    """Forward an operator's call to another instance, without retries.
 
     Parameters
     ----------
     node : Node
         This process.
     peer : PeerView
-        The instance that is to answer.
+        The instance to forward to.
     method : str
         Name of the method.
     request : Message
-        The call.
+        Request of the call.
     response : Message
-        An empty response, filled from the answer.
+        An empty response message, which is filled and returned.
     """
-    target = build_peer(make_url(peer.control_address), node.pool, _GIVE_UP_S + 1.0)
+    target = build_peer(
+        make_url(peer.control_address), node.pool, _REPORT_TIMEOUT_S + 1.0
+    )
     headers = {
         "Authorization": build_authorization(node.settings.security.token.reveal()),
         "Content-Type": "application/x-protobuf",
@@ -219,7 +229,7 @@
     answer = send_request(target, step, "POST", f"/{SERVICE}/{method}", body, headers)
     if isinstance(answer, Err):
         return Err(build_api_error(answer.err_value))
-    if answer.ok_value.status != _OK:
+    if answer.ok_value.status != _STATUS_OK:
         error = decode_error(answer.ok_value.body)
         unreadable = ApiError(ErrorCode.UNKNOWN, step=step, peer=peer.instance)
         return Err(error or unreadable)
--- a/plantainyard/operators/standing.py
+++ b/plantainyard/operators/status.py
@@ -1,4 +1,4 @@
-"""Calls about the answering process: its status, readiness and whole state."""
+"""Health, readiness, status and full state of this process."""
 
 import json
 from collections.abc import Mapping
@@ -18,18 +18,24 @@
 
 from .node import Node, list_peers, query, read_config
 
-__all__ = ["describe_state", "dump", "find_faults", "find_waits", "tell_status"]
+__all__ = [
+    "describe_state",
+    "dump",
+    "find_faults",
+    "list_unready_reasons",
+    "get_status",
+]
 
-_ASK_S = 5.0
+_DUMP_TIMEOUT_S = 5.0
 
 
 def find_faults(node: Node) -> list[str]:
-    """Return why the process should be replaced; empty when it is well.
+    """Return the reasons to replace the process, empty if it is healthy.
 
     Notes
     -----
-    Guards against a process that is left half alive: an actor that died takes no
-    messages, its duty rests, and every other part still looks well.
+    Guards against a process that keeps running after one of its actors has died: the
+    actor no longer handles messages, while all other parts still look healthy.
     """
     actors = {
         "domain": node.domain,
@@ -43,8 +49,8 @@
     return [f"the actor {name} has died" for name in dead]
 
 
-def find_waits(node: Node) -> list[str]:
-    """Return why the balancer should send callers elsewhere; empty when ready."""
+def list_unready_reasons(node: Node) -> list[str]:
+    """Return why the load balancer should avoid this instance, empty if it is ready."""
     faults = find_faults(node)
     if faults:
         return faults
@@ -62,13 +68,13 @@
     return log_state.is_current(actor.stream.reader)
 
 
-def tell_status(
+def get_status(
     node: Node, request: schema.StatusRequest
 ) -> Result[schema.StatusResponse, ApiError]:
-    """Tell how this instance is."""
+    """Return the status of this instance, its racks and its peers."""
     instance = node.settings.instance
     view = read_config(node)
-    waits = find_waits(node)
+    unready_reasons = list_unready_reasons(node)
     described = describe_gateway(node.gateway)
     age_s = query(
         node.domain,
@@ -80,8 +86,8 @@
             region=instance.region,
             domain=instance.domain,
             software_version=__version__,
-            ready=not waits,
-            not_ready_reasons=waits,
+            ready=not unready_reasons,
+            not_ready_reasons=unready_reasons,
             uptime_s=read_clock() - node.started_at,
             configuration_version=view.version,
             configuration_age_s=view.age_s,
@@ -99,7 +105,7 @@
         schema.PeerStatus(
             instance=peer.instance,
             domain=peer.domain,
-            state=_judge_peer(peer.state, peer.is_live),
+            state=_determine_peer_state(peer.state, peer.is_live),
             heard_s=peer.age_s,
             address=peer.control_address,
         )
@@ -107,43 +113,43 @@
     ]
 
 
-def _judge_peer(listed: str, is_live: bool) -> str:
+def _determine_peer_state(listed: str, is_live: bool) -> str:
     if listed in ("leaving", "gone"):
         return listed
     return "live" if is_live else "silent"
 
 
 def describe_state(node: Node) -> Mapping[str, Any]:
-    """Return the whole state of the process, without secrets."""
+    """Return the full state of the process as plain values, without secrets."""
     view = read_config(node)
     state = {
         "instance": node.settings.instance._asdict(),
         "process": node.name,
         "uptime_s": read_clock() - node.started_at,
-        "not_ready": find_waits(node),
+        "not_ready": list_unready_reasons(node),
         "configuration": view._asdict(),
         "domain": query(node.domain, dump_domain),
-        "peers": [_show_peer(peer) for peer in list_peers(node)],
-        "lenders": node.lender.ask(DumpLenders(), timeout=_ASK_S),
+        "peers": [_dump_peer(peer) for peer in list_peers(node)],
+        "lenders": node.lender.ask(DumpLenders(), timeout=_DUMP_TIMEOUT_S),
         "gateway": describe_gateway(node.gateway),
         "metrics": describe_meter(node.meter),
     }
-    # Infinities and tuples are not JSON; what a person reads is.
-    shown: dict[str, Any] = json.loads(
+    # Tuples become lists and infinities become strings, which JSON can represent.
+    plain: dict[str, Any] = json.loads(
         json.dumps(state, default=str), parse_constant=str
     )
-    return shown
+    return plain
 
 
-def _show_peer(peer: Any) -> dict[str, Any]:
-    beat = peer.heartbeat._asdict() if peer.heartbeat else None
-    return {**peer._asdict(), "heartbeat": beat}
+def _dump_peer(peer: Any) -> dict[str, Any]:
+    heartbeat = peer.heartbeat._asdict() if peer.heartbeat else None
+    return {**peer._asdict(), "heartbeat": heartbeat}
 
 
 def dump(
     node: Node, request: schema.DumpRequest
 ) -> Result[schema.DumpResponse, ApiError]:
-    """Return the whole state of the process."""
+    """Return the response with the full state of the process."""
     response = schema.DumpResponse()
     json_format.ParseDict(dict(describe_state(node)), response.state)
     return Ok(response)
--- a/plantainyard/process.py
+++ b/plantainyard/process.py
@@ -22,22 +22,22 @@
     Gateway,
     call_peer,
     drain_gateway,
+    post_event,
     run_gateway,
     serve_gateway,
-    tell_event,
 )
-from plantainyard.gateway.tuning import build_routing_settings
+from plantainyard.gateway.routing_settings import build_routing_settings
 from plantainyard.metrics import Meter, create_meter, flush_meter
 from plantainyard.node import (
     CONFIG_STREAM,
     ConfigActor,
     ConfigChanged,
     DomainActor,
-    HeartbeatHeard,
+    HeartbeatReceived,
     InstancesListed,
     LenderActor,
+    LivePeers,
     PeersActor,
-    PeersHeard,
     Query,
     RackAuthority,
     Stop,
@@ -55,8 +55,8 @@
     build_handlers,
     describe_state,
     find_faults,
-    find_waits,
-    tell_status,
+    get_status,
+    list_unready_reasons,
 )
 from plantainyard.presence import (
     LocalState,
@@ -77,7 +77,7 @@
     AuthorityChanged,
 )
 from plantainyard.serving import serve_app
-from plantainyard.settings import Settings, find_stop_grace
+from plantainyard.settings import Settings, compute_stop_grace
 
 __all__ = ["Process", "drain_process", "run_process"]
 
@@ -168,7 +168,7 @@
     stop_s = node.settings.intervals.stop_s
     deadline = read_clock() + stop_s
     node.domain.tell(Stop())
-    drain_gateway(node.gateway, find_stop_grace(node.settings.intervals))
+    drain_gateway(node.gateway, compute_stop_grace(node.settings.intervals))
     drained = node.gateway.drained.wait(stop_s)
     while read_clock() < deadline and _owns_racks(node):
         time.sleep(_POLL_INTERVAL_S)
@@ -229,7 +229,7 @@
         lambda values: domain.tell(ConfigChanged(values)),
     )
 
-    def publish(update: InstancesListed | PeersHeard) -> None:
+    def publish(update: InstancesListed | LivePeers) -> None:
         domain.tell(update)
 
     peers = _start(
@@ -295,7 +295,7 @@
         if update.epoch:
             lender.tell(update)
             changed = AuthorityChanged(update.rack, update.until, gained, time.time())
-            tell_event(gateway, changed)
+            post_event(gateway, changed)
         elif epoch:
             # Waits until both have stopped using the authority, because a successor
             # may act as soon as this function returns.
@@ -311,7 +311,7 @@
     settings = node.settings
 
     def exchange_heartbeats(heartbeat: Heartbeat) -> Heartbeat:
-        node.peers.tell(HeartbeatHeard(heartbeat))
+        node.peers.tell(HeartbeatReceived(heartbeat))
         return build_heartbeat(local, 0)
 
     def lend_credits(ask: CreditAsk) -> Message:
@@ -322,7 +322,7 @@
         build_handlers(node),
         Probes(
             lambda: find_faults(node),
-            lambda: find_waits(node),
+            lambda: list_unready_reasons(node),
             lambda: describe_state(node),
         ),
         node.meter,
@@ -374,7 +374,7 @@
 
 def _send_metrics(node: Node) -> None:
     record_process(node.meter)
-    status = tell_status(node, schema.StatusRequest())
+    status = get_status(node, schema.StatusRequest())
     if isinstance(status, Ok):
         record_status(node.meter, status.ok_value)
     flush_meter(node.meter)
