--- a/plantainyard/operators/home_domains.py
+++ b/plantainyard/operators/home_domains.py
@@ -69,7 +69,7 @@
 
     Examples
     --------
-    >>> find_job_domain("0f3a.addis-kality")
+    >>> parse_home_domain("0f3a.addis-kality")
     'addis-kality'
     """
     return job_id.partition(".")[2]
--- a/plantainyard/process.py
+++ b/plantainyard/process.py
@@ -129,7 +129,7 @@
     ------
     Process
         Available once both servers listen; it is ready for callers only when
-        `find_waits` returns an empty list.
+        `list_unready_reasons` returns an empty list.
     """
     local = LocalState(settings, f"{settings.instance.id}.{uuid.uuid4().hex[:8]}")
     with contextlib.ExitStack() as stack:
--- a/plantainyard/routing/retries.py
+++ b/plantainyard/routing/retries.py
@@ -102,7 +102,7 @@
 
     Returns
     -------
-    RetryVerdict
+    RetryDecision
         Whether to retry, or else the final outcome.
     """
     outcome, reason = _find_outcome(result)
