--- a/plantainyard/routing/retries.py
+++ b/plantainyard/routing/retries.py
@@ -93,7 +93,7 @@
         One of the names in `SendResult` except ``ANSWERED``.
     attempts : int
         Number of attempts so far.
-    service_s : float
+    service_time_s : float
         Estimated duration of an attempt, which must fit before the deadline.
     settings : RoutingSettings
         Limits.
